--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -26,8 +26,8 @@
 import birchusher.settings.Settings;
 import birchusher.settings.Tuning;
 import birchusher.store.Claim;
-import birchusher.store.StoreLink;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
 import birchusher.wire.JobCodec;
 import birchusher.wire.Pack;
 import birchusher.wire.Wire;
@@ -52,8 +52,8 @@
     private final Effects effects = new Effects();
     private final Settings settings;
     private final Catalog catalog;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final Membership membership;
     private final Outcomes outcomes;
     private final WorkerRegistry workerRegistry;
@@ -81,9 +81,9 @@
         settings = s;
         catalog = new Catalog(s);
         JobCodec codec = new JobCodec(catalog);
-        view = new View(catalog, codec);
-        view.clock(effects::now);
-        store = new StoreLink(effects, view, s, t);
+        view = new StoreView(catalog, codec);
+        view.steadyClock(effects::now);
+        store = new StoreClient(effects, view, s, t);
         membership = new Membership(effects, s, catalog, view, store, t);
         Speeds speeds = new Speeds();
         Driver[] later = new Driver[1];
@@ -110,7 +110,7 @@
                 id -> later[0].last().guaranteed().contains(id));
         Hazards hazards = new Hazards();
         Events events = new Events();
-        view.follow(
+        view.setClaimListeners(
                 book::kind,
                 c -> {
                     events.placed(effects.now(), c);
@@ -121,8 +121,8 @@
                     if (lost) {
                         losses.left(c, effects.now());
                     }
-                    if (c.kind() >= 0) {
-                        hazards.observe(c.kind(), (effects.now() - c.seenAt()) / 1000.0, lost, effects.now());
+                    if (c.machineKind() >= 0) {
+                        hazards.observe(c.machineKind(), (effects.now() - c.seenAtMs()) / 1000.0, lost, effects.now());
                     }
                 });
         planner = new Planner(
@@ -210,7 +210,7 @@
     public List<Effect> peer(long now, long wall, byte[] record) {
         effects.time(now, wall);
         try {
-            PeerCodec.From from = PeerCodec.decode(record);
+            PeerCodec.Envelope from = PeerCodec.decode(record);
             int i = membership.index(from.member());
             if (i > 0 && membership.earlierLife(i, from.incarnation())) {
                 throw new Bad("from an earlier life of " + from.member());
@@ -255,16 +255,16 @@
                     "counters takeovers={} shards={} revision={} informed_ms={} jobs={} machines={} {} {} {} recovery={} open={} gone={} {}",
                     membership.takeovers,
                     membership.owned(),
-                    view.applied(),
+                    view.appliedRevision(),
                     store.loaded() ? membership.staleness().ageMs() : -1,
                     view.jobs().size(),
                     book.pictures().size(),
                     counters.line(),
-                    store.line(),
+                    store.logText(),
                     driver.line(),
                     inventory.phase(),
                     inventory.open(),
-                    view.goneCount(),
+                    view.releasedClaimCount(),
                     orders.line());
         }
         return done();
@@ -360,8 +360,9 @@
                 book.left(),
                 autoscaler.recentlyGone());
         byte[] record = encode(h);
-        byte[] restoring =
-                losses.returning() > 0 || toldRestoring ? encode(new PeerRecord.Restoring(losses.returning())) : null;
+        byte[] restoring = losses.returning() > 0 || toldRestoring
+                ? encode(new PeerRecord.DroppedTasks(losses.returning()))
+                : null;
         toldRestoring = losses.returning() > 0;
         PeerRecord.RevisionQuery q = membership.staleness().ask();
         byte[] query = q == null ? null : encode(q);
@@ -378,27 +379,27 @@
 
     private void heard(int from, long incarnation, PeerRecord r) {
         if (r instanceof PeerRecord.Heartbeat h) {
-            if (membership.heard(from, h.storeOk(), h.incarnation(), h.terms(), h.owned())) {
+            if (membership.heard(from, h.storeHealthy(), h.incarnation(), h.seenTerms(), h.ownedTerms())) {
                 book.tellEverything();
             }
             book.heard(from, h);
-            h.gone().forEach(workerRegistry::gone);
+            h.deletedMachines().forEach(workerRegistry::gone);
         } else if (r instanceof PeerRecord.Offer o) {
             send(from, driver.judge(o));
-        } else if (r instanceof PeerRecord.CalledOff o) {
+        } else if (r instanceof PeerRecord.WithdrawnOffer o) {
             driver.calledOff(o);
-        } else if (r instanceof PeerRecord.Verdict v) {
+        } else if (r instanceof PeerRecord.OfferReply v) {
             driver.verdict(v);
-        } else if (r instanceof PeerRecord.Stop s) {
+        } else if (r instanceof PeerRecord.StopRequest s) {
             driver.stopAsked(s);
-        } else if (r instanceof PeerRecord.Retire x) {
-            send(from, new PeerRecord.Retired(x.machine(), workerRegistry.retire(x.machine(), x.withTasks())));
-        } else if (r instanceof PeerRecord.Outcomes o) {
+        } else if (r instanceof PeerRecord.ReturnRequest x) {
+            send(from, new PeerRecord.ReturnReply(x.machine(), workerRegistry.retire(x.machine(), x.withTasks())));
+        } else if (r instanceof PeerRecord.AttemptOutcomes o) {
             outcomes.told(o);
-        } else if (r instanceof PeerRecord.Retired x) {
+        } else if (r instanceof PeerRecord.ReturnReply x) {
             autoscaler.retired(x.machine(), x.agreed());
-        } else if (r instanceof PeerRecord.Restoring x) {
-            losses.told(from, x.tasks(), effects.now());
+        } else if (r instanceof PeerRecord.DroppedTasks x) {
+            losses.told(from, x.count(), effects.now());
         } else if (r instanceof PeerRecord.RevisionQuery q) {
             send(from, membership.staleness().reply(q, incarnation));
         } else if (r instanceof PeerRecord.RevisionReply a) {
@@ -424,7 +425,7 @@
         if (membership.owns(p.shard())) {
             autoscaler.retired(machine, workerRegistry.retire(machine, withTasks));
         } else if (membership.liveOwner(p.shard()) > 0) {
-            send(membership.liveOwner(p.shard()), new PeerRecord.Retire(machine, withTasks));
+            send(membership.liveOwner(p.shard()), new PeerRecord.ReturnRequest(machine, withTasks));
         }
     }
 
@@ -435,7 +436,7 @@
         for (MachineStatus p : book.pictures().values()) {
             Catalog.Type t = catalog.type(p.type());
             if (p.arriving() && t != null) {
-                l.add(Slot.arriving(p, t, view.useOf(p.machine())));
+                l.add(Slot.arriving(p, t, view.capacityUsedOn(p.machine())));
             }
             if (!p.usable() || t == null) {
                 continue;
@@ -446,7 +447,7 @@
             long eta = 0;
             for (Claim c : view.claims(p.machine()).values()) {
                 long end = driver.expectedEnd(c);
-                if (end == Long.MAX_VALUE || end > now + t.soonMs() || !c.job().placed(c.task())) {
+                if (end == Long.MAX_VALUE || end > now + t.soonMs() || !c.job().isPlaced(c.task())) {
                     continue;
                 }
                 eta = Math.max(eta, Math.max(1_000, end - now));
--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -15,9 +15,9 @@
 import birchusher.store.Claim;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.StoreLink;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import birchusher.wire.Wire;
 import birchusher.workers.Counters;
 import birchusher.workers.MachineStatus;
@@ -56,8 +56,8 @@
 
     private final Effects effects;
     private final Catalog catalog;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final Membership membership;
     private final CloudLink cloud;
     private final Counters counters;
@@ -103,8 +103,8 @@
             Effects effects,
             Settings s,
             Catalog catalog,
-            View view,
-            StoreLink store,
+            StoreView view,
+            StoreClient store,
             Membership membership,
             CloudLink cloud,
             Counters counters,
@@ -173,7 +173,7 @@
     }
 
     public boolean isBuyer() {
-        Map<String, Object> row = view.row(Keys.BUYER);
+        Map<String, Object> row = view.row(Keys.AUTOSCALER);
         return membership.holding()
                 && row != null
                 && membership.memberName(0).equals(row.get("m"))
@@ -229,7 +229,7 @@
     // ---- machine types
 
     private void types(long now) {
-        Map<String, Object> row = view.row(Keys.TYPES);
+        Map<String, Object> row = view.row(Keys.MACHINE_TYPES);
         if (!catalog.typesKnown() && row != null) {
             learn(Fields.list(row, "l"));
         }
@@ -245,8 +245,8 @@
             nextTypes = effects.now() + 60_000;
             List<?> list = Fields.list(m, Wire.TYPE_LIST);
             learn(list);
-            if (view.row(Keys.TYPES) == null && !list.isEmpty()) {
-                put(Keys.TYPES, Map.of("l", list));
+            if (view.row(Keys.MACHINE_TYPES) == null && !list.isEmpty()) {
+                put(Keys.MACHINE_TYPES, Map.of("l", list));
             }
         });
     }
@@ -266,7 +266,7 @@
     // ---- becoming the autoscaler
 
     private void become() {
-        Map<String, Object> row = view.row(Keys.BUYER);
+        Map<String, Object> row = view.row(Keys.AUTOSCALER);
         if (claiming || !membership.holding() || !store.healthy() || effects.now() - lostAt < 20_000) {
             return;
         }
@@ -284,13 +284,13 @@
             }
         }
         claiming = true;
-        store.offer(new Simple(
+        store.enqueue(new Simple(
                 3,
                 1,
                 tx -> {
-                    Map<String, Object> now = view.row(Keys.BUYER);
-                    tx.require(Keys.SEAT + membership.memberName(0));
-                    tx.put(Keys.BUYER, buyerRow(now == null ? 1 : Fields.countOr(now, "n", 1)));
+                    Map<String, Object> now = view.row(Keys.AUTOSCALER);
+                    tx.requireUnchanged(Keys.MEMBER_LEASE + membership.memberName(0));
+                    tx.put(Keys.AUTOSCALER, buyerRow(now == null ? 1 : Fields.countOr(now, "n", 1)));
                     return true;
                 },
                 ok -> claiming = false));
@@ -301,7 +301,7 @@
     }
 
     private void put(String key, Map<String, Object> value) {
-        store.offer(new Simple(
+        store.enqueue(new Simple(
                 3,
                 1,
                 tx -> {
@@ -319,13 +319,14 @@
 
     /** The rental rows, read again only when one of them has changed. */
     public List<Ask> asks() {
-        if (asksAt == view.askChanges()) {
+        if (asksAt == view.rentalRequestChangeCount()) {
             return asks;
         }
         List<Ask> l = new ArrayList<>();
         Set<String> all = new HashSet<>();
         boolean whole = true;
-        for (Map.Entry<String, Map<String, Object>> e : view.rowsUnder(Keys.ASK).entrySet()) {
+        for (Map.Entry<String, Map<String, Object>> e :
+                view.rowsUnder(Keys.RENTAL_REQUEST).entrySet()) {
             Map<String, Object> m = e.getValue();
             int type = catalog.typeNames.find(Fields.text(m, "y"));
             int zone = catalog.zones.find(Fields.text(m, "z"));
@@ -339,7 +340,7 @@
             }
             if (zone >= 0 && catalog.type(type) != null) {
                 l.add(new Ask(
-                        e.getKey().substring(Keys.ASK.length()),
+                        e.getKey().substring(Keys.RENTAL_REQUEST.length()),
                         type,
                         zone,
                         Boolean.TRUE.equals(m.get("s")),
@@ -353,7 +354,7 @@
         asks = l;
         askedHosts = all;
         // A type that is not known yet will be: such rows are looked at again.
-        asksAt = whole ? view.askChanges() : -1;
+        asksAt = whole ? view.rentalRequestChangeCount() : -1;
         return l;
     }
 
@@ -420,14 +421,14 @@
                     }
                 }
             } else if (allUp && busyAsks.add(a.name())) {
-                store.offer(new Simple(
+                store.enqueue(new Simple(
                         3,
                         1,
                         tx -> {
-                            if (view.row(Keys.ASK + a.name()) == null) {
+                            if (view.row(Keys.RENTAL_REQUEST + a.name()) == null) {
                                 return false;
                             }
-                            tx.remove(Keys.ASK + a.name());
+                            tx.remove(Keys.RENTAL_REQUEST + a.name());
                             return true;
                         },
                         ok -> busyAsks.remove(a.name())));
@@ -496,11 +497,11 @@
     }
 
     private void settle(Ask a, List<Object> hosts) {
-        store.offer(new Simple(
+        store.enqueue(new Simple(
                 3,
                 1,
                 tx -> {
-                    String key = Keys.ASK + a.name();
+                    String key = Keys.RENTAL_REQUEST + a.name();
                     if (view.row(key) == null) {
                         return false;
                     }
@@ -596,7 +597,7 @@
      * waiting task from.
      */
     private Map<Integer, Integer> tasksByZone(Job job) {
-        return Planner.zones(job, membership::zoneOf, job.chunks::get, claim -> !job.placed(claim.task()));
+        return Planner.zones(job, membership::zoneOf, job.chunks::get, claim -> !job.isPlaced(claim.task()));
     }
 
     /** The cheapest kind of machine per task that is not known to be sold out; among equals the emptiest zone. */
@@ -640,15 +641,15 @@
         long at = effects.wall();
         int max = Math.max(1, settings.txnOps() - 1);
         long[] first = {-1};
-        store.offer(new Simple(
+        store.enqueue(new Simple(
                 3,
                 Math.min(settings.txnOps(), wanted.size() + 1),
                 tx -> {
-                    if (!isBuyer() || tx.writes(Keys.BUYER)) {
+                    if (!isBuyer() || tx.writes(Keys.AUTOSCALER)) {
                         return false;
                     }
-                    tx.require(Keys.SEAT + membership.memberName(0));
-                    long next = Fields.countOr(view.row(Keys.BUYER), "n", 1);
+                    tx.requireUnchanged(Keys.MEMBER_LEASE + membership.memberName(0));
+                    long next = Fields.countOr(view.row(Keys.AUTOSCALER), "n", 1);
                     first[0] = first[0] < 0 ? next : first[0];
                     if (next != first[0]) {
                         // Carried out, and only the answer was lost: worked out again, it named and rented all of it a
@@ -662,9 +663,9 @@
                         }
                         Kind k = e.getKey();
                         Ask a = new Ask("r-" + next++, k.type, k.zone, k.spot, Math.min(50, e.getValue()), at, null);
-                        tx.put(Keys.ASK + a.name(), askRow(a, null));
+                        tx.put(Keys.RENTAL_REQUEST + a.name(), askRow(a, null));
                     }
-                    tx.put(Keys.BUYER, buyerRow(next));
+                    tx.put(Keys.AUTOSCALER, buyerRow(next));
                     return true;
                 },
                 ok -> reserving = false));
@@ -791,10 +792,11 @@
     }
 
     /** A change made of two functions. */
-    private record Simple(int rank, int cost, java.util.function.Predicate<Tx> write, Consumer<Boolean> over)
+    private record Simple(
+            int rank, int maxWrites, java.util.function.Predicate<Transaction> write, Consumer<Boolean> over)
             implements Change {
         @Override
-        public boolean build(Tx tx) {
+        public boolean build(Transaction tx) {
             return write.test(tx);
         }
 
--- a/src/main/java/birchusher/fleet/Consolidation.java
+++ b/src/main/java/birchusher/fleet/Consolidation.java
@@ -5,7 +5,7 @@
 import birchusher.placement.Planner;
 import birchusher.placement.Slot;
 import birchusher.store.Claim;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.workers.MachineStatus;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -25,7 +25,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Consolidation.class);
 
     private final Catalog catalog;
-    private final View view;
+    private final StoreView view;
     private final long moveAfterMs;
     private final BiConsumer<String, Boolean> retire;
     private final Function<Map<String, MachineStatus>, List<Slot>> free;
@@ -38,7 +38,7 @@
 
     Consolidation(
             Catalog catalog,
-            View view,
+            StoreView view,
             long moveAfterMs,
             BiConsumer<String, Boolean> retire,
             Function<Map<String, MachineStatus>, List<Slot>> free,
--- a/src/main/java/birchusher/fleet/Demand.java
+++ b/src/main/java/birchusher/fleet/Demand.java
@@ -38,10 +38,10 @@
         if (s.priority() != Priority.LOW || team.cpus() > 0 || team.gpus() > 0) {
             return new Of(tasks, false);
         }
-        boolean waited = wall - j.acceptedAt > beginByMs;
+        boolean waited = wall - j.acceptedAtMs > beginByMs;
         if (spokenFor.contains(s.cls())) {
             return new Of(tasks, s.spot() && !waited);
         }
-        return new Of(!waited || j.begun() ? 0 : s.gang() ? tasks : Math.min(1, tasks), s.spot());
+        return new Of(!waited || j.hasStarted() ? 0 : s.gang() ? tasks : Math.min(1, tasks), s.spot());
     }
 }
--- a/src/main/java/birchusher/fleet/MachineList.java
+++ b/src/main/java/birchusher/fleet/MachineList.java
@@ -6,7 +6,7 @@
 import birchusher.membership.Membership;
 import birchusher.model.Catalog;
 import birchusher.settings.Settings;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.wire.Wire;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -36,7 +36,7 @@
     private final Effects effects;
     private final Settings settings;
     private final Catalog catalog;
-    private final View view;
+    private final StoreView view;
     private final Membership membership;
     private final CloudLink cloud;
     private final double giveUpBoots;
@@ -52,7 +52,7 @@
             Effects effects,
             Settings s,
             Catalog catalog,
-            View view,
+            StoreView view,
             Membership membership,
             CloudLink cloud,
             double giveUpBoots,
--- a/src/main/java/birchusher/fleet/Reserve.java
+++ b/src/main/java/birchusher/fleet/Reserve.java
@@ -5,7 +5,7 @@
 import birchusher.settings.Settings;
 import birchusher.store.Claim;
 import birchusher.store.Job;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.workers.MachineStatus;
 import it.unimi.dsi.fastutil.ints.Int2DoubleOpenHashMap;
 import java.util.ArrayList;
@@ -29,7 +29,7 @@
     private record Seen(JobSpec spec, long at) {}
 
     private final Catalog catalog;
-    private final View view;
+    private final StoreView view;
     /** Per class the shortest time within which its jobs are to start. */
     private final Int2DoubleOpenHashMap startWithinS = new Int2DoubleOpenHashMap();
 
@@ -37,7 +37,7 @@
     private Set<String> kept = Set.of();
     private long nextLook;
 
-    Reserve(Catalog catalog, View view, List<Settings.Objective> objectives) {
+    Reserve(Catalog catalog, StoreView view, List<Settings.Objective> objectives) {
         this.catalog = catalog;
         this.view = view;
         for (Settings.Objective o : objectives) {
--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -11,9 +11,9 @@
 import birchusher.store.Chunk;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.StoreLink;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import birchusher.wire.JobCodec;
 import birchusher.wire.Pack;
 import birchusher.wire.Wire;
@@ -33,8 +33,8 @@
     private final Effects effects;
     private final Catalog catalog;
     private final JobCodec codec;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final Membership membership;
     private final int chunkSize;
     private final int txnOps;
@@ -47,8 +47,8 @@
             Settings s,
             Catalog catalog,
             JobCodec codec,
-            View view,
-            StoreLink store,
+            StoreView view,
+            StoreClient store,
             Membership membership) {
         this.effects = effects;
         this.catalog = catalog;
@@ -77,13 +77,13 @@
         return m;
     }
 
-    static Map<String, Object> ended(String id, View.Ended e) {
+    static Map<String, Object> ended(String id, StoreView.EndedJob e) {
         return e.done() ? answer(id, Wire.DONE, e.tasks(), 0) : answer(id, Wire.CANCELLED, 0, 0);
     }
 
     /** What may be told of a job without asking anybody: final states are final. Null if it has none yet. */
     private Map<String, Object> finalState(String id) {
-        View.Ended e = view.ended(id);
+        StoreView.EndedJob e = view.endedJob(id);
         if (e != null) {
             return ended(id, e);
         }
@@ -103,7 +103,7 @@
      */
     private boolean asNewAsItsPlaces(Job j) {
         for (int i = 0; i < j.chunks.size(); i++) {
-            if (view.version(Keys.place(j.spec.id(), i)) > view.applied()) {
+            if (view.version(Keys.placement(j.spec.id(), i)) > view.appliedRevision()) {
                 return false;
             }
         }
@@ -112,7 +112,7 @@
 
     /** Where leases are too long for a cancellation's time, it is told only when no task is left, as far as a view of its own age shows. */
     private boolean mayTell(Job j) {
-        return !cancelsLate || j.claimCount() == 0 && view.applied() >= view.version(Keys.JOB + j.spec.id());
+        return !cancelsLate || j.claimCount() == 0 && view.appliedRevision() >= view.version(Keys.JOB + j.spec.id());
     }
 
     private static Map<String, Object> open(Job j) {
@@ -148,7 +148,7 @@
 
     /** The same, with what is to be done with a job that has no final state. */
     private void lookUp(long exchange, String id, Consumer<Job> unfinished, Runnable unknown) {
-        boolean asked = store.fresh(ok -> {
+        boolean asked = store.whenUpToDate(ok -> {
             if (!ok) {
                 effects.later(exchange, 503, 2);
                 return;
@@ -167,14 +167,14 @@
                 effects.answer(exchange, 200, answer(id, Wire.QUEUED, 0, 0));
                 return;
             }
-            if (store.knowsAllEnds()) {
+            if (store.allEndedJobsKnown()) {
                 unknown.run();
                 return;
             }
-            boolean sent = store.get(Keys.END + id, (status, m) -> {
+            boolean sent = store.get(Keys.ENDED_JOB + id, (status, m) -> {
                 if (status == 200) {
                     // Kept, so that what users are told from here is known to be known here.
-                    view.put(Keys.END + id, m.get(Wire.VALUE), Fields.count(m, Wire.VERSION));
+                    view.put(Keys.ENDED_JOB + id, m.get(Wire.VALUE), Fields.count(m, Wire.VERSION));
                     Map<String, Object> kept = finalState(id);
                     if (kept != null) {
                         effects.answer(exchange, 200, kept);
@@ -239,7 +239,7 @@
             lookUp(exchange, id, () -> effects.answer(exchange, status, Map.of("error", why)));
             return;
         }
-        if (!store.offer(new Accept(exchange, spec))) {
+        if (!store.enqueue(new Accept(exchange, spec))) {
             effects.later(exchange, 503, 2);
         }
     }
@@ -260,25 +260,25 @@
         }
 
         @Override
-        public int cost() {
+        public int maxWrites() {
             return 1;
         }
 
         @Override
-        public long expires() {
+        public long expiresAtMs() {
             return until;
         }
 
         @Override
-        public boolean build(Tx tx) {
+        public boolean build(Transaction tx) {
             if (view.job(spec.id()) != null
                     || view.unreadable(spec.id())
-                    || view.ended(spec.id()) != null
+                    || view.endedJob(spec.id()) != null
                     || tx.writes(Keys.JOB + spec.id())
                     || effects.now() > until) {
                 return false;
             }
-            tx.require(Keys.END + spec.id());
+            tx.requireUnchanged(Keys.ENDED_JOB + spec.id());
             tx.put(Keys.JOB + spec.id(), row(spec, chunkSize, effects.wall(), Job.State.OPEN));
             return true;
         }
@@ -290,8 +290,8 @@
         }
 
         @Override
-        public boolean refused(Set<String> failed) {
-            if (failed.contains(Keys.END + spec.id()) || failed.contains(Keys.JOB + spec.id())) {
+        public boolean settledByConflict(Set<String> failed) {
+            if (failed.contains(Keys.ENDED_JOB + spec.id()) || failed.contains(Keys.JOB + spec.id())) {
                 dropped();
                 return true;
             }
@@ -343,7 +343,7 @@
     }
 
     private void cancel(long exchange, Job j) {
-        if (!store.offer(new Cancel(exchange, j.spec.id()))) {
+        if (!store.enqueue(new Cancel(exchange, j.spec.id()))) {
             effects.later(exchange, 503, 1);
         }
     }
@@ -364,17 +364,17 @@
         }
 
         @Override
-        public int cost() {
+        public int maxWrites() {
             return 1;
         }
 
         @Override
-        public long expires() {
+        public long expiresAtMs() {
             return until;
         }
 
         @Override
-        public boolean build(Tx tx) {
+        public boolean build(Transaction tx) {
             Job j = view.job(id);
             if (j == null
                     || j.state() != Job.State.OPEN
@@ -385,14 +385,14 @@
             }
             // Another controller may be about to see, and to tell, that the last task is done: then this must fail.
             int open = 0;
-            while (j.chunks.get(open) != null && j.chunks.get(open).full()) {
+            while (j.chunks.get(open) != null && j.chunks.get(open).allDone()) {
                 open++;
             }
-            if (tx.hasChunk(id, open)) {
+            if (tx.editsChunk(id, open)) {
                 return false;
             }
-            tx.require(Keys.place(id, open));
-            tx.put(Keys.JOB + id, row(j.spec, j.chunkSize, j.acceptedAt, Job.State.CANCELLED));
+            tx.requireUnchanged(Keys.placement(id, open));
+            tx.put(Keys.JOB + id, row(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.CANCELLED));
             return true;
         }
 
@@ -426,7 +426,7 @@
         for (Job j : view.jobs()) {
             boolean over = (j.state() != Job.State.OPEN || j.allDone()) && j.claimCount() == 0;
             if (over && membership.drives(j.spec.id()) && ending.size() < 100 && ending.add(j.spec.id())) {
-                if (!store.offer(new End(j.spec.id(), Math.min(txnOps, j.chunks.size() + 2)))) {
+                if (!store.enqueue(new End(j.spec.id(), Math.min(txnOps, j.chunks.size() + 2)))) {
                     ending.remove(j.spec.id());
                 }
             }
@@ -451,17 +451,17 @@
 
         /** Polls are answered from the done set; the row is only put away. */
         @Override
-        public long patienceMs() {
+        public long maxDelayMs() {
             return 1_000;
         }
 
         @Override
-        public int cost() {
+        public int maxWrites() {
             return cost;
         }
 
         @Override
-        public boolean build(Tx tx) {
+        public boolean build(Transaction tx) {
             Job j = view.job(id);
             if (j == null || tx.writes(Keys.JOB + id)) {
                 return false;
@@ -478,21 +478,21 @@
             if (away) {
                 for (Chunk c : j.chunks) {
                     if (c != null) {
-                        tx.remove(Keys.place(id, c.index));
+                        tx.remove(Keys.placement(id, c.index));
                     }
                 }
                 tx.remove(Keys.JOB + id);
-                tx.put(Keys.END + id, View.endedRow(done, j.spec.tasks()));
+                tx.put(Keys.ENDED_JOB + id, StoreView.endedJobRow(done, j.spec.tasks()));
                 return true;
             }
             if (j.state() == Job.State.OPEN) {
                 for (Chunk c : j.chunks) {
-                    tx.require(Keys.place(id, c.index));
+                    tx.requireUnchanged(Keys.placement(id, c.index));
                     if (tx.conditionCount() > 3 * txnOps) {
                         break;
                     }
                 }
-                tx.put(Keys.JOB + id, row(j.spec, j.chunkSize, j.acceptedAt, Job.State.DONE));
+                tx.put(Keys.JOB + id, row(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.DONE));
                 return true;
             }
             if (j.claimCount() > 0) {
@@ -501,10 +501,10 @@
             int n = 0;
             for (Chunk c : j.chunks) {
                 if (c != null && n++ < txnOps - 1) {
-                    tx.remove(Keys.place(id, c.index));
+                    tx.remove(Keys.placement(id, c.index));
                 }
             }
-            tx.require(Keys.JOB + id);
+            tx.requireUnchanged(Keys.JOB + id);
             return true;
         }
 
--- a/src/main/java/birchusher/jobs/Listing.java
+++ b/src/main/java/birchusher/jobs/Listing.java
@@ -9,8 +9,8 @@
 import birchusher.store.Claim;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.StoreLink;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
 import birchusher.wire.JobCodec;
 import birchusher.wire.Wire;
 import java.util.ArrayList;
@@ -33,8 +33,8 @@
     private final Effects effects;
     private final Catalog catalog;
     private final JobCodec codec;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final JobApi jobApi;
     private final Events events;
 
@@ -42,8 +42,8 @@
             Effects effects,
             Catalog catalog,
             JobCodec codec,
-            View view,
-            StoreLink store,
+            StoreView view,
+            StoreClient store,
             JobApi jobApi,
             Events events) {
         this.effects = effects;
@@ -56,7 +56,7 @@
     }
 
     private void fresh(long exchange, Runnable then) {
-        boolean asked = store.fresh(ok -> {
+        boolean asked = store.whenUpToDate(ok -> {
             if (ok) {
                 then.run();
             } else {
@@ -128,28 +128,30 @@
     /** Adds a page of the jobs that were put away; what is live and behind that page has to wait for a later one. */
     private void putAway(
             long exchange, TreeMap<String, Map<String, Object>> rows, String stage, String after, int most) {
-        boolean sent = store.page(Keys.END, after.isEmpty() ? "" : Keys.END + after, most, (status, m) -> {
-            if (status != 200) {
-                effects.later(exchange, 503, 2);
-                return;
-            }
-            boolean more = Boolean.TRUE.equals(m.get(Wire.MORE));
-            String last = "";
-            for (Object o : Fields.list(m, Wire.ITEMS)) {
-                Map<String, Object> row = Fields.map(o, "row");
-                last = Fields.text(row, Wire.KEY).substring(Keys.END.length());
-                Map<String, Object> told = JobApi.ended(last, View.readEnded(Fields.map(row.get(Wire.VALUE), "value")));
-                if (stage.equals(told.get(Wire.STATE))) {
-                    rows.put(last, told);
-                }
-            }
-            if (more) {
-                rows.tailMap(last, false).clear();
-                // A page may hold none of that stage: its last id says where to go on.
-                rows.putIfAbsent(last, Map.of());
-            }
-            answer(exchange, rows, most, more);
-        });
+        boolean sent =
+                store.readPage(Keys.ENDED_JOB, after.isEmpty() ? "" : Keys.ENDED_JOB + after, most, (status, m) -> {
+                    if (status != 200) {
+                        effects.later(exchange, 503, 2);
+                        return;
+                    }
+                    boolean more = Boolean.TRUE.equals(m.get(Wire.MORE));
+                    String last = "";
+                    for (Object o : Fields.list(m, Wire.ITEMS)) {
+                        Map<String, Object> row = Fields.map(o, "row");
+                        last = Fields.text(row, Wire.KEY).substring(Keys.ENDED_JOB.length());
+                        Map<String, Object> told =
+                                JobApi.ended(last, StoreView.readEndedJob(Fields.map(row.get(Wire.VALUE), "value")));
+                        if (stage.equals(told.get(Wire.STATE))) {
+                            rows.put(last, told);
+                        }
+                    }
+                    if (more) {
+                        rows.tailMap(last, false).clear();
+                        // A page may hold none of that stage: its last id says where to go on.
+                        rows.putIfAbsent(last, Map.of());
+                    }
+                    answer(exchange, rows, most, more);
+                });
         if (!sent) {
             effects.later(exchange, 503, 1);
         }
@@ -186,8 +188,8 @@
             }
             Map<String, Object> m = new HashMap<>(jobApi.told(j));
             m.put("job", codec.write(j.spec));
-            m.put("accepted_ms", j.acceptedAt);
-            m.put("attempts", j.attempts());
+            m.put("accepted_ms", j.acceptedAtMs);
+            m.put("attempts", j.lastAttempt());
             List<Object> tasks = new ArrayList<>();
             int i = (int) Math.min(from, j.spec.tasks());
             for (; i < j.spec.tasks() && tasks.size() < most; i++) {
@@ -201,7 +203,7 @@
                             Wire.MACHINE,
                             c.machine(),
                             "held_s",
-                            Math.max(0, effects.now() - c.seenAt()) / 1000.0));
+                            Math.max(0, effects.now() - c.seenAtMs()) / 1000.0));
                 }
             }
             m.put("pieces", tasks);
@@ -222,13 +224,13 @@
                         Wire.TEAM,
                         t.name(),
                         "cpus_used",
-                        view.cpusOf(i),
+                        view.claimedCpus(i),
                         "cpus",
                         t.cpus(),
                         "cpus_max",
                         t.cpusMax(),
                         "gpus_used",
-                        view.gpusOf(i),
+                        view.claimedGpus(i),
                         "gpus",
                         t.gpus(),
                         "gpus_max",
--- a/src/main/java/birchusher/membership/Membership.java
+++ b/src/main/java/birchusher/membership/Membership.java
@@ -7,9 +7,9 @@
 import birchusher.settings.Tuning;
 import birchusher.store.Change;
 import birchusher.store.Keys;
-import birchusher.store.StoreLink;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import birchusher.wire.Wire;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -42,8 +42,8 @@
     private final Effects effects;
     private final Settings settings;
     private final Catalog catalog;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final long leaseMs;
     private final long suspectMs;
     private final long settleMs;
@@ -91,7 +91,7 @@
     private boolean taking;
     public long takeovers;
 
-    public Membership(Effects effects, Settings s, Catalog catalog, View view, StoreLink store, Tuning t) {
+    public Membership(Effects effects, Settings s, Catalog catalog, StoreView view, StoreClient store, Tuning t) {
         this.effects = effects;
         this.settings = s;
         this.catalog = catalog;
@@ -142,8 +142,8 @@
      * blink, its clock set back or read in the same millisecond, would take the old one's seat and shards for its own.
      */
     private void outlive() {
-        long last = ofOurs(Keys.SEAT + settings.member(), null);
-        last = Math.max(last, ofOurs(Keys.BUYER, "m"));
+        long last = ofOurs(Keys.MEMBER_LEASE + settings.member(), null);
+        last = Math.max(last, ofOurs(Keys.AUTOSCALER, "m"));
         for (String key : shardKeys) {
             last = Math.max(last, ofOurs(key, "m"));
         }
@@ -191,8 +191,8 @@
 
     /** A shard's row as the view has it. Every report and every picture of a machine asks for it several times. */
     private ShardRow shard(int shard) {
-        if (rowsAt != view.rowChanges()) {
-            rowsAt = view.rowChanges();
+        if (rowsAt != view.otherRowChangeCount()) {
+            rowsAt = view.otherRowChangeCount();
             for (int s = 0; s < rows.length; s++) {
                 rows[s] = ShardRow.of(view.row(shardKeys[s]));
             }
@@ -243,7 +243,7 @@
      * before us has seen may still look as if it was to be started here.
      */
     public boolean settled(int shard) {
-        return view.applied() >= view.version(shardKey(shard));
+        return view.appliedRevision() >= view.version(shardKey(shard));
     }
 
     /** Per shard the term under which we own it, 0 where we don't. */
@@ -353,7 +353,7 @@
     /** Notes whose seat rows have changed. The first look tells nothing: the row may be a dead one's. */
     private void watchBeats(long now) {
         for (int i = 1; i < members.size(); i++) {
-            long version = view.version(Keys.SEAT + memberName(i));
+            long version = view.version(Keys.MEMBER_LEASE + memberName(i));
             if (beatVersion[i] >= 0 && version > beatVersion[i]) {
                 beatAt[i] = now;
             }
@@ -364,7 +364,7 @@
     private void beat(long now) {
         boolean missing = false;
         for (int i = 1; i < members.size(); i++) {
-            missing |= !live(i) && view.row(Keys.SEAT + memberName(i)) != null;
+            missing |= !live(i) && view.row(Keys.MEMBER_LEASE + memberName(i)) != null;
         }
         if (!missing || beating || now < nextBeat) {
             return;
@@ -373,28 +373,28 @@
         nextBeat = now + BEAT_MS;
         long id = lease;
         long inc = incarnation;
-        store.offer(new Change() {
+        store.enqueue(new Change() {
             @Override
             public int rank() {
                 return 1;
             }
 
             @Override
-            public int cost() {
+            public int maxWrites() {
                 return 1;
             }
 
             @Override
-            public long expires() {
+            public long expiresAtMs() {
                 return now + BEAT_MS;
             }
 
             @Override
-            public boolean build(Tx tx) {
-                if (lease != id || incarnation != inc || !seated || tx.writes(Keys.SEAT + settings.member())) {
+            public boolean build(Transaction tx) {
+                if (lease != id || incarnation != inc || !seated || tx.writes(Keys.MEMBER_LEASE + settings.member())) {
                     return false;
                 }
-                tx.putHeld(Keys.SEAT + settings.member(), Map.of("i", inc, "b", now), id);
+                tx.putWithLease(Keys.MEMBER_LEASE + settings.member(), Map.of("i", inc, "b", now), id);
                 return true;
             }
 
@@ -533,7 +533,7 @@
             }
             return;
         }
-        Map<String, Object> seat = view.row(Keys.SEAT + settings.member());
+        Map<String, Object> seat = view.row(Keys.MEMBER_LEASE + settings.member());
         if (seat == null || Fields.countOr(seat, "i", 0) != incarnation || now >= goodUntil) {
             LOG.error("seat lost, taking a new one");
             lose();
@@ -553,7 +553,7 @@
         outlive();
         long sent = effects.now();
         nextLease = sent + 1_000;
-        store.lease("POST", Wire.LEASES, Map.of(Wire.TTL, leaseMs), (status, m) -> {
+        store.callLease("POST", Wire.LEASES, Map.of(Wire.TTL, leaseMs), (status, m) -> {
             leaseBusy = false;
             if (status == 200) {
                 lease = Fields.count(m, Wire.LEASE);
@@ -572,7 +572,7 @@
         long sent = effects.now();
         nextLease = sent + 1_000;
         long id = lease;
-        store.lease("POST", Wire.LEASES + "/" + id + Wire.EXTEND, Map.of(), (status, m) -> {
+        store.callLease("POST", Wire.LEASES + "/" + id + Wire.EXTEND, Map.of(), (status, m) -> {
             leaseBusy = false;
             if (id != lease) {
                 return;
@@ -598,23 +598,23 @@
         seatBusy = true;
         long id = lease;
         long inc = incarnation;
-        store.offer(new Change() {
+        store.enqueue(new Change() {
             @Override
             public int rank() {
                 return 0;
             }
 
             @Override
-            public int cost() {
+            public int maxWrites() {
                 return 1;
             }
 
             @Override
-            public boolean build(Tx tx) {
+            public boolean build(Transaction tx) {
                 if (lease != id || incarnation != inc) {
                     return false;
                 }
-                tx.putHeld(Keys.SEAT + settings.member(), Map.of("i", inc), id);
+                tx.putWithLease(Keys.MEMBER_LEASE + settings.member(), Map.of("i", inc), id);
                 return true;
             }
 
@@ -691,7 +691,7 @@
     }
 
     private boolean sits(String member, String inc) {
-        Map<String, Object> seat = view.row(Keys.SEAT + member);
+        Map<String, Object> seat = view.row(Keys.MEMBER_LEASE + member);
         return seat != null && String.valueOf(seat.get("i")).equals(inc);
     }
 
@@ -772,20 +772,20 @@
         taking = true;
         long[] versions =
                 shards.stream().mapToLong(s -> view.version(shardKey(s))).toArray();
-        store.offer(new ShardChange(0) {
+        store.enqueue(new ShardChange(0) {
             private boolean unclear;
 
             @Override
-            public void unclear() {
+            public void outcomeUnknown() {
                 unclear = true;
             }
 
             @Override
-            boolean write(Tx tx) {
+            boolean write(Transaction tx) {
                 if (!seated) {
                     return false;
                 }
-                tx.require(Keys.SEAT + settings.member());
+                tx.requireUnchanged(Keys.MEMBER_LEASE + settings.member());
                 long term = lastTerm();
                 int n = 0;
                 for (int i = 0; i < versions.length && n + 2 <= settings.txnOps(); i++) {
@@ -823,7 +823,7 @@
             }
 
             @Override
-            public int cost() {
+            public int maxWrites() {
                 return Math.min(settings.txnOps(), shards.size() + 1);
             }
 
@@ -859,7 +859,7 @@
                 continue;
             }
             int p = preferred(s, false);
-            Map<String, Object> seat = p <= 0 ? null : view.row(Keys.SEAT + memberName(p));
+            Map<String, Object> seat = p <= 0 ? null : view.row(Keys.MEMBER_LEASE + memberName(p));
             // Whom its workers could not reach looks as well as ever from here, unless it was restarted. Given back
             // after six seconds, the shard went round for as
             // long as such a cut lasted, and its workers' leases ended.
@@ -895,27 +895,27 @@
         giving[shard] = true;
         LOG.info("handing shard {} to {}", shard, to);
         long until = effects.now() + GIVE_MS;
-        store.offer(new ShardChange(1) {
+        store.enqueue(new ShardChange(1) {
             private boolean unclear;
 
             /** Not written in time, we go on answering; but not if it may yet be applied. */
             @Override
-            public long expires() {
+            public long expiresAtMs() {
                 return unclear ? Long.MAX_VALUE : until;
             }
 
             @Override
-            public void unclear() {
+            public void outcomeUnknown() {
                 unclear = true;
             }
 
             @Override
-            boolean write(Tx tx) {
+            boolean write(Transaction tx) {
                 Map<String, Object> old = view.row(shardKey(shard));
                 if (!named(shard, settings.member(), incarnation) || !sits(to, String.valueOf(inc))) {
                     return false;
                 }
-                tx.require(Keys.SEAT + to);
+                tx.requireUnchanged(Keys.MEMBER_LEASE + to);
                 long term = lastTerm() + 1;
                 tx.put(shardKey(shard), row(to, inc, term, term, priors(old)));
                 tx.put(Keys.TERM, Map.of("t", term));
@@ -923,7 +923,7 @@
             }
 
             @Override
-            public int cost() {
+            public int maxWrites() {
                 return 2;
             }
 
@@ -957,7 +957,7 @@
             this.rank = rank;
         }
 
-        abstract boolean write(Tx tx);
+        abstract boolean write(Transaction tx);
 
         abstract void over(boolean ok);
 
@@ -967,7 +967,7 @@
         }
 
         @Override
-        public boolean build(Tx tx) {
+        public boolean build(Transaction tx) {
             return !tx.writes(Keys.TERM) && write(tx);
         }
 
--- a/src/main/java/birchusher/membership/Staleness.java
+++ b/src/main/java/birchusher/membership/Staleness.java
@@ -1,12 +1,12 @@
 package birchusher.membership;
 
 import birchusher.core.Effects;
-import birchusher.mesh.PeerRecord.Cancelled;
+import birchusher.mesh.PeerRecord.Cancellation;
 import birchusher.mesh.PeerRecord.RevisionQuery;
 import birchusher.mesh.PeerRecord.RevisionReply;
 import birchusher.settings.Settings;
-import birchusher.store.StoreLink;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
 import java.util.Arrays;
 import java.util.List;
 
@@ -25,13 +25,13 @@
     private static final long ASK_FROM_MS = 1_000;
 
     private final Effects effects;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final long boundMs;
     /** Per member: what it knew at this moment, by our clock, is known here. */
     private final long[] toldAt;
 
-    Staleness(Effects effects, Settings s, View view, StoreLink store) {
+    Staleness(Effects effects, Settings s, StoreView view, StoreClient store) {
         this.effects = effects;
         this.view = view;
         this.store = store;
@@ -45,7 +45,7 @@
     /** Every change that a user was told of before this moment is known here. */
     long informedUpTo() {
         long told = Arrays.stream(toldAt).min().getAsLong();
-        return Math.max(store.provenAt(), Math.min(told, effects.now()));
+        return Math.max(store.upToDateAsOfMs(), Math.min(told, effects.now()));
     }
 
     /** How long ago, in ms, the last moment lies up to which we are informed. */
@@ -59,8 +59,8 @@
 
     /** What to ask the other members now; null while the state service proves our view. */
     public RevisionQuery ask() {
-        return store.loaded() && effects.now() - store.provenAt() > ASK_FROM_MS
-                ? new RevisionQuery(effects.now(), view.applied())
+        return store.loaded() && effects.now() - store.upToDateAsOfMs() > ASK_FROM_MS
+                ? new RevisionQuery(effects.now(), view.appliedRevision())
                 : null;
     }
 
@@ -68,15 +68,15 @@
     public RevisionReply reply(RevisionQuery q, long itsIncarnation) {
         if (!store.loaded()) {
             // In the middle of a reading, what an earlier life of ours told users may not be known here yet.
-            return new RevisionReply(q.sentAt(), itsIncarnation, false, -1, -1, List.of());
+            return new RevisionReply(q.sentAtMs(), itsIncarnation, false, -1, -1, List.of());
         }
-        List<Cancelled> news = view.cancellations().since(q.applied(), MOST_NEWS);
+        List<Cancellation> news = view.cancellations().since(q.appliedRevision(), MOST_NEWS);
         return new RevisionReply(
-                q.sentAt(),
+                q.sentAtMs(),
                 itsIncarnation,
                 store.healthy(),
-                view.known(),
-                news == null ? -1 : q.applied(),
+                view.knownRevision(),
+                news == null ? -1 : q.appliedRevision(),
                 news == null ? List.of() : news);
     }
 
@@ -85,11 +85,15 @@
      * served, and leaves nothing that it knows unknown here.
      */
     public void replied(int member, RevisionReply r, long ourIncarnation) {
-        boolean kept = view.hear(r.cancelled());
-        boolean covered = r.known() >= 0
-                && (r.known() <= view.applied() || r.since() >= 0 && r.since() <= view.applied() && kept);
-        if (covered && !r.served() && r.incarnation() == ourIncarnation && r.sentAt() <= effects.now()) {
-            toldAt[member] = Math.max(toldAt[member], r.sentAt());
+        boolean kept = view.addReportedCancellations(r.cancellations());
+        boolean covered = r.knownRevision() >= 0
+                && (r.knownRevision() <= view.appliedRevision()
+                        || r.sinceRevision() >= 0 && r.sinceRevision() <= view.appliedRevision() && kept);
+        if (covered
+                && !r.storeHealthy()
+                && r.querierIncarnation() == ourIncarnation
+                && r.querySentAtMs() <= effects.now()) {
+            toldAt[member] = Math.max(toldAt[member], r.querySentAtMs());
         }
     }
 }
--- a/src/main/java/birchusher/mesh/PeerCodec.java
+++ b/src/main/java/birchusher/mesh/PeerCodec.java
@@ -1,21 +1,21 @@
 package birchusher.mesh;
 
 import birchusher.core.Fields.Bad;
-import birchusher.mesh.PeerRecord.CalledOff;
-import birchusher.mesh.PeerRecord.Cancelled;
-import birchusher.mesh.PeerRecord.Ended;
+import birchusher.mesh.PeerRecord.AttemptOutcome;
+import birchusher.mesh.PeerRecord.AttemptOutcomes;
+import birchusher.mesh.PeerRecord.Cancellation;
+import birchusher.mesh.PeerRecord.DroppedTasks;
 import birchusher.mesh.PeerRecord.Heartbeat;
-import birchusher.mesh.PeerRecord.Item;
 import birchusher.mesh.PeerRecord.Machine;
 import birchusher.mesh.PeerRecord.Offer;
-import birchusher.mesh.PeerRecord.Outcomes;
-import birchusher.mesh.PeerRecord.Restoring;
-import birchusher.mesh.PeerRecord.Retire;
-import birchusher.mesh.PeerRecord.Retired;
+import birchusher.mesh.PeerRecord.OfferReply;
+import birchusher.mesh.PeerRecord.OfferedTask;
+import birchusher.mesh.PeerRecord.ReturnReply;
+import birchusher.mesh.PeerRecord.ReturnRequest;
 import birchusher.mesh.PeerRecord.RevisionQuery;
 import birchusher.mesh.PeerRecord.RevisionReply;
-import birchusher.mesh.PeerRecord.Stop;
-import birchusher.mesh.PeerRecord.Verdict;
+import birchusher.mesh.PeerRecord.StopRequest;
+import birchusher.mesh.PeerRecord.WithdrawnOffer;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -28,15 +28,15 @@
 public final class PeerCodec {
     public static final int VERSION = 3;
     /** The version before, without the sender's incarnation. Still read, so that controllers can be replaced one by one. */
-    private static final int BEFORE = 2;
+    private static final int PREVIOUS_VERSION = 2;
 
-    public static final int MAX_BYTES = 512 * 1024;
-    private static final int MAX_LIST = 20_000;
-    private static final int WHOLE = 1;
-    private static final int MAKES_ROOM = 2;
+    public static final int MAX_RECORD_BYTES = 512 * 1024;
+    private static final int MAX_LIST_LENGTH = 20_000;
+    private static final int FLAG_ALL_OR_NOTHING = 1;
+    private static final int FLAG_WITH_PREEMPTION = 2;
 
     /** A record with the member that sent it and which life of it; 0: not told. */
-    public record From(String member, long incarnation, PeerRecord record) {}
+    public record Envelope(String member, long incarnation, PeerRecord record) {}
 
     private interface Writer<T> {
         void write(DataOutputStream out, T value) throws IOException;
@@ -57,68 +57,69 @@
             if (r instanceof Heartbeat h) {
                 out.writeByte(1);
                 out.writeLong(h.incarnation());
-                out.writeBoolean(h.storeOk());
-                list(out, h.terms(), DataOutputStream::writeLong);
-                list(out, h.owned(), DataOutputStream::writeLong);
+                out.writeBoolean(h.storeHealthy());
+                list(out, h.seenTerms(), DataOutputStream::writeLong);
+                list(out, h.ownedTerms(), DataOutputStream::writeLong);
                 list(out, h.machines(), PeerCodec::machine);
-                list(out, h.left(), DataOutputStream::writeUTF);
-                list(out, h.gone(), DataOutputStream::writeUTF);
+                list(out, h.withdrawnMachines(), DataOutputStream::writeUTF);
+                list(out, h.deletedMachines(), DataOutputStream::writeUTF);
             } else if (r instanceof Offer o) {
                 out.writeByte(2);
                 out.writeLong(o.id());
                 // One byte, as a plain "whole" was: a controller of the version before reads both as that and refuses
                 // what has no room.
-                out.writeByte((o.whole() ? WHOLE : 0) | (o.makesRoom() ? MAKES_ROOM : 0));
-                list(out, o.items(), PeerCodec::item);
-            } else if (r instanceof Verdict v) {
+                out.writeByte(
+                        (o.allOrNothing() ? FLAG_ALL_OR_NOTHING : 0) | (o.withPreemption() ? FLAG_WITH_PREEMPTION : 0));
+                list(out, o.tasks(), PeerCodec::offeredTask);
+            } else if (r instanceof OfferReply v) {
                 out.writeByte(3);
                 out.writeLong(v.id());
                 list(out, v.refusals(), DataOutputStream::writeUTF);
                 list(out, v.terms(), DataOutputStream::writeLong);
-            } else if (r instanceof Stop s) {
+            } else if (r instanceof StopRequest s) {
                 out.writeByte(4);
                 out.writeUTF(s.job());
                 out.writeInt(s.task());
                 out.writeLong(s.attempt());
                 out.writeDouble(s.graceS());
                 out.writeUTF(s.reason());
-            } else if (r instanceof Retire x) {
+            } else if (r instanceof ReturnRequest x) {
                 out.writeByte(5);
                 out.writeUTF(x.machine());
                 out.writeBoolean(x.withTasks());
-            } else if (r instanceof Retired x) {
+            } else if (r instanceof ReturnReply x) {
                 out.writeByte(6);
                 out.writeUTF(x.machine());
                 out.writeBoolean(x.agreed());
-            } else if (r instanceof Outcomes o) {
+            } else if (r instanceof AttemptOutcomes o) {
                 out.writeByte(7);
-                list(out, o.items(), (d, e) -> {
+                list(out, o.outcomes(), (d, e) -> {
                     d.writeUTF(e.job());
                     d.writeInt(e.task());
                     d.writeLong(e.attempt());
                     d.writeUTF(e.machine());
                     d.writeInt(e.shard());
                     d.writeLong(e.term());
-                    d.writeByte(e.kind());
+                    d.writeByte(e.kindOrdinal());
                 });
-            } else if (r instanceof CalledOff x) {
+            } else if (r instanceof WithdrawnOffer x) {
                 out.writeByte(8);
-                list(out, x.items(), PeerCodec::item);
-            } else if (r instanceof Restoring x) {
+                list(out, x.tasks(), PeerCodec::offeredTask);
+            } else if (r instanceof DroppedTasks x) {
                 out.writeByte(9);
-                out.writeInt(x.tasks());
+                out.writeInt(x.count());
             } else if (r instanceof RevisionQuery q) {
                 out.writeByte(10);
-                out.writeLong(q.sentAt());
-                out.writeLong(q.applied());
+                out.writeLong(q.sentAtMs());
+                out.writeLong(q.appliedRevision());
             } else if (r instanceof RevisionReply a) {
                 out.writeByte(11);
-                out.writeLong(a.sentAt());
-                out.writeLong(a.incarnation());
-                out.writeBoolean(a.served());
-                out.writeLong(a.known());
-                out.writeLong(a.since());
-                list(out, a.cancelled(), (d, c) -> {
+                out.writeLong(a.querySentAtMs());
+                out.writeLong(a.querierIncarnation());
+                out.writeBoolean(a.storeHealthy());
+                out.writeLong(a.knownRevision());
+                out.writeLong(a.sinceRevision());
+                list(out, a.cancellations(), (d, c) -> {
                     d.writeUTF(c.job());
                     d.writeLong(c.revision());
                 });
@@ -129,14 +130,14 @@
         return bytes.toByteArray();
     }
 
-    public static From decode(byte[] record) {
+    public static Envelope decode(byte[] record) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(record))) {
             int version = in.readByte();
-            if (version != VERSION && version != BEFORE) {
+            if (version != VERSION && version != PREVIOUS_VERSION) {
                 throw new Bad("peer record of version " + version);
             }
             String member = in.readUTF();
-            long incarnation = version == BEFORE ? 0 : in.readLong();
+            long incarnation = version == PREVIOUS_VERSION ? 0 : in.readLong();
             PeerRecord r =
                     switch (in.readByte()) {
                         case 1 -> new Heartbeat(
@@ -148,13 +149,15 @@
                                 list(in, d -> d.readUTF()),
                                 list(in, d -> d.readUTF()));
                         case 2 -> offer(in);
-                        case 3 -> new Verdict(in.readLong(), list(in, d -> d.readUTF()), list(in, d -> d.readLong()));
-                        case 4 -> new Stop(in.readUTF(), in.readInt(), in.readLong(), in.readDouble(), in.readUTF());
-                        case 5 -> new Retire(in.readUTF(), in.readBoolean());
-                        case 6 -> new Retired(in.readUTF(), in.readBoolean());
-                        case 7 -> new Outcomes(list(
+                        case 3 -> new OfferReply(
+                                in.readLong(), list(in, d -> d.readUTF()), list(in, d -> d.readLong()));
+                        case 4 -> new StopRequest(
+                                in.readUTF(), in.readInt(), in.readLong(), in.readDouble(), in.readUTF());
+                        case 5 -> new ReturnRequest(in.readUTF(), in.readBoolean());
+                        case 6 -> new ReturnReply(in.readUTF(), in.readBoolean());
+                        case 7 -> new AttemptOutcomes(list(
                                 in,
-                                d -> new Ended(
+                                d -> new AttemptOutcome(
                                         d.readUTF(),
                                         d.readInt(),
                                         d.readLong(),
@@ -162,8 +165,8 @@
                                         d.readInt(),
                                         d.readLong(),
                                         d.readByte())));
-                        case 8 -> new CalledOff(list(in, PeerCodec::item));
-                        case 9 -> new Restoring(Math.max(0, in.readInt()));
+                        case 8 -> new WithdrawnOffer(list(in, PeerCodec::offeredTask));
+                        case 9 -> new DroppedTasks(Math.max(0, in.readInt()));
                         case 10 -> new RevisionQuery(in.readLong(), in.readLong());
                         case 11 -> new RevisionReply(
                                 in.readLong(),
@@ -171,13 +174,13 @@
                                 in.readBoolean(),
                                 in.readLong(),
                                 in.readLong(),
-                                list(in, d -> new Cancelled(d.readUTF(), d.readLong())));
+                                list(in, d -> new Cancellation(d.readUTF(), d.readLong())));
                         default -> throw new Bad("peer record of unknown kind");
                     };
             if (in.available() > 0) {
                 throw new Bad("peer record with bytes after its end");
             }
-            return new From(member, incarnation, r);
+            return new Envelope(member, incarnation, r);
         } catch (IOException e) {
             throw new Bad("peer record cut off");
         }
@@ -186,18 +189,22 @@
     private static Offer offer(DataInputStream in) throws IOException {
         long id = in.readLong();
         int flags = in.readByte();
-        return new Offer(id, (flags & WHOLE) != 0, (flags & MAKES_ROOM) != 0, list(in, PeerCodec::item));
+        return new Offer(
+                id,
+                (flags & FLAG_ALL_OR_NOTHING) != 0,
+                (flags & FLAG_WITH_PREEMPTION) != 0,
+                list(in, PeerCodec::offeredTask));
     }
 
-    private static void item(DataOutputStream out, Item i) throws IOException {
+    private static void offeredTask(DataOutputStream out, OfferedTask i) throws IOException {
         out.writeUTF(i.job());
         out.writeInt(i.task());
         out.writeUTF(i.machine());
         out.writeLong(i.session());
     }
 
-    private static Item item(DataInputStream in) throws IOException {
-        return new Item(in.readUTF(), in.readInt(), in.readUTF(), in.readLong());
+    private static OfferedTask offeredTask(DataInputStream in) throws IOException {
+        return new OfferedTask(in.readUTF(), in.readInt(), in.readUTF(), in.readLong());
     }
 
     private static void machine(DataOutputStream out, Machine m) throws IOException {
@@ -211,13 +218,13 @@
         out.writeInt(m.silentMs());
         out.writeInt(m.idleMs());
         out.writeDouble(m.speed());
-        out.writeDouble(m.strayCpus());
-        out.writeDouble(m.strayGpus());
-        out.writeDouble(m.strayMem());
-        list(out, m.fetching(), DataOutputStream::writeUTF);
-        list(out, m.fetchMs(), DataOutputStream::writeInt);
+        out.writeDouble(m.unclaimedCpus());
+        out.writeDouble(m.unclaimedGpus());
+        out.writeDouble(m.unclaimedMemoryGb());
+        list(out, m.fetchingImages(), DataOutputStream::writeUTF);
+        list(out, m.fetchRemainingMs(), DataOutputStream::writeInt);
         list(out, m.images(), DataOutputStream::writeUTF);
-        list(out, m.reserved(), DataOutputStream::writeUTF);
+        list(out, m.reservedTasks(), DataOutputStream::writeUTF);
     }
 
     private static Machine machine(DataInputStream in) throws IOException {
@@ -250,7 +257,7 @@
 
     private static <T> List<T> list(DataInputStream in, Reader<T> r) throws IOException {
         int n = in.readInt();
-        if (n < 0 || n > MAX_LIST || n > in.available()) {
+        if (n < 0 || n > MAX_LIST_LENGTH || n > in.available()) {
             throw new Bad("peer record with a list of " + n);
         }
         List<T> l = new ArrayList<>(n);
--- a/src/main/java/birchusher/mesh/PeerRecord.java
+++ b/src/main/java/birchusher/mesh/PeerRecord.java
@@ -16,21 +16,21 @@
             int silentMs,
             int idleMs,
             double speed,
-            double strayCpus,
-            double strayGpus,
-            double strayMem,
-            List<String> fetching,
-            List<Integer> fetchMs,
+            double unclaimedCpus,
+            double unclaimedGpus,
+            double unclaimedMemoryGb,
+            List<String> fetchingImages,
+            List<Integer> fetchRemainingMs,
             List<String> images,
-            List<String> reserved) {
+            List<String> reservedTasks) {
         public static final int USABLE = 1;
-        public static final int CONDEMNED = 2;
+        public static final int FAULTY = 2;
         public static final int LEAVING = 4;
         /** A controller of the version before ignores it, and does not set it. */
         public static final int ARRIVING = 8;
 
         /** Whether another record of the machine would tell a listener nothing new; times that just pass are not news. */
-        public boolean like(Machine o) {
+        public boolean sameStatus(Machine o) {
             return type.equals(o.type)
                     && zone.equals(o.zone)
                     && spot == o.spot
@@ -40,12 +40,12 @@
                     && silentMs == o.silentMs
                     && idleMs < 0 == o.idleMs < 0
                     && speed == o.speed
-                    && strayCpus == o.strayCpus
-                    && strayGpus == o.strayGpus
-                    && strayMem == o.strayMem
-                    && fetching.equals(o.fetching)
+                    && unclaimedCpus == o.unclaimedCpus
+                    && unclaimedGpus == o.unclaimedGpus
+                    && unclaimedMemoryGb == o.unclaimedMemoryGb
+                    && fetchingImages.equals(o.fetchingImages)
                     && images.equals(o.images)
-                    && reserved.equals(o.reserved);
+                    && reservedTasks.equals(o.reservedTasks);
         }
     }
 
@@ -56,58 +56,59 @@
      */
     record Heartbeat(
             long incarnation,
-            boolean storeOk,
-            List<Long> terms,
-            List<Long> owned,
+            boolean storeHealthy,
+            List<Long> seenTerms,
+            List<Long> ownedTerms,
             List<Machine> machines,
-            List<String> left,
-            List<String> gone)
+            List<String> withdrawnMachines,
+            List<String> deletedMachines)
             implements PeerRecord {}
 
     /** One task offered on one machine, in the worker's session that the offering controller saw. */
-    record Item(String job, int task, String machine, long session) {}
+    record OfferedTask(String job, int task, String machine, long session) {}
 
     /**
      * {@code whole}: all of it or nothing. {@code makesRoom}: room counts that work of lower priority leaves once the claim
      * stands; only ever with {@code whole}.
      */
-    record Offer(long id, boolean whole, boolean makesRoom, List<Item> items) implements PeerRecord {}
+    record Offer(long id, boolean allOrNothing, boolean withPreemption, List<OfferedTask> tasks)
+            implements PeerRecord {}
 
     /** Accepted offers that come to nothing. */
-    record CalledOff(List<Item> items) implements PeerRecord {}
+    record WithdrawnOffer(List<OfferedTask> tasks) implements PeerRecord {}
 
     /** Per item "" for yes, else the reason; with the term under which the owner holds each shard. */
-    record Verdict(long id, List<String> refusals, List<Long> terms) implements PeerRecord {}
+    record OfferReply(long id, List<String> refusals, List<Long> terms) implements PeerRecord {}
 
     /** Task -1: every task of the attempt. */
-    record Stop(String job, int task, long attempt, double graceS, String reason) implements PeerRecord {}
+    record StopRequest(String job, int task, long attempt, double graceS, String reason) implements PeerRecord {}
 
     /** {@code withTasks}: even if replicas run there, which then move elsewhere. */
-    record Retire(String machine, boolean withTasks) implements PeerRecord {}
+    record ReturnRequest(String machine, boolean withTasks) implements PeerRecord {}
 
     /** The owner's answer to {@link Retire}. */
-    record Retired(String machine, boolean agreed) implements PeerRecord {}
+    record ReturnReply(String machine, boolean agreed) implements PeerRecord {}
 
     /** The end of an attempt, proven under the sender's term; the kind as its ordinal. */
-    record Ended(String job, int task, long attempt, String machine, int shard, long term, int kind) {}
+    record AttemptOutcome(String job, int task, long attempt, String machine, int shard, long term, int kindOrdinal) {}
 
     /** Ends of attempts that the owner of their machines has proved, for the controller that writes them. */
-    record Outcomes(List<Ended> items) implements PeerRecord {}
+    record AttemptOutcomes(List<AttemptOutcome> outcomes) implements PeerRecord {}
 
     /**
      * How many tasks that the sender drives were dropped by their workers lately and have no place yet. Sent with the heartbeats while
      * there are any, and once more as 0; a controller of the version before refuses it, and goes on as it did.
      */
-    record Restoring(int tasks) implements PeerRecord {}
+    record DroppedTasks(int count) implements PeerRecord {}
 
     /** A cancellation and the revision that made it. */
-    record Cancelled(String job, long revision) {}
+    record Cancellation(String job, long revision) {}
 
     /**
      * Asked of every member by one that the state service does not answer: does it know of anything after revision {@code applied}?
      * {@code sentAt} is the asker's steady time. A controller of the version before refuses it, which is no word.
      */
-    record RevisionQuery(long sentAt, long applied) implements PeerRecord {}
+    record RevisionQuery(long sentAtMs, long appliedRevision) implements PeerRecord {}
 
     /**
      * The answer, with what was asked echoed: {@code sentAt}, and the asker's {@code incarnation}. {@code served}: by the state service,
@@ -115,6 +116,11 @@
      * after revision {@code since}; -1: that can't be told.
      */
     record RevisionReply(
-            long sentAt, long incarnation, boolean served, long known, long since, List<Cancelled> cancelled)
+            long querySentAtMs,
+            long querierIncarnation,
+            boolean storeHealthy,
+            long knownRevision,
+            long sinceRevision,
+            List<Cancellation> cancellations)
             implements PeerRecord {}
 }
--- a/src/main/java/birchusher/placement/Driver.java
+++ b/src/main/java/birchusher/placement/Driver.java
@@ -14,9 +14,9 @@
 import birchusher.store.Claim;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.StoreLink;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import birchusher.workers.Counters;
 import birchusher.workers.MachineStatus;
 import birchusher.workers.WorkerRegistry;
@@ -87,8 +87,8 @@
     private final Effects effects;
     private final Settings settings;
     private final Catalog catalog;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final Membership membership;
     private final WorkerRegistry workerRegistry;
     private final Planner planner;
@@ -133,8 +133,8 @@
             Effects effects,
             Settings s,
             Catalog catalog,
-            View view,
-            StoreLink store,
+            StoreView view,
+            StoreClient store,
             Membership membership,
             WorkerRegistry workerRegistry,
             Planner planner,
@@ -183,7 +183,7 @@
         return store.loaded()
                 && catalog.typesKnown()
                 && now >= nextPlan
-                && (plannedChanges != view.changes() || now - plannedAt >= 1_000);
+                && (plannedChanges != view.changeCount() || now - plannedAt >= 1_000);
     }
 
     /** {@code coming}: room that is not there yet; looked for only when something waits. */
@@ -191,7 +191,7 @@
         statuses = pictures;
         long now = effects.now();
         plannedAt = now;
-        plannedChanges = view.changes();
+        plannedChanges = view.changeCount();
         forget(now);
         if (!planner.anyWaiting()) {
             last = new Planner.Plan(List.of(), List.of(), planner.guaranteed(), 0, 0, List.of());
@@ -278,7 +278,7 @@
         public boolean doubted(Job j) {
             return j.spec.shape() == Shape.ARRAY
                     && j.doneCount() == 0
-                    && j.errors() >= Math.min(DOUBT, Math.max(2, j.spec.tasks()));
+                    && j.consecutiveErrors() >= Math.min(DOUBT, Math.max(2, j.spec.tasks()));
         }
 
         @Override
@@ -290,7 +290,7 @@
 
     /** For how long this controller has seen a claim stand, in ms. */
     public long runningFor(Claim c) {
-        return c.seenAt() < 0 ? 0 : effects.now() - c.seenAt();
+        return c.seenAtMs() < 0 ? 0 : effects.now() - c.seenAtMs();
     }
 
     /** Expected end of a claim by what this controller has seen of it, in steady ms. */
@@ -306,7 +306,7 @@
 
     /** A job whose tasks keep failing waits longer and longer, so that it does not wear out machines. */
     private boolean paused(Job j) {
-        long errors = j.errors();
+        long errors = j.consecutiveErrors();
         if (errors < 2) {
             errorSeen.remove(j.spec.id());
             return false;
@@ -339,14 +339,14 @@
             if (!p.usable() || t == null) {
                 continue;
             }
-            double[] used = view.useOf(p.machine());
+            double[] used = view.capacityUsedOn(p.machine());
             double[] f = {
                 t.cpus() - p.strayUse()[0] - used[0],
                 t.gpus() - p.strayUse()[1] - used[1],
                 t.mem() - p.strayUse()[2] - used[2]
             };
             for (Planner.Choice c : underway.getOrDefault(p.machine(), List.of())) {
-                Claim stands = c.job().placed(c.task()) ? c.job().claim(c.task()) : null;
+                Claim stands = c.job().isPlaced(c.task()) ? c.job().claim(c.task()) : null;
                 if (stands == null || !stands.machine().equals(p.machine())) {
                     minus(f, c.job().spec);
                 }
@@ -366,7 +366,7 @@
     /** Whether a reservation is already counted: as a claim that stands, or as an offer of our own. */
     private boolean asked(Job j, String task, String machine, Map<String, List<Planner.Choice>> underway) {
         int n = Integer.parseInt(task);
-        if (n >= j.spec.tasks() || j.placed(n)) {
+        if (n >= j.spec.tasks() || j.isPlaced(n)) {
             return true;
         }
         for (Planner.Choice c : underway.getOrDefault(machine, List.of())) {
@@ -410,7 +410,7 @@
         // many were offered,
         // and most of them only kept room from the others until they were given up. On other days the limit made arrays
         // late.
-        int rows = Math.max(MIN_OUT, store.rowsWithin(offerMs));
+        int rows = Math.max(MIN_OUT, store.expectedRowsWithin(offerMs));
         int most = returning.getAsInt() > rows ? rows : Integer.MAX_VALUE;
         for (List<Planner.Choice> choices : groups.values()) {
             if (out.size() >= most) {
@@ -481,7 +481,7 @@
         byOwner.forEach((owner, items) -> {
             long id = nextId++;
             asked.put(id, new Asked(g, items));
-            List<PeerRecord.Item> list = new ArrayList<>();
+            List<PeerRecord.OfferedTask> list = new ArrayList<>();
             items.forEach(c -> list.add(item(c)));
             PeerRecord.Offer offer = new PeerRecord.Offer(id, g.job.spec.gang() || g.makesRoom, g.makesRoom, list);
             if (owner == 0) {
@@ -497,34 +497,34 @@
     }
 
     /** As owner: checks an offer against the truth, keeping room for what is accepted. */
-    public PeerRecord.Verdict judge(PeerRecord.Offer offer) {
+    public PeerRecord.OfferReply judge(PeerRecord.Offer offer) {
         List<String> refusals = new ArrayList<>();
         List<Long> terms = new ArrayList<>();
         boolean all = true;
-        for (PeerRecord.Item i : offer.items()) {
+        for (PeerRecord.OfferedTask i : offer.tasks()) {
             Job j = view.job(i.job());
             String no = j == null
                     ? NOT_KNOWN_YET
-                    : workerRegistry.reserve(j.spec, i.task(), i.machine(), i.session(), offer.makesRoom());
+                    : workerRegistry.reserve(j.spec, i.task(), i.machine(), i.session(), offer.withPreemption());
             refusals.add(no == null ? "" : no);
             all &= no == null;
             Integer shard = workerRegistry.shardOf(i.machine());
             terms.add(shard == null ? 0 : membership.term(shard));
         }
-        if (offer.whole() && !all) {
-            calledOff(new PeerRecord.CalledOff(offer.items()));
+        if (offer.allOrNothing() && !all) {
+            calledOff(new PeerRecord.WithdrawnOffer(offer.tasks()));
         }
-        return new PeerRecord.Verdict(offer.id(), refusals, terms);
+        return new PeerRecord.OfferReply(offer.id(), refusals, terms);
     }
 
     /** As owner: frees the room kept for offers that come to nothing. */
-    public void calledOff(PeerRecord.CalledOff o) {
-        o.items().forEach(i -> workerRegistry.unreserve(i.machine(), i.job() + "/" + i.task()));
+    public void calledOff(PeerRecord.WithdrawnOffer o) {
+        o.tasks().forEach(i -> workerRegistry.unreserve(i.machine(), i.job() + "/" + i.task()));
     }
 
     /** As driver: tells the owners that what they accepted will not be claimed. */
     private void callOff(List<Planner.Choice> choices) {
-        Map<Integer, List<PeerRecord.Item>> byOwner = new TreeMap<>();
+        Map<Integer, List<PeerRecord.OfferedTask>> byOwner = new TreeMap<>();
         for (Planner.Choice c : choices) {
             int owner = membership.owns(c.slot().shard) ? 0 : membership.liveOwner(c.slot().shard);
             if (owner >= 0) {
@@ -532,7 +532,7 @@
             }
         }
         byOwner.forEach((owner, items) -> {
-            PeerRecord.CalledOff o = new PeerRecord.CalledOff(items);
+            PeerRecord.WithdrawnOffer o = new PeerRecord.WithdrawnOffer(items);
             if (owner == 0) {
                 calledOff(o);
             } else {
@@ -541,11 +541,11 @@
         });
     }
 
-    private static PeerRecord.Item item(Planner.Choice c) {
-        return new PeerRecord.Item(c.job().spec.id(), c.task(), c.slot().machine, c.slot().session);
+    private static PeerRecord.OfferedTask item(Planner.Choice c) {
+        return new PeerRecord.OfferedTask(c.job().spec.id(), c.task(), c.slot().machine, c.slot().session);
     }
 
-    public void verdict(PeerRecord.Verdict v) {
+    public void verdict(PeerRecord.OfferReply v) {
         Asked a = asked.remove(v.id());
         if (a == null
                 || v.refusals().size() != a.items().size()
@@ -621,7 +621,7 @@
             hold(c, effects.now() + 30_000);
         }
         callOff(over);
-        boolean queued = store.offer(new Change() {
+        boolean queued = store.enqueue(new Change() {
             private List<Planner.Choice> made = List.of();
             /** What was sent without an answer: carried out all the same, if the rows show it. */
             private List<Planner.Choice> inDoubt = List.of();
@@ -633,30 +633,30 @@
             }
 
             @Override
-            public int cost() {
+            public int maxWrites() {
                 return rows.size() + 1;
             }
 
             /** Counted, as a guess once let claims on machines of many shards make a transaction that was refused whole. */
             @Override
-            public int conditions(Tx tx) {
-                int n = 2 + rows.size() + Math.min(g.job.gone().size(), membership.shardCount());
+            public int maxConditions(Transaction tx) {
+                int n = 2 + rows.size() + Math.min(g.job.released().size(), membership.shardCount());
                 for (String shard : shards) {
-                    n += tx.lacks(shard) ? 1 : 0;
+                    n += tx.lacksCondition(shard) ? 1 : 0;
                 }
                 return n;
             }
 
             /** Of an array more tasks may find room in a moment; the reservations do not last long, though. */
             @Override
-            public long patienceMs() {
+            public long maxDelayMs() {
                 return s.shape() == Shape.ARRAY ? offerMs / 4 : 0;
             }
 
             @Override
-            public boolean rides(Tx tx) {
+            public boolean addsNoWrites(Transaction tx) {
                 for (Planner.Choice c : list) {
-                    if (!tx.hasChunk(s.id(), c.task() / g.job.chunkSize)) {
+                    if (!tx.editsChunk(s.id(), c.task() / g.job.chunkSize)) {
                         return false;
                     }
                 }
@@ -664,13 +664,13 @@
             }
 
             @Override
-            public long expires() {
+            public long expiresAtMs() {
                 return g.since + offerMs;
             }
 
             @Override
-            public boolean build(Tx tx) {
-                made = effects.now() > expires() ? List.of() : allowed(tx, g, list);
+            public boolean build(Transaction tx) {
+                made = effects.now() > expiresAtMs() ? List.of() : allowed(tx, g, list);
                 if (made.isEmpty()) {
                     return false;
                 }
@@ -685,7 +685,7 @@
             }
 
             @Override
-            public void unclear() {
+            public void outcomeUnknown() {
                 inDoubt = made;
             }
 
@@ -737,7 +737,7 @@
     }
 
     /** Checks everything that the rules need against the records that the transaction conditions on. */
-    private List<Planner.Choice> allowed(Tx tx, Group g, List<Planner.Choice> list) {
+    private List<Planner.Choice> allowed(Transaction tx, Group g, List<Planner.Choice> list) {
         JobSpec s = g.job.spec;
         Job j = view.job(s.id());
         if (j == null
@@ -747,14 +747,14 @@
             return List.of();
         }
         Settings.Team team = catalog.team(s.team());
-        double[] extra = tx.claimed(s.team());
-        double cpus = view.cpusOf(s.team()) + extra[0];
-        double gpus = view.gpusOf(s.team()) + extra[1];
+        double[] extra = tx.claimedByTeam(s.team());
+        double cpus = view.claimedCpus(s.team()) + extra[0];
+        double gpus = view.claimedGpus(s.team()) + extra[1];
         // Another change of this same transaction may already have placed tasks of this job.
         // With a single row, what may be replaced leaves it by the same writing; of several rows, some may stay as they
         // are.
-        Map<Integer, Integer> zones =
-                Planner.zones(j, membership::zoneOf, i -> tx.peek(j, i), x -> j.chunks.size() == 1 && replaceable(x));
+        Map<Integer, Integer> zones = Planner.zones(
+                j, membership::zoneOf, i -> tx.peekChunk(j, i), x -> j.chunks.size() == 1 && replaceable(x));
         List<Planner.Choice> ok = new ArrayList<>();
         for (Planner.Choice c : list) {
             Slot slot = c.slot();
@@ -762,7 +762,7 @@
             int zone = membership.zoneOf(shard);
             cpus += s.cpus();
             gpus += s.gpus();
-            Chunk before = tx.peek(j, c.task() / j.chunkSize);
+            Chunk before = tx.peekChunk(j, c.task() / j.chunkSize);
             Claim recorded = before == null ? null : before.claims.get(c.task());
             boolean fine = !j.isDone(c.task())
                     && (recorded == null || replaceable(recorded))
@@ -788,55 +788,55 @@
 
     /** Whether a claim may be replaced in the transaction that writes its task's next one: the owner's proof must still be good. */
     private boolean replaceable(Claim c) {
-        Job.Gone g = c.job().gone(c.task());
+        Job.ReleasedClaim g = c.job().released(c.task());
         return g != null
                 && g.claim() == c
-                && (g.own() ? membership.owns(c.shard()) : g.term() == membership.term(c.shard()));
+                && (g.ownProof() ? membership.owns(c.shard()) : g.term() == membership.term(c.shard()));
     }
 
     private int replaceable(Job j) {
         int n = 0;
-        for (Job.Gone g : j.gone()) {
+        for (Job.ReleasedClaim g : j.released()) {
             n += replaceable(g.claim()) ? 1 : 0;
         }
         return n;
     }
 
     /** What is proven gone leaves the row with the writing that places something in it: one row for a loss and its restart. */
-    private void clear(Tx tx, Job j, Chunk chunk) {
-        for (Job.Gone g : j.gone()) {
+    private void clear(Transaction tx, Job j, Chunk chunk) {
+        for (Job.ReleasedClaim g : j.released()) {
             Claim c = g.claim();
             if (c.task() / j.chunkSize == chunk.index && replaceable(c) && chunk.claims.get(c.task()) == c) {
-                tx.require(membership.shardKey(c.shard()));
+                tx.requireUnchanged(membership.shardKey(c.shard()));
                 chunk.claims.remove(c.task());
                 chunk.restarts += g.started() ? 1 : 0;
             }
         }
     }
 
-    private void record(Tx tx, JobSpec s, List<Planner.Choice> ok) {
+    private void record(Transaction tx, JobSpec s, List<Planner.Choice> ok) {
         Job j = view.job(s.id());
-        tx.require(Keys.JOB + s.id());
-        long attempt = j.attempts();
+        tx.requireUnchanged(Keys.JOB + s.id());
+        long attempt = j.lastAttempt();
         for (Planner.Choice c : ok) {
-            Chunk chunk = tx.chunk(j, c.task() / j.chunkSize);
+            Chunk chunk = tx.editChunk(j, c.task() / j.chunkSize);
             clear(tx, j, chunk);
-            attempt = Math.max(attempt, chunk.attempts);
+            attempt = Math.max(attempt, chunk.lastAttempt);
         }
         attempt++;
         if (zonedInRows(j)) {
             // All claims of it write its first row, so that none can be made, or come late, beside another whose zone
             // it does not know of.
-            tx.chunk(j, 0);
+            tx.editChunk(j, 0);
         }
         for (Planner.Choice c : ok) {
             Slot slot = c.slot();
-            tx.require(membership.shardKey(slot.shard));
-            Chunk chunk = tx.chunk(j, c.task() / j.chunkSize);
-            chunk.attempts = attempt;
+            tx.requireUnchanged(membership.shardKey(slot.shard));
+            Chunk chunk = tx.editChunk(j, c.task() / j.chunkSize);
+            chunk.lastAttempt = attempt;
             chunk.claims.put(c.task(), new Claim(j, c.task(), attempt, slot.machine, slot.session, slot.shard));
         }
-        double[] extra = tx.claimed(s.team());
+        double[] extra = tx.claimedByTeam(s.team());
         extra[0] += ok.size() * s.cpus();
         extra[1] += ok.size() * s.gpus();
     }
@@ -868,7 +868,7 @@
             } else if (c.delayMs() > preemptDelay && (guaranteed || s.priority() == Priority.PRODUCTION || gathers)) {
                 // A gang's room is "soon" there again and again, and somebody else's then: what it has waited counts as
                 // well.
-                double waited = gathers ? Math.max(0, effects.wall() - c.job().acceptedAt) : 0;
+                double waited = gathers ? Math.max(0, effects.wall() - c.job().acceptedAtMs) : 0;
                 slow.put(s.id(), new Wish(c.job(), guaranteed, (c.delayMs() + waited) / 1000));
             }
         }
@@ -942,7 +942,7 @@
         }
         IntPredicate taken = marks.held(j.spec.id());
         for (int task = 0; task < j.spec.tasks(); task++) {
-            if (!j.isDone(task) && !j.placed(task) && (taken == null || !taken.test(task))) {
+            if (!j.isDone(task) && !j.isPlaced(task) && (taken == null || !taken.test(task))) {
                 Planner.Choice c = preemption.single(
                         j, task, u.guaranteed(), u.delayS(), plan, slots, planner.zones(j, underway()), refused);
                 return c == null ? null : List.of(c);
@@ -960,7 +960,7 @@
                     if (owner == 0) {
                         workerRegistry.wishStop(c, graceS, reason);
                     } else if (owner > 0 && owners.add(owner)) {
-                        mesh.send(owner, new PeerRecord.Stop(job.spec.id(), -1, c.attempt(), graceS, reason));
+                        mesh.send(owner, new PeerRecord.StopRequest(job.spec.id(), -1, c.attempt(), graceS, reason));
                     }
                 }
             }
@@ -968,7 +968,7 @@
     }
 
     /** As owner: carries out a stop that another controller asks for. */
-    public void stopAsked(PeerRecord.Stop s) {
+    public void stopAsked(PeerRecord.StopRequest s) {
         Job j = view.job(s.job());
         if (j == null) {
             return;
--- a/src/main/java/birchusher/placement/Planner.java
+++ b/src/main/java/birchusher/placement/Planner.java
@@ -11,7 +11,7 @@
 import birchusher.store.Chunk;
 import birchusher.store.Claim;
 import birchusher.store.Job;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -35,7 +35,7 @@
     public record Choice(Job job, int task, Slot slot, double delayMs) {
         /** "Soon" again, though the job has waited for as long as that already: others came for the room that freed. */
         boolean overdue(long wall) {
-            return !slot.real && !slot.booting() && wall - job.acceptedAt > slot.type.soonMs();
+            return !slot.real && !slot.booting() && wall - job.acceptedAtMs > slot.type.soonMs();
         }
     }
 
@@ -118,7 +118,7 @@
     }
 
     private final Catalog catalog;
-    private final View view;
+    private final StoreView view;
     private final Speeds speeds;
     private final Hazards hazards;
     private final Losses losses;
@@ -143,7 +143,7 @@
 
     public Planner(
             Catalog catalog,
-            View view,
+            StoreView view,
             Speeds speeds,
             Hazards hazards,
             Losses losses,
@@ -175,7 +175,7 @@
     public Set<String> guaranteed() {
         double[][] sum = new double[catalog.teams.size()][2];
         List<Job> byAge = new ArrayList<>(view.jobs());
-        byAge.sort((a, b) -> Long.compare(a.age, b.age));
+        byAge.sort((a, b) -> Long.compare(a.acceptedRevision, b.acceptedRevision));
         Set<String> in = new HashSet<>();
         for (Job j : byAge) {
             if (j.state() != Job.State.OPEN) {
@@ -205,12 +205,12 @@
             double s = i < 0 ? j.spec.deadlineS() : list.get(i).withinS;
             if (s > 0) {
                 any = true;
-                long at = j.acceptedAt + Math.round(s * 1000) - (i >= 0 && list.get(i).start ? 0 : run);
+                long at = j.acceptedAtMs + Math.round(s * 1000) - (i >= 0 && list.get(i).start ? 0 : run);
                 next = at >= wall ? Math.min(next, at) : next;
             }
         }
         if (!any || j.spec.service() && next == Long.MAX_VALUE) {
-            return j.acceptedAt + Math.round(DEFAULT_DUE_S * 1000);
+            return j.acceptedAtMs + Math.round(DEFAULT_DUE_S * 1000);
         }
         return next == Long.MAX_VALUE ? -1 : next;
     }
@@ -249,14 +249,14 @@
 
     /** When a job is due at the latest whatever its size: by the last aim for its class's starts, or the operators' property. */
     private long latest(Job j) {
-        if (j.begun()) {
+        if (j.hasStarted()) {
             return Long.MAX_VALUE;
         }
         double s = 0;
         for (Aim a : aims.getOrDefault(j.spec.cls(), List.of())) {
             s = a.start ? Math.max(s, a.withinS) : s;
         }
-        return j.acceptedAt + Math.round(1000 * (s > 0 ? Math.min(s, beginByS) : beginByS));
+        return j.acceptedAtMs + Math.round(1000 * (s > 0 ? Math.min(s, beginByS) : beginByS));
     }
 
     /** For how long all machines together would be busy with what is left of a job, in ms. */
@@ -315,7 +315,9 @@
         if (a.startBy < 0 != b.startBy < 0) {
             return a.startBy < 0 ? 1 : -1;
         }
-        return a.startBy != b.startBy ? Long.compare(a.startBy, b.startBy) : Long.compare(a.job.age, b.job.age);
+        return a.startBy != b.startBy
+                ? Long.compare(a.startBy, b.startBy)
+                : Long.compare(a.job.acceptedRevision, b.job.acceptedRevision);
     }
 
     /**
@@ -332,8 +334,8 @@
         double[][] use = new double[catalog.teams.size()][2];
         long limited = 0;
         for (int t = 0; t < use.length; t++) {
-            use[t][0] = view.cpusOf(t);
-            use[t][1] = view.gpusOf(t);
+            use[t][0] = view.claimedCpus(t);
+            use[t][1] = view.claimedGpus(t);
         }
         List<Ranked> order = order(all, guaranteed, wall);
         Slot[] slots = withRoom(all, order);
@@ -397,7 +399,7 @@
             int chosen = 0;
             boolean doubted = marks.doubted(j);
             for (int task = 0; task < s.tasks(); task++) {
-                if (j.isDone(task) || j.placed(task)) {
+                if (j.isDone(task) || j.isPlaced(task)) {
                     continue;
                 }
                 if (held != null && held.test(task) || isBack.contains(task) || restores.awaited(s.id(), task)) {
@@ -664,9 +666,9 @@
 
     /** Zones of a job's recorded tasks, and of those on their way into a record. */
     public Map<Integer, Integer> zones(Job j, Iterable<Choice> underway) {
-        Map<Integer, Integer> n = zones(j, zoneOfShard, j.chunks::get, x -> !j.placed(x.task()));
+        Map<Integer, Integer> n = zones(j, zoneOfShard, j.chunks::get, x -> !j.isPlaced(x.task()));
         for (Choice c : underway) {
-            if (c.job().spec.id().equals(j.spec.id()) && !j.placed(c.task())) {
+            if (c.job().spec.id().equals(j.spec.id()) && !j.isPlaced(c.task())) {
                 n.merge(c.slot().zone, 1, Integer::sum);
             }
         }
--- a/src/main/java/birchusher/placement/Preemption.java
+++ b/src/main/java/birchusher/placement/Preemption.java
@@ -3,7 +3,7 @@
 import birchusher.model.JobSpec;
 import birchusher.store.Claim;
 import birchusher.store.Job;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -16,10 +16,10 @@
     /** A place that lets a whole gang miss its aim is as bad as that much lost work. */
     private static final double LATE_S = 60;
 
-    private final View view;
+    private final StoreView view;
     private final ToDoubleFunction<Claim> ranMs;
 
-    Preemption(View view, ToDoubleFunction<Claim> ranMs) {
+    Preemption(StoreView view, ToDoubleFunction<Claim> ranMs) {
         this.view = view;
         this.ranMs = ranMs;
     }
@@ -36,7 +36,7 @@
         List<Claim> l = new ArrayList<>();
         for (Claim c : view.claims(slot.machine).values()) {
             JobSpec v = c.job().spec;
-            if (c.job().placed(c.task()) && v.yieldsTo(to, plan.guaranteed().contains(v.id()), guaranteed)) {
+            if (c.job().isPlaced(c.task()) && v.yieldsTo(to, plan.guaranteed().contains(v.id()), guaranteed)) {
                 l.add(c);
             }
         }
--- a/src/main/java/birchusher/placement/Quotas.java
+++ b/src/main/java/birchusher/placement/Quotas.java
@@ -4,8 +4,8 @@
 import birchusher.model.Catalog;
 import birchusher.settings.Settings;
 import birchusher.store.Keys;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -37,13 +37,13 @@
     }
 
     private final Catalog catalog;
-    private final View view;
+    private final StoreView view;
     private final int controllers;
     private final Spent[] spent;
     /** What was there before us may hold claims of an earlier life of ours: such a version's quota counts as used up. */
     private long bornAt = -1;
 
-    public Quotas(Catalog catalog, View view, int controllers) {
+    public Quotas(Catalog catalog, StoreView view, int controllers) {
         this.catalog = catalog;
         this.view = view;
         this.controllers = controllers;
@@ -54,7 +54,7 @@
     }
 
     private static String key(Settings.Team team) {
-        return Keys.GATE + team.name();
+        return Keys.QUOTA + team.name();
     }
 
     enum Pass {
@@ -68,13 +68,13 @@
      * allows them. NO: not, or not yet. TIGHTENED: not now, and the transaction closes the gate so that use becomes exact.
      * What is granted stays spent even if the transaction then fails: one that was not answered may still be applied.
      */
-    Pass pass(Tx tx, int t, int tasks, double cpus, double gpus) {
+    Pass pass(Transaction tx, int t, int tasks, double cpus, double gpus) {
         Settings.Team team = catalog.team(t);
         String key = key(team);
         Map<String, Object> row = view.row(key);
         long version = view.version(key);
         boolean open = row != null && row.get(GPUS) != null;
-        bornAt = bornAt < 0 ? view.applied() : bornAt;
+        bornAt = bornAt < 0 ? view.appliedRevision() : bornAt;
         if (spent[t].version != version && version > bornAt) {
             begin(t, version);
         }
@@ -84,17 +84,17 @@
                 && fits(spent[t].cpus + cpus, spent[t].gpus + gpus, quota(row, CPUS), quota(row, GPUS))) {
             spent[t].cpus += cpus;
             spent[t].gpus += gpus;
-            tx.require(key);
+            tx.requireUnchanged(key);
             return Pass.YES;
         }
         // The view must hold every claim made before the row last stopped being open, or its use would be too low.
         long since = row == null ? 0 : open ? version : Fields.countOr(row, SINCE, version);
-        if (view.applied() < since) {
+        if (view.appliedRevision() < since) {
             return Pass.NO;
         }
-        double[] before = tx.claimed(t);
-        double useCpus = view.cpusOf(t) + before[0] + cpus;
-        double useGpus = view.gpusOf(t) + before[1] + gpus;
+        double[] before = tx.claimedByTeam(t);
+        double useCpus = view.claimedCpus(t) + before[0] + cpus;
+        double useGpus = view.claimedGpus(t) + before[1] + gpus;
         if (open) {
             // All that may have been claimed under the open row, our own earlier lives' claims among it.
             useCpus += controllers * quota(row, CPUS);
--- a/src/main/java/birchusher/placement/RestorePlanner.java
+++ b/src/main/java/birchusher/placement/RestorePlanner.java
@@ -89,7 +89,7 @@
         List<Planner.Choice> choices = new ArrayList<>();
         List<Slot.Mark> before = new ArrayList<>();
         homes.forEach((task, machine) -> {
-            if (task >= spec.tasks() || job.isDone(task) || job.placed(task) || held != null && held.test(task)) {
+            if (task >= spec.tasks() || job.isDone(task) || job.isPlaced(task) || held != null && held.test(task)) {
                 return;
             }
             Slot slot = usable.get(machine);
--- a/src/main/java/birchusher/recovery/Inventory.java
+++ b/src/main/java/birchusher/recovery/Inventory.java
@@ -1,7 +1,7 @@
 package birchusher.recovery;
 
 import birchusher.settings.Settings;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -46,7 +46,7 @@
         ORDINARY
     }
 
-    private final View view;
+    private final StoreView view;
     private final long patienceMs;
     /** Expected machines that nobody tells of, since when; those waited for long enough stay, so that they are not begun again. */
     private final Map<String, Long> open = new HashMap<>();
@@ -62,7 +62,7 @@
     private long since;
     private int most;
 
-    public Inventory(View view, long patienceMs) {
+    public Inventory(StoreView view, long patienceMs) {
         this.view = view;
         this.patienceMs = patienceMs;
     }
@@ -108,7 +108,11 @@
             waitedFor += now - at < patienceMs ? 1 : 0;
         }
         most = Math.max(most, waitedFor);
-        next(waitedFor * FEW > expected ? Phase.HEARING : view.goneCount() > 0 ? Phase.RESTORING : Phase.ORDINARY, now);
+        next(
+                waitedFor * FEW > expected
+                        ? Phase.HEARING
+                        : view.releasedClaimCount() > 0 ? Phase.RESTORING : Phase.ORDINARY,
+                now);
     }
 
     private void expect(
@@ -139,7 +143,7 @@
                     most,
                     open.size(),
                     now - since,
-                    view.goneCount());
+                    view.releasedClaimCount());
         }
         if (p == Phase.HEARING) {
             most = waitedFor;
--- a/src/main/java/birchusher/server/MeshLinks.java
+++ b/src/main/java/birchusher/server/MeshLinks.java
@@ -101,7 +101,7 @@
             in.flip();
             while (in.remaining() >= 4) {
                 int length = in.getInt(in.position());
-                if (length <= 0 || length > PeerCodec.MAX_BYTES) {
+                if (length <= 0 || length > PeerCodec.MAX_RECORD_BYTES) {
                     LOG.info("peer frame of {} bytes, link closed", length);
                     end();
                     return;
@@ -141,7 +141,7 @@
         }
 
         void send(byte[] record) {
-            if (record.length > PeerCodec.MAX_BYTES) {
+            if (record.length > PeerCodec.MAX_RECORD_BYTES) {
                 return;
             }
             while (queue.size() >= MAX_QUEUE || !connected && queue.size() >= 8) {
--- a/src/main/java/birchusher/store/Cancellations.java
+++ b/src/main/java/birchusher/store/Cancellations.java
@@ -1,6 +1,6 @@
 package birchusher.store;
 
-import birchusher.mesh.PeerRecord.Cancelled;
+import birchusher.mesh.PeerRecord.Cancellation;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -13,49 +13,51 @@
  * lacks, and those that others told of and the view does not show yet. Both are bounded; what was dropped is never claimed to be known.
  */
 public final class Cancellations {
-    private static final int KEPT = 2_000;
-    private static final int MOST_TOLD = 2_000;
+    private static final int MAX_SEEN = 2_000;
+    private static final int MAX_REPORTED = 2_000;
 
-    private final TreeSet<Cancelled> seen =
-            new TreeSet<>(Comparator.comparingLong(Cancelled::revision).thenComparing(Cancelled::job));
-    private final Map<String, Long> told = new HashMap<>();
+    private final TreeSet<Cancellation> seen =
+            new TreeSet<>(Comparator.comparingLong(Cancellation::revision).thenComparing(Cancellation::job));
+    private final Map<String, Long> reported = new HashMap<>();
     /** What is kept is complete for the revisions above this one. */
-    private long completeAbove = Long.MAX_VALUE;
+    private long completeAboveRevision = Long.MAX_VALUE;
     /** The highest that was dropped while rows were being read: what is kept then is not complete below it. */
-    private long droppedTo;
+    private long droppedUpToRevision;
 
-    void saw(String job, long revision) {
-        if (revision <= completeAbove && completeAbove < Long.MAX_VALUE) {
+    void addSeen(String job, long revision) {
+        if (revision <= completeAboveRevision && completeAboveRevision < Long.MAX_VALUE) {
             return;
         }
-        seen.add(new Cancelled(job, revision));
-        if (seen.size() > KEPT) {
+        seen.add(new Cancellation(job, revision));
+        if (seen.size() > MAX_SEEN) {
             long dropped = seen.pollFirst().revision();
-            droppedTo = Math.max(droppedTo, dropped);
-            completeAbove = completeAbove == Long.MAX_VALUE ? completeAbove : Math.max(completeAbove, dropped);
+            droppedUpToRevision = Math.max(droppedUpToRevision, dropped);
+            completeAboveRevision = completeAboveRevision == Long.MAX_VALUE
+                    ? completeAboveRevision
+                    : Math.max(completeAboveRevision, dropped);
         }
     }
 
     /** All rows are being read anew: final states are read after everything else, so nothing of before may be missed silently. */
-    void reading() {
+    void loadStarted() {
         seen.clear();
-        completeAbove = Long.MAX_VALUE;
-        droppedTo = 0;
+        completeAboveRevision = Long.MAX_VALUE;
+        droppedUpToRevision = 0;
     }
 
     /** All rows as of this revision have been read; from here on every change is seen. */
-    void read(long revision) {
-        completeAbove = Math.max(revision, droppedTo);
+    void loadCompleted(long revision) {
+        completeAboveRevision = Math.max(revision, droppedUpToRevision);
         seen.removeIf(c -> c.revision() <= revision);
     }
 
     /** Every cancellation after a revision that the view shows, or null if there are more, or if that can't be told any more. */
-    public List<Cancelled> since(long revision, int most) {
-        if (revision < completeAbove) {
+    public List<Cancellation> since(long revision, int most) {
+        if (revision < completeAboveRevision) {
             return null;
         }
-        List<Cancelled> l = new ArrayList<>();
-        for (Cancelled c : seen.tailSet(new Cancelled("", revision + 1), true)) {
+        List<Cancellation> l = new ArrayList<>();
+        for (Cancellation c : seen.tailSet(new Cancellation("", revision + 1), true)) {
             if (l.size() == most) {
                 return null;
             }
@@ -65,22 +67,22 @@
     }
 
     /** Keeps what another controller told of; false if it doesn't fit, and then that other's word is worth nothing. */
-    boolean hear(Cancelled c) {
-        if (told.size() >= MOST_TOLD && !told.containsKey(c.job())) {
+    boolean addReported(Cancellation c) {
+        if (reported.size() >= MAX_REPORTED && !reported.containsKey(c.job())) {
             return false;
         }
-        told.merge(c.job(), c.revision(), Math::max);
+        reported.merge(c.job(), c.revision(), Math::max);
         return true;
     }
 
-    boolean toldOf(String job) {
-        return told.containsKey(job);
+    boolean isReported(String job) {
+        return reported.containsKey(job);
     }
 
     /** The view holds everything up to this revision, so what was told of it is not needed any more. */
-    void applied(long revision) {
-        if (!told.isEmpty()) {
-            told.values().removeIf(r -> r <= revision);
+    void discardReportedUpTo(long revision) {
+        if (!reported.isEmpty()) {
+            reported.values().removeIf(r -> r <= revision);
         }
     }
 }
--- a/src/main/java/birchusher/store/Chunk.java
+++ b/src/main/java/birchusher/store/Chunk.java
@@ -15,17 +15,17 @@
     public final BitSet done = new BitSet();
     public final Int2ObjectMap<Claim> claims = new Int2ObjectOpenHashMap<>();
     /** Never goes down: an attempt number is not used twice. */
-    public long attempts;
+    public long lastAttempt;
     /** Starts of tasks that had to be repeated, for operators. */
     public long restarts;
     /** Errors in a row; slows the job down, see the driver. */
-    public long errors;
+    public long consecutiveErrors;
 
     /** Of a row as text: one claim, 64 bits of the done set, and the rest. */
     public static final int CLAIM_BYTES = 42;
 
-    private static final int WORD_BYTES = 17;
-    private static final int ROW_BYTES = 100;
+    private static final int DONE_WORD_BYTES = 17;
+    private static final int ROW_OVERHEAD_BYTES = 100;
 
     public Chunk(Job job, int index) {
         this.job = job;
@@ -36,9 +36,9 @@
         Chunk c = new Chunk(job, index);
         c.done.or(done);
         c.claims.putAll(claims);
-        c.attempts = attempts;
+        c.lastAttempt = lastAttempt;
         c.restarts = restarts;
-        c.errors = errors;
+        c.consecutiveErrors = consecutiveErrors;
         return c;
     }
 
@@ -46,16 +46,19 @@
         return Math.min(job.chunkSize, job.spec.tasks() - index * job.chunkSize);
     }
 
-    public boolean full() {
+    public boolean allDone() {
         return done.cardinality() >= size();
     }
 
     /** At most so many bytes as a row. */
-    int bytes() {
-        return ROW_BYTES + claims.size() * CLAIM_BYTES + done.length() / 64 * WORD_BYTES + WORD_BYTES;
+    int maxBytes() {
+        return ROW_OVERHEAD_BYTES
+                + claims.size() * CLAIM_BYTES
+                + done.length() / 64 * DONE_WORD_BYTES
+                + DONE_WORD_BYTES;
     }
 
-    public Map<String, Object> write() {
+    public Map<String, Object> toRow() {
         int base = index * job.chunkSize;
         StringBuilder hex = new StringBuilder();
         for (long w : done.toLongArray()) {
@@ -75,20 +78,20 @@
                     .append(c.shard());
         }
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("a", attempts);
+        m.put("a", lastAttempt);
         m.put("r", restarts);
-        m.put("e", errors);
+        m.put("e", consecutiveErrors);
         m.put("d", hex.toString());
         m.put("c", sb.toString());
         return m;
     }
 
     /** Reads a row. Claims that the row before it held already stay the same objects. */
-    public static Chunk read(Job job, int index, Map<String, Object> m, Chunk before) {
+    public static Chunk fromRow(Job job, int index, Map<String, Object> m, Chunk before) {
         Chunk c = new Chunk(job, index);
-        c.attempts = Fields.count(m, "a");
+        c.lastAttempt = Fields.count(m, "a");
         c.restarts = Fields.countOr(m, "r", 0);
-        c.errors = Fields.countOr(m, "e", 0);
+        c.consecutiveErrors = Fields.countOr(m, "e", 0);
         try {
             String d = (String) m.get("d");
             if (!d.isEmpty()) {
@@ -112,13 +115,13 @@
 
     /** One claim, up to the next ";". */
     private void readClaim(String s, int[] at, Chunk before) {
-        int task = index * job.chunkSize + (int) number(s, at);
-        long attempt = number(s, at);
+        int task = index * job.chunkSize + (int) readNumber(s, at);
+        long attempt = readNumber(s, at);
         int from = at[0];
         int to = s.indexOf(':', from);
         at[0] = to + 1;
-        long session = number(s, at);
-        int shard = (int) number(s, at);
+        long session = readNumber(s, at);
+        int shard = (int) readNumber(s, at);
         Claim old = before == null ? null : before.claims.get(task);
         boolean same = old != null
                 && old.attempt() == attempt
@@ -130,7 +133,7 @@
     }
 
     /** A number up to the next ":" or ";", or the end. */
-    private static long number(String s, int[] at) {
+    private static long readNumber(String s, int[] at) {
         int i = at[0];
         while (i < s.length() && s.charAt(i) != ':' && s.charAt(i) != ';') {
             i++;
--- a/src/main/java/birchusher/store/Claim.java
+++ b/src/main/java/birchusher/store/Claim.java
@@ -11,12 +11,12 @@
     private final String machine;
     private final long session;
     private final int shard;
-    private final String key;
+    private final String taskKey;
     private final String attemptKey;
     /** When this controller first saw the record, by the steady clock; -1 before it is in the view. */
-    private long seenAt = -1;
+    private long seenAtMs = -1;
     /** The machine's kind, see the hazards; -1: not known when the record was seen. */
-    private int kind = -1;
+    private int machineKind = -1;
 
     public Claim(Job job, int task, long attempt, String machine, long session, int shard) {
         this.job = job;
@@ -25,7 +25,7 @@
         this.machine = machine;
         this.session = session;
         this.shard = shard;
-        key = job.spec.id() + "/" + task;
+        taskKey = job.spec.id() + "/" + task;
         attemptKey = attemptKey(job.spec.id(), task, attempt);
     }
 
@@ -57,26 +57,26 @@
         return shard;
     }
 
-    public String key() {
-        return key;
+    public String taskKey() {
+        return taskKey;
     }
 
     public String attemptKey() {
         return attemptKey;
     }
 
-    public long seenAt() {
-        return seenAt;
+    public long seenAtMs() {
+        return seenAtMs;
     }
 
-    public int kind() {
-        return kind;
+    public int machineKind() {
+        return machineKind;
     }
 
-    void seen(long now, int machinesKind) {
-        if (seenAt < 0) {
-            seenAt = now;
-            kind = machinesKind;
+    void markSeen(long now, int machinesKind) {
+        if (seenAtMs < 0) {
+            seenAtMs = now;
+            machineKind = machinesKind;
         }
     }
 }
--- a/src/main/java/birchusher/store/Job.java
+++ b/src/main/java/birchusher/store/Job.java
@@ -19,25 +19,25 @@
     public final JobSpec spec;
     public final int chunkSize;
     /** Time of day when it was accepted, in ms. */
-    public final long acceptedAt;
+    public final long acceptedAtMs;
 
     private State state;
     /** The revision that accepted it orders jobs by age. */
-    public final long age;
+    public final long acceptedRevision;
     /** Read only outside of the view; a row that does not exist yet is null. */
     public final List<Chunk> chunks = new ArrayList<>();
 
-    private int done;
-    private int claims;
+    private int doneTasks;
+    private int standingClaims;
     /** Claims that are proven gone while their row still shows them; by task. Small: only between a proof and its writing. */
-    private final Map<Integer, Gone> gone = new HashMap<>(2);
+    private final Map<Integer, ReleasedClaim> released = new HashMap<>(2);
 
     public Job(JobSpec spec, int chunkSize, long acceptedAt, State state, long age) {
         this.spec = spec;
         this.chunkSize = chunkSize;
-        this.acceptedAt = acceptedAt;
+        this.acceptedAtMs = acceptedAt;
         this.state = state;
-        this.age = age;
+        this.acceptedRevision = age;
         int n = (spec.tasks() + chunkSize - 1) / chunkSize;
         for (int i = 0; i < n; i++) {
             chunks.add(null);
@@ -67,71 +67,71 @@
     }
 
     /** Puts a row in its place; the counts are kept here, as every pass over the jobs asks for them. */
-    void chunk(int i, Chunk c) {
+    void replaceChunk(int i, Chunk c) {
         Chunk old = chunks.set(i, c);
-        done += (c == null ? 0 : c.done.cardinality()) - (old == null ? 0 : old.done.cardinality());
-        claims += (c == null ? 0 : c.claims.size()) - (old == null ? 0 : old.claims.size());
+        doneTasks += (c == null ? 0 : c.done.cardinality()) - (old == null ? 0 : old.done.cardinality());
+        standingClaims += (c == null ? 0 : c.claims.size()) - (old == null ? 0 : old.claims.size());
     }
 
     /**
      * A claim whose task is proven gone. The proof is its owner's, and good for writing only while that owner's term stands; our
      * {@code own} proof holds as long as we own the shard, whatever its term. {@code started}: the task had been ordered to start.
      */
-    public record Gone(Claim claim, long term, boolean own, boolean started) {}
+    public record ReleasedClaim(Claim claim, long term, boolean ownProof, boolean started) {}
 
     /** The proof that a task's recorded claim is over, or null. */
-    public Gone gone(int task) {
-        return gone.isEmpty() ? null : gone.get(task);
+    public ReleasedClaim released(int task) {
+        return released.isEmpty() ? null : released.get(task);
     }
 
-    public Collection<Gone> gone() {
-        return gone.values();
+    public Collection<ReleasedClaim> released() {
+        return released.values();
     }
 
     /** Whether a task has a machine, as far as is known: a claim that is not proven gone. */
-    public boolean placed(int task) {
-        return claim(task) != null && gone(task) == null;
+    public boolean isPlaced(int task) {
+        return claim(task) != null && released(task) == null;
     }
 
     public int placedCount() {
-        return claims - gone.size();
+        return standingClaims - released.size();
     }
 
-    void mark(Gone g) {
-        gone.put(g.claim().task(), g);
+    void addReleased(ReleasedClaim g) {
+        released.put(g.claim().task(), g);
     }
 
-    boolean unmark(Claim c) {
-        Gone g = gone(c.task());
-        return g != null && g.claim() == c && gone.remove(c.task()) != null;
+    boolean removeReleased(Claim c) {
+        ReleasedClaim g = released(c.task());
+        return g != null && g.claim() == c && released.remove(c.task()) != null;
     }
 
     /** Whether any of its tasks has a place or is done. */
-    public boolean begun() {
-        return done + placedCount() > 0;
+    public boolean hasStarted() {
+        return doneTasks + placedCount() > 0;
     }
 
     public int doneCount() {
-        return done;
+        return doneTasks;
     }
 
     public int claimCount() {
-        return claims;
+        return standingClaims;
     }
 
-    public long attempts() {
+    public long lastAttempt() {
         long n = 0;
         for (Chunk c : chunks) {
-            n = Math.max(n, c == null ? 0 : c.attempts);
+            n = Math.max(n, c == null ? 0 : c.lastAttempt);
         }
         return n;
     }
 
     /** Errors since one of its tasks last ended well, as far as its rows tell. */
-    public long errors() {
+    public long consecutiveErrors() {
         long n = 0;
         for (Chunk c : chunks) {
-            n += c == null ? 0 : c.errors;
+            n += c == null ? 0 : c.consecutiveErrors;
         }
         return n;
     }
--- a/src/main/java/birchusher/store/Keys.java
+++ b/src/main/java/birchusher/store/Keys.java
@@ -5,19 +5,19 @@
     public static final String ALL = "b/";
     public static final String LIVE = "b/live/";
     public static final String JOB = "b/live/job/";
-    public static final String PLACE = "b/live/place/";
-    public static final String GATE = "b/live/gate/";
-    public static final String SEAT = "b/live/seat/";
+    public static final String PLACEMENT = "b/live/place/";
+    public static final String QUOTA = "b/live/gate/";
+    public static final String MEMBER_LEASE = "b/live/seat/";
     public static final String SHARD = "b/live/shard/";
     public static final String TERM = "b/live/term";
-    public static final String BUYER = "b/live/buyer";
-    public static final String ASK = "b/live/ask/";
-    public static final String TYPES = "b/live/types";
-    public static final String END = "b/end/";
+    public static final String AUTOSCALER = "b/live/buyer";
+    public static final String RENTAL_REQUEST = "b/live/ask/";
+    public static final String MACHINE_TYPES = "b/live/types";
+    public static final String ENDED_JOB = "b/end/";
 
     private Keys() {}
 
-    public static String place(String job, int chunk) {
-        return PLACE + job + "/" + chunk;
+    public static String placement(String job, int chunk) {
+        return PLACEMENT + job + "/" + chunk;
     }
 }
--- a/src/main/java/birchusher/store/View.java
+++ b/src/main/java/birchusher/store/StoreView.java
@@ -1,7 +1,7 @@
 package birchusher.store;
 
 import birchusher.core.Fields;
-import birchusher.mesh.PeerRecord.Cancelled;
+import birchusher.mesh.PeerRecord.Cancellation;
 import birchusher.model.Catalog;
 import birchusher.model.JobSpec;
 import birchusher.wire.JobCodec;
@@ -25,112 +25,112 @@
  * arrive in any order: the newest version of a row wins. Use of teams and machines is derived from the rows here and
  * never counted apart from them.
  */
-public final class View {
-    private static final Logger LOG = LoggerFactory.getLogger(View.class);
-    private static final int ENDED_KEPT = 20_000;
+public final class StoreView {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreView.class);
+    private static final int MAX_ENDED_JOBS = 20_000;
 
     /** How a job ended; {@code done} false means cancelled. */
-    public record Ended(boolean done, int tasks) {}
+    public record EndedJob(boolean done, int tasks) {}
 
     private final Catalog catalog;
     private final JobCodec codec;
     private final Object2LongOpenHashMap<String> versions = new Object2LongOpenHashMap<>();
-    private final Object2LongOpenHashMap<String> removed = new Object2LongOpenHashMap<>();
+    private final Object2LongOpenHashMap<String> removedVersions = new Object2LongOpenHashMap<>();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final TreeMap<String, Map<String, Object>> rows = new TreeMap<>();
-    private final Map<String, OnMachine> byMachine = new HashMap<>();
+    private final Map<String, MachineClaims> claimsByMachine = new HashMap<>();
     /** Placement rows that came before their job's row (listing order). */
-    private final Map<String, Map<String, Object>> orphans = new HashMap<>();
+    private final Map<String, Map<String, Object>> orphanedPlacements = new HashMap<>();
 
-    private final LinkedHashMap<String, Ended> ended = new LinkedHashMap<>(64, 0.75f, true) {
+    private final LinkedHashMap<String, EndedJob> endedJob = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Ended> e) {
-            endedDropped |= size() > ENDED_KEPT;
-            return size() > ENDED_KEPT;
+        protected boolean removeEldestEntry(Map.Entry<String, EndedJob> e) {
+            endedJobsDropped |= size() > MAX_ENDED_JOBS;
+            return size() > MAX_ENDED_JOBS;
         }
     };
-    private boolean endedDropped;
+    private boolean endedJobsDropped;
     /** Accepted jobs whose rows can't be read, as after a change of the settings: known all the same. */
     private final Set<String> unreadable = new HashSet<>();
 
-    private final double[] cpus;
-    private final double[] gpus;
+    private final double[] cpusByTeam;
+    private final double[] gpusByTeam;
     private final Cancellations cancellations = new Cancellations();
-    private long applied;
-    private long known;
-    private long changes;
-    private long asks;
-    private long rowChanges;
-    private int claimed;
-    private int goneMarks;
-    private Consumer<String> touched = m -> {};
-    private LongSupplier clock = () -> 0;
-    private ToIntFunction<String> kindOf = m -> -1;
-    private Left left = (c, lost) -> {};
-    private Consumer<Claim> came = c -> {};
+    private long appliedRevision;
+    private long knownRevision;
+    private long changeCount;
+    private long rentalRequestChanges;
+    private long otherRowChangeCount;
+    private int standingClaims;
+    private int releasedClaims;
+    private Consumer<String> machineListener = m -> {};
+    private LongSupplier steadyClock = () -> 0;
+    private ToIntFunction<String> machineKindLookup = m -> -1;
+    private ClaimRemovedListener claimRemovedListener = (c, lost) -> {};
+    private Consumer<Claim> claimAddedListener = c -> {};
 
     /** Told of each claim that leaves its row, and whether its task has still to run. */
-    public interface Left {
-        void left(Claim c, boolean lost);
+    public interface ClaimRemovedListener {
+        void claimRemoved(Claim c, boolean lost);
     }
 
     /** The claims on one machine and what they take; the sums are made anew with each change, so nothing drifts. */
-    private static final class OnMachine {
+    private static final class MachineClaims {
         final Map<String, Claim> claims = new LinkedHashMap<>();
-        final double[] use = new double[3];
+        final double[] used = new double[3];
 
-        void sum() {
-            use[0] = 0;
-            use[1] = 0;
-            use[2] = 0;
+        void recomputeUsed() {
+            used[0] = 0;
+            used[1] = 0;
+            used[2] = 0;
             for (Claim c : claims.values()) {
-                if (c.job().gone(c.task()) != null) {
+                if (c.job().released(c.task()) != null) {
                     continue;
                 }
                 JobSpec j = c.job().spec;
-                use[0] += j.cpus();
-                use[1] += j.gpus();
-                use[2] += j.mem();
+                used[0] += j.cpus();
+                used[1] += j.gpus();
+                used[2] += j.mem();
             }
         }
     }
 
-    private static final double[] NO_USE = new double[3];
+    private static final double[] NOTHING_USED = new double[3];
 
-    public View(Catalog catalog, JobCodec codec) {
+    public StoreView(Catalog catalog, JobCodec codec) {
         this.catalog = catalog;
         this.codec = codec;
-        cpus = new double[catalog.teams.size()];
-        gpus = new double[catalog.teams.size()];
+        cpusByTeam = new double[catalog.teams.size()];
+        gpusByTeam = new double[catalog.teams.size()];
     }
 
     /** Told of each machine whose claims, or whose claims' jobs, changed. */
-    public void onTouched(Consumer<String> c) {
-        touched = c;
+    public void onMachineChange(Consumer<String> c) {
+        machineListener = c;
     }
 
     /** Where the time of a step comes from: claims remember when they were first seen. */
-    public void clock(LongSupplier steady) {
-        clock = steady;
+    public void steadyClock(LongSupplier steady) {
+        steadyClock = steady;
     }
 
     /** Where a machine's kind comes from when a claim is first seen, and who is told of claims that come and leave. */
-    public void follow(ToIntFunction<String> kinds, Consumer<Claim> c, Left l) {
-        kindOf = kinds;
-        came = c;
-        left = l;
+    public void setClaimListeners(ToIntFunction<String> kinds, Consumer<Claim> c, ClaimRemovedListener l) {
+        machineKindLookup = kinds;
+        claimAddedListener = c;
+        claimRemovedListener = l;
     }
 
     /** Every change up to this revision is in. */
-    public long applied() {
-        return applied;
+    public long appliedRevision() {
+        return appliedRevision;
     }
 
     /** The highest revision that anything here tells of: nothing that was told to a user is newer. */
-    public long known() {
-        return known;
+    public long knownRevision() {
+        return knownRevision;
     }
 
     public Cancellations cancellations() {
@@ -138,57 +138,57 @@
     }
 
     /** All rows have been read as of this revision, the final states excepted. */
-    public void read(long revision) {
-        cancellations.read(revision);
-        applied(revision);
+    public void loadCompleted(long revision) {
+        cancellations.loadCompleted(revision);
+        appliedRevision(revision);
     }
 
     /** Whether a job is cancelled as far as anybody told us, though its row may not say so here yet. */
-    public boolean cancelled(String id) {
+    public boolean isCancelled(String id) {
         Job j = jobs.get(id);
-        Ended e = j == null ? ended.get(id) : null;
-        return j != null && j.state() == Job.State.CANCELLED || e != null && !e.done() || cancellations.toldOf(id);
+        EndedJob e = j == null ? endedJob.get(id) : null;
+        return j != null && j.state() == Job.State.CANCELLED || e != null && !e.done() || cancellations.isReported(id);
     }
 
     /** Another controller tells of cancellations that may be missing here; false if they are too many to be kept. */
-    public boolean hear(List<Cancelled> news) {
+    public boolean addReportedCancellations(List<Cancellation> news) {
         boolean all = true;
-        for (Cancelled c : news) {
-            if (c.revision() <= applied) {
+        for (Cancellation c : news) {
+            if (c.revision() <= appliedRevision) {
                 continue;
             }
-            boolean before = cancellations.toldOf(c.job());
-            all &= cancellations.hear(c);
+            boolean before = cancellations.isReported(c.job());
+            all &= cancellations.addReported(c);
             Job j = jobs.get(c.job());
             if (!before && j != null) {
-                touchAll(j);
+                notifyMachinesOf(j);
             }
         }
         return all;
     }
 
-    private void touchAll(Job j) {
+    private void notifyMachinesOf(Job j) {
         for (Chunk c : j.chunks) {
             if (c != null) {
-                c.claims.values().forEach(x -> touched.accept(x.machine()));
+                c.claims.values().forEach(x -> machineListener.accept(x.machine()));
             }
         }
     }
 
-    public void applied(long revision) {
-        known = Math.max(known, revision);
-        if (revision > applied) {
-            applied = revision;
-            cancellations.applied(revision);
-            if (removed.size() > 4096) {
-                removed.object2LongEntrySet().removeIf(e -> e.getLongValue() <= applied);
+    public void appliedRevision(long revision) {
+        knownRevision = Math.max(knownRevision, revision);
+        if (revision > appliedRevision) {
+            appliedRevision = revision;
+            cancellations.discardReportedUpTo(revision);
+            if (removedVersions.size() > 4096) {
+                removedVersions.object2LongEntrySet().removeIf(e -> e.getLongValue() <= appliedRevision);
             }
         }
     }
 
     /** Counts changes, so that planning can tell whether anything is new. */
-    public long changes() {
-        return changes;
+    public long changeCount() {
+        return changeCount;
     }
 
     /** The version of a row as known here, 0 if it does not exist. */
@@ -213,13 +213,13 @@
         return jobs.get(id);
     }
 
-    public Ended ended(String id) {
-        return ended.get(id);
+    public EndedJob endedJob(String id) {
+        return endedJob.get(id);
     }
 
     /** Whether no ended job has been dropped from memory for want of room. */
-    public boolean keepsAllEnded() {
-        return !endedDropped;
+    public boolean allEndedJobsKept() {
+        return !endedJobsDropped;
     }
 
     /** Whether a job was accepted whose row can't be read here. */
@@ -228,78 +228,78 @@
     }
 
     public Map<String, Claim> claims(String machine) {
-        OnMachine on = byMachine.get(machine);
+        MachineClaims on = claimsByMachine.get(machine);
         return on == null ? Map.of() : on.claims;
     }
 
     /** Cpus, gpus and memory that the records on a machine take; not to be changed. */
-    public double[] useOf(String machine) {
-        OnMachine on = byMachine.get(machine);
-        return on == null ? NO_USE : on.use;
+    public double[] capacityUsedOn(String machine) {
+        MachineClaims on = claimsByMachine.get(machine);
+        return on == null ? NOTHING_USED : on.used;
     }
 
     /** All claims that stand. */
     public int claimCount() {
-        return claimed;
+        return standingClaims;
     }
 
     /** Claims that are proven gone while their rows still show them. */
-    public int goneCount() {
-        return goneMarks;
+    public int releasedClaimCount() {
+        return releasedClaims;
     }
 
     /** Counts changes of rental rows. */
-    public long askChanges() {
-        return asks;
+    public long rentalRequestChangeCount() {
+        return rentalRequestChanges;
     }
 
     /** Counts changes of rows that are neither jobs nor placements, so that what is derived from them can be kept. */
-    public long rowChanges() {
-        return rowChanges;
+    public long otherRowChangeCount() {
+        return otherRowChangeCount;
     }
 
     public Collection<String> claimedMachines() {
-        return byMachine.keySet();
+        return claimsByMachine.keySet();
     }
 
-    public double cpusOf(int team) {
-        return cpus[team];
+    public double claimedCpus(int team) {
+        return cpusByTeam[team];
     }
 
-    public double gpusOf(int team) {
-        return gpus[team];
+    public double claimedGpus(int team) {
+        return gpusByTeam[team];
     }
 
-    public static Map<String, Object> endedRow(boolean done, int tasks) {
+    public static Map<String, Object> endedJobRow(boolean done, int tasks) {
         return Map.of("s", done ? "done" : "cancelled", "n", tasks);
     }
 
     /** A row as it stands. One that can't be read is named and left out; the rest is unharmed, and a job stays known. */
     public void put(String key, Object row, long version) {
-        if (version <= versions.getLong(key) || version <= removed.getLong(key)) {
+        if (version <= versions.getLong(key) || version <= removedVersions.getLong(key)) {
             return;
         }
-        known = Math.max(known, version);
-        boolean end = key.startsWith(Keys.END);
+        knownRevision = Math.max(knownRevision, version);
+        boolean end = key.startsWith(Keys.ENDED_JOB);
         if (!end) {
-            changes++;
+            changeCount++;
             versions.put(key, version);
-            removed.removeLong(key);
+            removedVersions.removeLong(key);
         }
         String job = key.startsWith(Keys.JOB) ? key.substring(Keys.JOB.length()) : null;
         try {
             Map<String, Object> value = Fields.map(row, "value");
             if (end) {
-                putEnded(key.substring(Keys.END.length()), readEnded(value), version);
+                putEndedJob(key.substring(Keys.ENDED_JOB.length()), readEndedJob(value), version);
             } else if (job != null) {
                 putJob(job, value, version);
                 unreadable.remove(job);
-            } else if (key.startsWith(Keys.PLACE)) {
-                putPlace(key, value);
+            } else if (key.startsWith(Keys.PLACEMENT)) {
+                putPlacement(key, value);
             } else {
                 rows.put(key, value);
-                rowChanges++;
-                asks += key.startsWith(Keys.ASK) ? 1 : 0;
+                otherRowChangeCount++;
+                rentalRequestChanges += key.startsWith(Keys.RENTAL_REQUEST) ? 1 : 0;
             }
         } catch (Fields.Bad | JobCodec.Never | IllegalArgumentException e) {
             LOG.error("row {} ignored: {}", key, e.getMessage());
@@ -309,77 +309,77 @@
         }
     }
 
-    private void putEnded(String id, Ended e, long version) {
+    private void putEndedJob(String id, EndedJob e, long version) {
         Job j = jobs.get(id);
         if (!e.done() && (j == null || j.state() != Job.State.CANCELLED)) {
-            cancellations.saw(id, version);
+            cancellations.addSeen(id, version);
         }
-        ended.put(id, e);
+        endedJob.put(id, e);
     }
 
-    public static Ended readEnded(Map<String, Object> value) {
-        return new Ended("done".equals(value.get("s")), (int) Fields.countOr(value, "n", 0));
+    public static EndedJob readEndedJob(Map<String, Object> value) {
+        return new EndedJob("done".equals(value.get("s")), (int) Fields.countOr(value, "n", 0));
     }
 
     public void remove(String key, long version) {
         if (version <= versions.getLong(key)) {
             return;
         }
-        known = Math.max(known, version);
-        changes++;
+        knownRevision = Math.max(knownRevision, version);
+        changeCount++;
         versions.removeLong(key);
-        removed.put(key, Math.max(version, removed.getLong(key)));
+        removedVersions.put(key, Math.max(version, removedVersions.getLong(key)));
         if (key.startsWith(Keys.JOB)) {
             unreadable.remove(key.substring(Keys.JOB.length()));
             Job j = jobs.remove(key.substring(Keys.JOB.length()));
             if (j != null) {
-                j.chunks.forEach(c -> swap(c, null));
+                j.chunks.forEach(c -> updateClaims(c, null));
             }
-        } else if (key.startsWith(Keys.PLACE)) {
-            orphans.remove(key);
+        } else if (key.startsWith(Keys.PLACEMENT)) {
+            orphanedPlacements.remove(key);
             int slash = key.lastIndexOf('/');
-            Job j = jobs.get(key.substring(Keys.PLACE.length(), slash));
+            Job j = jobs.get(key.substring(Keys.PLACEMENT.length(), slash));
             if (j != null) {
                 int i = Integer.parseInt(key.substring(slash + 1));
-                swap(j.chunks.get(i), null);
-                j.chunk(i, null);
+                updateClaims(j.chunks.get(i), null);
+                j.replaceChunk(i, null);
             }
         } else {
             rows.remove(key);
-            rowChanges++;
-            asks += key.startsWith(Keys.ASK) ? 1 : 0;
+            otherRowChangeCount++;
+            rentalRequestChanges += key.startsWith(Keys.RENTAL_REQUEST) ? 1 : 0;
         }
     }
 
     /** Drops everything but ended jobs, before the rows are read again. */
     public void clear() {
         versions.clear();
-        removed.clear();
+        removedVersions.clear();
         jobs.clear();
         unreadable.clear();
         rows.clear();
-        byMachine.clear();
-        cancellations.reading();
-        claimed = 0;
-        goneMarks = 0;
-        orphans.clear();
-        java.util.Arrays.fill(cpus, 0);
-        java.util.Arrays.fill(gpus, 0);
-        applied = 0;
-        changes++;
-        rowChanges++;
-        asks++;
+        claimsByMachine.clear();
+        cancellations.loadStarted();
+        standingClaims = 0;
+        releasedClaims = 0;
+        orphanedPlacements.clear();
+        java.util.Arrays.fill(cpusByTeam, 0);
+        java.util.Arrays.fill(gpusByTeam, 0);
+        appliedRevision = 0;
+        changeCount++;
+        otherRowChangeCount++;
+        rentalRequestChanges++;
     }
 
     private void putJob(String id, Map<String, Object> value, long version) {
         Job j = jobs.get(id);
         Job.State state = Job.State.valueOf(Fields.text(value, "s"));
         if (state == Job.State.CANCELLED) {
-            cancellations.saw(id, version);
+            cancellations.addSeen(id, version);
         }
         if (j != null) {
             j.state(state);
-            touchAll(j);
+            notifyMachinesOf(j);
             return;
         }
         j = new Job(
@@ -391,35 +391,35 @@
         jobs.put(id, j);
         catalog.imageSize(j.spec.image(), j.spec.imageGb());
         for (int i = 0; i < j.chunks.size(); i++) {
-            Map<String, Object> waiting = orphans.remove(Keys.place(id, i));
+            Map<String, Object> waiting = orphanedPlacements.remove(Keys.placement(id, i));
             if (waiting != null) {
-                putPlace(Keys.place(id, i), waiting);
+                putPlacement(Keys.placement(id, i), waiting);
             }
         }
     }
 
-    private void putPlace(String key, Map<String, Object> value) {
+    private void putPlacement(String key, Map<String, Object> value) {
         int slash = key.lastIndexOf('/');
-        Job j = jobs.get(key.substring(Keys.PLACE.length(), slash));
+        Job j = jobs.get(key.substring(Keys.PLACEMENT.length(), slash));
         if (j == null) {
-            orphans.put(key, value);
+            orphanedPlacements.put(key, value);
             return;
         }
         int i = Integer.parseInt(key.substring(slash + 1));
         Chunk old = j.chunks.get(i);
-        Chunk next = Chunk.read(j, i, value, old);
-        swap(old, next);
-        j.chunk(i, next);
+        Chunk next = Chunk.fromRow(j, i, value, old);
+        updateClaims(old, next);
+        j.replaceChunk(i, next);
     }
 
     /** Counts what one row's place is taken by: only claims that came or went cost anything. */
-    private void swap(Chunk old, Chunk next) {
+    private void updateClaims(Chunk old, Chunk next) {
         if (old != null) {
             for (Claim x : old.claims.values()) {
                 if (next == null || next.claims.get(x.task()) != x) {
-                    uncount(x);
+                    removeClaim(x);
                     if (next != null && x.job().state() == Job.State.OPEN) {
-                        left.left(x, !next.done.get(x.task() - next.index * x.job().chunkSize));
+                        claimRemovedListener.claimRemoved(x, !next.done.get(x.task() - next.index * x.job().chunkSize));
                     }
                 }
             }
@@ -427,74 +427,74 @@
         if (next != null) {
             for (Claim x : next.claims.values()) {
                 if (old == null || old.claims.get(x.task()) != x) {
-                    count(x);
-                    came.accept(x);
+                    addClaim(x);
+                    claimAddedListener.accept(x);
                 }
             }
         }
     }
 
-    private void count(Claim x) {
+    private void addClaim(Claim x) {
         JobSpec s = x.job().spec;
-        x.seen(clock.getAsLong(), kindOf.applyAsInt(x.machine()));
-        cpus[s.team()] += s.cpus();
-        gpus[s.team()] += s.gpus();
-        OnMachine on = byMachine.computeIfAbsent(x.machine(), k -> new OnMachine());
-        claimed++;
-        on.claims.put(x.key(), x);
-        on.sum();
-        touched.accept(x.machine());
+        x.markSeen(steadyClock.getAsLong(), machineKindLookup.applyAsInt(x.machine()));
+        cpusByTeam[s.team()] += s.cpus();
+        gpusByTeam[s.team()] += s.gpus();
+        MachineClaims on = claimsByMachine.computeIfAbsent(x.machine(), k -> new MachineClaims());
+        standingClaims++;
+        on.claims.put(x.taskKey(), x);
+        on.recomputeUsed();
+        machineListener.accept(x.machine());
     }
 
     /**
      * A claim's task is proven gone: its room is free and it may be placed anew, though the row still shows it. The mark leaves with
      * the claim, or when the proof can't be written.
      */
-    public void gone(Job.Gone g) {
+    public void markReleased(Job.ReleasedClaim g) {
         Claim c = g.claim();
         Job j = c.job();
         if (jobs.get(j.spec.id()) == j && j.claim(c.task()) == c) {
             // A later proof goes before one whose owner has lost the shard meanwhile.
-            goneMarks += j.gone(c.task()) == null ? 1 : 0;
-            j.mark(g);
-            changes++;
-            resum(c);
+            releasedClaims += j.released(c.task()) == null ? 1 : 0;
+            j.addReleased(g);
+            changeCount++;
+            recomputeUsedOn(c);
         }
     }
 
     /** Takes such a mark back. */
-    public void notGone(Claim c) {
-        if (c.job().unmark(c)) {
-            goneMarks--;
-            changes++;
-            resum(c);
+    public void unmarkReleased(Claim c) {
+        if (c.job().removeReleased(c)) {
+            releasedClaims--;
+            changeCount++;
+            recomputeUsedOn(c);
         }
     }
 
-    private void resum(Claim c) {
-        OnMachine on = byMachine.get(c.machine());
+    private void recomputeUsedOn(Claim c) {
+        MachineClaims on = claimsByMachine.get(c.machine());
         if (on != null) {
-            on.sum();
+            on.recomputeUsed();
         }
-        touched.accept(c.machine());
+        machineListener.accept(c.machine());
     }
 
-    private void uncount(Claim x) {
+    private void removeClaim(Claim x) {
         JobSpec s = x.job().spec;
-        goneMarks -= x.job().unmark(x) ? 1 : 0;
-        claimed--;
-        cpus[s.team()] -= s.cpus();
-        gpus[s.team()] -= s.gpus();
-        OnMachine on = byMachine.get(x.machine());
+        releasedClaims -= x.job().removeReleased(x) ? 1 : 0;
+        standingClaims--;
+        cpusByTeam[s.team()] -= s.cpus();
+        gpusByTeam[s.team()] -= s.gpus();
+        MachineClaims on = claimsByMachine.get(x.machine());
         if (on != null) {
-            on.claims.remove(x.key(), x);
+            on.claims.remove(x.taskKey(), x);
             if (on.claims.isEmpty()) {
-                byMachine.remove(x.machine());
+                claimsByMachine.remove(x.machine());
             } else {
-                on.sum();
+                on.recomputeUsed();
             }
         }
-        touched.accept(x.machine());
+        machineListener.accept(x.machine());
     }
 
     public Catalog catalog() {
--- a/src/main/java/birchusher/workers/Commands.java
+++ b/src/main/java/birchusher/workers/Commands.java
@@ -11,8 +11,8 @@
 import birchusher.settings.Settings;
 import birchusher.store.Claim;
 import birchusher.store.Job;
-import birchusher.store.StoreLink;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
 import birchusher.wire.Wire;
 import birchusher.workers.Machine.Run;
 import birchusher.workers.Machine.Stop;
@@ -43,8 +43,8 @@
     private final Effects effects;
     private final Settings settings;
     private final Catalog catalog;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final Membership membership;
     private final Outcomes outcomes;
     private final Orders account;
@@ -55,8 +55,8 @@
             Effects effects,
             Settings s,
             Catalog catalog,
-            View view,
-            StoreLink store,
+            StoreView view,
+            StoreClient store,
             Membership membership,
             Outcomes outcomes,
             Orders account,
@@ -88,7 +88,7 @@
     boolean unwanted(Machine m, Claim c) {
         return c.job().state() != Job.State.OPEN
                 || broken(c.job())
-                || view.cancelled(c.job().spec.id())
+                || view.isCancelled(c.job().spec.id())
                 || m != null
                         && (m.stops.containsKey(c.attemptKey())
                                 || m.noticeAt >= 0
@@ -110,7 +110,7 @@
             // Cancelled is for good, however old the view: without this, a new owner renewed such tasks and could not
             // stop them.
             for (Entry e : m.entries.values()) {
-                if (!e.exited() && view.cancelled(e.key().substring(0, e.key().lastIndexOf('/')))) {
+                if (!e.exited() && view.isCancelled(e.key().substring(0, e.key().lastIndexOf('/')))) {
                     orders.add(order(Wire.STOP, e.key(), e.attempt(), 0));
                 }
             }
@@ -124,7 +124,7 @@
             Reconciliation.Row row = c == null || c.attempt() != e.attempt() ? Reconciliation.Row.NONE : row(m, c);
             if (row == Reconciliation.Row.UNWANTED
                     && (stop != null || m.noticeAt >= 0 || c.job().allDone())
-                    && !view.cancelled(c.job().spec.id())) {
+                    && !view.isCancelled(c.job().spec.id())) {
                 // A wish to stop has its own grace, and what is done elsewhere ends by itself. What a cancelled task
                 // saves is of no use,
                 // and its grace may be longer than a cancellation has.
@@ -163,14 +163,14 @@
                 checks.start(c, m);
                 LOG.info(
                         "task {} attempt {} starts on {} session={} term={} heard_ms={}",
-                        c.key(),
+                        c.taskKey(),
                         c.attempt(),
                         m.name,
                         m.session,
                         membership.term(m.shard),
                         now - m.heardAt);
             }
-            orders.add(order(Wire.START, c.key(), c.attempt(), -1));
+            orders.add(order(Wire.START, c.taskKey(), c.attempt(), -1));
             if (straight) {
                 m.loose.put(ak, new long[] {now, membership.term(m.shard)});
             } else {
--- a/src/main/java/birchusher/workers/Faults.java
+++ b/src/main/java/birchusher/workers/Faults.java
@@ -43,7 +43,7 @@
             return false;
         }
         // The rows count the errors of all owners' machines: more than this one has seen means others.
-        return machinesOf.getOrDefault(j.spec.id(), Set.of()).size() > 1 || j.errors() > here;
+        return machinesOf.getOrDefault(j.spec.id(), Set.of()).size() > 1 || j.consecutiveErrors() > here;
     }
 
     /** How many different jobs speak against a machine. */
--- a/src/main/java/birchusher/workers/MachineStatusExchange.java
+++ b/src/main/java/birchusher/workers/MachineStatusExchange.java
@@ -104,7 +104,7 @@
             present.put(p.machine(), p);
             PeerRecord.Machine m = machine(p);
             Told before = told.get(p.machine());
-            if (everything || before == null || now - before.at >= AGAIN_MS || !before.machine.like(m)) {
+            if (everything || before == null || now - before.at >= AGAIN_MS || !before.machine.sameStatus(m)) {
                 news.add(m);
                 told.put(p.machine(), new Told(m, now));
             }
@@ -133,7 +133,7 @@
         }
         int flags = (p.usable() ? PeerRecord.Machine.USABLE : 0)
                 | (p.arriving() ? PeerRecord.Machine.ARRIVING : 0)
-                | (p.condemned() ? PeerRecord.Machine.CONDEMNED : 0)
+                | (p.condemned() ? PeerRecord.Machine.FAULTY : 0)
                 | (p.leaving() ? PeerRecord.Machine.LEAVING : 0);
         int idle = p.idleSince() < 0 ? -1 : (int) (effects.now() - p.idleSince());
         return new PeerRecord.Machine(
@@ -158,24 +158,24 @@
 
     public void heard(int from, PeerRecord.Heartbeat h) {
         long now = effects.now();
-        for (String name : h.left()) {
+        for (String name : h.withdrawnMachines()) {
             Theirs t = theirs.get(name);
             if (t != null && t.owner == from) {
                 theirs.remove(name);
             }
         }
-        h.gone().forEach(theirs::remove);
+        h.deletedMachines().forEach(theirs::remove);
         for (PeerRecord.Machine m : h.machines()) {
             int zone = catalog.zones.find(m.zone());
             if (zone < 0 || m.shard() < 0 || m.shard() >= membership.shardCount()) {
                 continue;
             }
             int[] images = m.images().stream().mapToInt(catalog.images::add).toArray();
-            int n = Math.min(m.fetching().size(), m.fetchMs().size());
+            int n = Math.min(m.fetchingImages().size(), m.fetchRemainingMs().size());
             int[] fetching = new int[n * 2];
             for (int i = 0; i < n; i++) {
-                fetching[2 * i] = catalog.images.add(m.fetching().get(i));
-                fetching[2 * i + 1] = m.fetchMs().get(i);
+                fetching[2 * i] = catalog.images.add(m.fetchingImages().get(i));
+                fetching[2 * i + 1] = m.fetchRemainingMs().get(i);
             }
             theirs.put(
                     m.name(),
@@ -189,15 +189,15 @@
                                     m.shard(),
                                     (m.flags() & PeerRecord.Machine.USABLE) != 0,
                                     (m.flags() & PeerRecord.Machine.ARRIVING) != 0,
-                                    (m.flags() & PeerRecord.Machine.CONDEMNED) != 0,
+                                    (m.flags() & PeerRecord.Machine.FAULTY) != 0,
                                     (m.flags() & PeerRecord.Machine.LEAVING) != 0,
                                     m.silentMs(),
                                     m.idleMs() < 0 ? -1 : now - m.idleMs(),
                                     m.speed(),
-                                    new double[] {m.strayCpus(), m.strayGpus(), m.strayMem()},
+                                    new double[] {m.unclaimedCpus(), m.unclaimedGpus(), m.unclaimedMemoryGb()},
                                     fetching,
                                     images,
-                                    m.reserved().stream()
+                                    m.reservedTasks().stream()
                                             .filter(MachineStatusExchange::isTask)
                                             .toList()),
                             from,
--- a/src/main/java/birchusher/workers/Outcomes.java
+++ b/src/main/java/birchusher/workers/Outcomes.java
@@ -10,9 +10,9 @@
 import birchusher.store.Chunk;
 import birchusher.store.Claim;
 import birchusher.store.Job;
-import birchusher.store.StoreLink;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -69,19 +69,19 @@
     }
 
     private final Effects effects;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final Membership membership;
     private final Counters counters;
     private final Mesh mesh;
     private final Losses losses;
     private final Map<String, Pending> pending = new LinkedHashMap<>();
-    private final Map<Integer, List<PeerRecord.Ended>> outbox = new LinkedHashMap<>();
+    private final Map<Integer, List<PeerRecord.AttemptOutcome>> outbox = new LinkedHashMap<>();
 
     public Outcomes(
             Effects effects,
-            View view,
-            StoreLink store,
+            StoreView view,
+            StoreClient store,
             Membership membership,
             Counters counters,
             Losses losses,
@@ -111,7 +111,7 @@
             pending.put(
                     c.attemptKey(), new Pending(c, kind, effects.now() + (kind.ofMany() ? MANY_MS : DRIVER_MS), false));
             outbox.computeIfAbsent(driver, k -> new ArrayList<>())
-                    .add(new PeerRecord.Ended(
+                    .add(new PeerRecord.AttemptOutcome(
                             c.job().spec.id(),
                             c.task(),
                             c.attempt(),
@@ -128,7 +128,7 @@
     /** The task may be placed anew before its row is written; errors first count against its machine and its job. */
     private void gone(Claim c, Kind kind, long term, boolean own, boolean ours) {
         if (kind.isLoss() || kind == Kind.NOT_STARTED) {
-            view.gone(new Job.Gone(c, term, own, kind.isLoss()));
+            view.markReleased(new Job.ReleasedClaim(c, term, own, kind.isLoss()));
         }
         if (kind != Kind.DROPPED) {
             // Only a machine that lives has their room and images: nothing was rented for the losses of dead ones while
@@ -144,7 +144,7 @@
 
     private void write(Claim c, Kind kind) {
         pending.put(c.attemptKey(), new Pending(c, kind, Long.MAX_VALUE, true));
-        boolean queued = store.offer(new Settle(
+        boolean queued = store.enqueue(new Settle(
                 c.job().spec.id(),
                 c.task(),
                 c.attempt(),
@@ -155,7 +155,7 @@
                 true));
         if (!queued) {
             pending.remove(c.attemptKey());
-            view.notGone(c);
+            view.unmarkReleased(c);
         }
     }
 
@@ -174,7 +174,9 @@
     public void tick() {
         outbox.forEach((driver, items) -> {
             for (int i = 0; i < items.size(); i += MAX_ITEMS) {
-                mesh.send(driver, new PeerRecord.Outcomes(items.subList(i, Math.min(items.size(), i + MAX_ITEMS))));
+                mesh.send(
+                        driver,
+                        new PeerRecord.AttemptOutcomes(items.subList(i, Math.min(items.size(), i + MAX_ITEMS))));
             }
         });
         outbox.clear();
@@ -186,7 +188,7 @@
                 over(p);
             } else if (!membership.owns(p.claim.shard())) {
                 // Not ours to say any more; the new owner finds its own proof.
-                view.notGone(p.claim);
+                view.unmarkReleased(p.claim);
                 it.remove();
             } else if (!p.queued && effects.now() > p.writeBy) {
                 late = late == null ? new ArrayList<>() : late;
@@ -199,14 +201,14 @@
     }
 
     /** As driver: writes what an owner has proof of, as long as that owner's term stands. */
-    public void told(PeerRecord.Outcomes r) {
-        for (PeerRecord.Ended e : r.items()) {
+    public void told(PeerRecord.AttemptOutcomes r) {
+        for (PeerRecord.AttemptOutcome e : r.outcomes()) {
             if (e.shard() >= 0
                     && e.shard() < membership.shardCount()
-                    && e.kind() >= 0
-                    && e.kind() < Kind.values().length) {
-                Kind kind = Kind.values()[e.kind()];
-                boolean queued = store.offer(
+                    && e.kindOrdinal() >= 0
+                    && e.kindOrdinal() < Kind.values().length) {
+                Kind kind = Kind.values()[e.kindOrdinal()];
+                boolean queued = store.enqueue(
                         new Settle(e.job(), e.task(), e.attempt(), e.machine(), e.shard(), e.term(), kind, false));
                 Job j = view.job(e.job());
                 Claim c = j == null || e.task() >= j.spec.tasks() ? null : j.claim(e.task());
@@ -259,28 +261,28 @@
         }
 
         @Override
-        public int cost() {
+        public int maxWrites() {
             return 1;
         }
 
         @Override
-        public long patienceMs() {
+        public long maxDelayMs() {
             return lasts ? 0 : kind == Kind.DONE && array || kind.ofMany() ? PATIENCE_MS : SHORT_PATIENCE_MS;
         }
 
         @Override
-        public boolean rides(Tx tx) {
+        public boolean addsNoWrites(Transaction tx) {
             Job j = view.job(id);
-            return j != null && tx.hasChunk(id, task / j.chunkSize);
+            return j != null && tx.editsChunk(id, task / j.chunkSize);
         }
 
         @Override
-        public long expires() {
+        public long expiresAtMs() {
             return own ? Long.MAX_VALUE : until;
         }
 
         @Override
-        public boolean build(Tx tx) {
+        public boolean build(Transaction tx) {
             Job j = view.job(id);
             // The owner may raise its own term and stays entitled; a driver knows only the term it was told.
             if (j == null
@@ -292,13 +294,13 @@
             if (now == null || now.attempt() != attempt || !now.machine().equals(machine) || now.shard() != shard) {
                 return false;
             }
-            Chunk chunk = tx.chunk(j, task / j.chunkSize);
+            Chunk chunk = tx.editChunk(j, task / j.chunkSize);
             Claim there = chunk.claims.get(task);
             if (there == null || there.attempt() != attempt) {
                 // The same transaction places the task anew, and has taken this claim out for that.
                 return true;
             }
-            tx.require(membership.shardKey(shard));
+            tx.requireUnchanged(membership.shardKey(shard));
             chunk.claims.remove(task);
             if (kind == Kind.DONE) {
                 if (j.spec.gang()) {
@@ -307,9 +309,9 @@
                 } else {
                     chunk.done.set(task - chunk.index * j.chunkSize);
                 }
-                chunk.errors = 0;
+                chunk.consecutiveErrors = 0;
             } else if (kind == Kind.ERROR) {
-                chunk.errors++;
+                chunk.consecutiveErrors++;
             }
             if (kind.isLoss() || kind == Kind.ERROR) {
                 chunk.restarts++;
@@ -335,7 +337,7 @@
             }
             if (!pending.containsKey(now.attemptKey())) {
                 // It can't be written: whoever plans must see the place taken again.
-                view.notGone(now);
+                view.unmarkReleased(now);
             }
         }
     }
--- a/src/main/java/birchusher/workers/Room.java
+++ b/src/main/java/birchusher/workers/Room.java
@@ -5,7 +5,7 @@
 import birchusher.model.JobSpec;
 import birchusher.store.Claim;
 import birchusher.store.Job;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -22,14 +22,20 @@
 
     private final Effects effects;
     private final Catalog catalog;
-    private final View view;
+    private final StoreView view;
     private final Outcomes outcomes;
     /** Whether a job, by its id, lies within its team's guarantee. */
     private final Predicate<String> guaranteed;
 
     private final long reserveMs;
 
-    Room(Effects effects, Catalog catalog, View view, Outcomes outcomes, Predicate<String> guaranteed, long reserveMs) {
+    Room(
+            Effects effects,
+            Catalog catalog,
+            StoreView view,
+            Outcomes outcomes,
+            Predicate<String> guaranteed,
+            long reserveMs) {
         this.effects = effects;
         this.catalog = catalog;
         this.view = view;
@@ -44,7 +50,7 @@
      */
     void make(Machine m, Stops stops) {
         Catalog.Type t = catalog.type(m.type);
-        double[] used = view.useOf(m.name);
+        double[] used = view.capacityUsedOn(m.name);
         if (t == null
                 || used[0] <= t.cpus() + Catalog.EPS
                         && used[1] <= t.gpus() + Catalog.EPS
@@ -58,7 +64,7 @@
         List<Claim> unstarted = new ArrayList<>();
         for (Claim c : view.claims(m.name).values()) {
             String ak = c.attemptKey();
-            if (c.job().gone(c.task()) != null) {
+            if (c.job().released(c.task()) != null) {
                 continue;
             }
             Entry e = m.entries.get(ak);
@@ -77,7 +83,7 @@
             }
         }
         // The youngest lose least.
-        stand.sort(Comparator.comparingLong(c -> -c.seenAt()));
+        stand.sort(Comparator.comparingLong(c -> -c.seenAtMs()));
         for (Claim v : stand) {
             if (enough(planned)) {
                 break;
@@ -129,7 +135,7 @@
         double[] f = {t.cpus(), t.gpus(), t.mem()};
         Map<String, Claim> claims = view.claims(m.name);
         for (Claim c : claims.values()) {
-            if (c.job().gone(c.task()) == null) {
+            if (c.job().released(c.task()) == null) {
                 minus(f, c.job().spec);
             }
         }
@@ -152,7 +158,7 @@
         Map<String, Claim> claims = view.claims(m.name);
         m.reserved.values().removeIf(r -> {
             Claim c = claims.get(r.key());
-            return now > r.until() || c != null && c.job().gone(c.task()) == null;
+            return now > r.until() || c != null && c.job().released(c.task()) == null;
         });
     }
 
@@ -195,7 +201,7 @@
         double[] f = free(m);
         if (makesRoom) {
             for (Claim c : view.claims(m.name).values()) {
-                if (c.job().gone(c.task()) == null
+                if (c.job().released(c.task()) == null
                         && c.job().spec.yieldsTo(j, guaranteed.test(c.job().spec.id()), guaranteed.test(j.id()))) {
                     plus(f, c.job().spec);
                 }
--- a/src/main/java/birchusher/workers/SafetyChecks.java
+++ b/src/main/java/birchusher/workers/SafetyChecks.java
@@ -60,9 +60,9 @@
 
     /** No task is started while another machine of ours may still run an attempt of it. Machines of other owners are not seen here. */
     void start(Claim claim, Machine target) {
-        String name = shownOn.get(claim.key());
+        String name = shownOn.get(claim.taskKey());
         Machine other = name == null || name.equals(target.name) ? null : machines.owned(name);
-        if (other != null && mayRun(claim.key(), other)) {
+        if (other != null && mayRun(claim.taskKey(), other)) {
             broken("started_while_elsewhere", claim, other);
         }
     }
@@ -87,13 +87,13 @@
             LOG.error(
                     "safety rule broken rule={} task={} attempt={} machine={} session={} lease_left_ms={} {}",
                     rule,
-                    claim.key(),
+                    claim.taskKey(),
                     claim.attempt(),
                     machine.name,
                     machine.session,
                     machines.leaseEnd(machine) - now,
                     machine.workerLease.evidence(now));
         }
-        assert false : rule + ": " + claim.key() + " attempt " + claim.attempt() + ", " + machine.name;
+        assert false : rule + ": " + claim.taskKey() + " attempt " + claim.attempt() + ", " + machine.name;
     }
 }
--- a/src/main/java/birchusher/workers/WorkerRegistry.java
+++ b/src/main/java/birchusher/workers/WorkerRegistry.java
@@ -13,8 +13,8 @@
 import birchusher.settings.Tuning;
 import birchusher.store.Claim;
 import birchusher.store.Job;
-import birchusher.store.StoreLink;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
 import birchusher.workers.Machine.Run;
 import birchusher.workers.Machine.Stop;
 import java.util.ArrayList;
@@ -41,8 +41,8 @@
     private final Effects effects;
     private final Settings settings;
     private final Catalog catalog;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final Membership membership;
     private final LeaseTerms terms;
     private final Speeds speeds;
@@ -74,8 +74,8 @@
             Effects effects,
             Settings s,
             Catalog catalog,
-            View view,
-            StoreLink store,
+            StoreView view,
+            StoreClient store,
             Membership membership,
             Speeds speeds,
             Tuning t,
@@ -126,7 +126,7 @@
                 });
         reachability = new Reachability(commands.reportingMs(), 1 + s.peers().size());
         redirects = new OwnerRedirect(effects, membership, book);
-        view.onTouched(this::touch);
+        view.onMachineChange(this::touch);
     }
 
     private void touch(String machine) {
@@ -286,7 +286,7 @@
             if (e.exited()) {
                 exited(m, c, e, run, write);
             } else {
-                checks.shown(c.key(), m);
+                checks.shown(c.taskKey(), m);
                 follow(m, c, e, run, now);
             }
         }
@@ -337,8 +337,8 @@
             m.image(c.job().spec.image(), catalog);
         }
         if (running && !before) {
-            counters.started(effects.wall() - c.job().acceptedAt);
-            LOG.info("task {} attempt {} runs on {}", c.key(), c.attempt(), m.name);
+            counters.started(effects.wall() - c.job().acceptedAtMs);
+            LOG.info("task {} attempt {} runs on {}", c.taskKey(), c.attempt(), m.name);
         }
         if (got == TaskLease.Renewal.GRANTED) {
             counters.renewed++;
@@ -354,7 +354,7 @@
     /** At its cap a task is moved only if it loses nothing by it; else it runs on and the machine counts as slower. */
     private void atCap(Machine m, Claim c, Run run, long now) {
         JobSpec j = c.job().spec;
-        LOG.info("task {} attempt {} on {} is at its cap", c.key(), c.attempt(), m.name);
+        LOG.info("task {} attempt {} on {} is at its cap", c.taskKey(), c.attempt(), m.name);
         m.speed.observe(j.estimateS() * speeds.bias(j.cls()), (now - run.lease.runningSince()) / 1000.0);
         if (j.resumes()) {
             stopJobTask(c, j.saveS() + 4, "at cap");
@@ -366,7 +366,7 @@
             run.ended = true;
             counters.lapsed++;
             m.speed.observe(1, 4);
-            LOG.info("lease of task {} attempt {} on {} lapsed", c.key(), c.attempt(), m.name);
+            LOG.info("lease of task {} attempt {} on {} lapsed", c.taskKey(), c.attempt(), m.name);
             stopJobTask(c, 0, "lapsed");
         }
     }
@@ -439,7 +439,7 @@
     /** Takes a claim out of the store, the caller having the proof that the task is not on the machine any more. */
     private void release(Claim c, Outcomes.Kind outcome, String proof) {
         if (outcomes.add(c, outcome)) {
-            LOG.info("task {} attempt {} left {}: {}", c.key(), c.attempt(), c.machine(), proof);
+            LOG.info("task {} attempt {} left {}: {}", c.taskKey(), c.attempt(), c.machine(), proof);
         }
     }
 
@@ -473,7 +473,7 @@
             m.stops.put(ak, new Stop(graceS, reason, effects.now()));
             counters.stops++;
             orders.stop(ak, reason, effects.now());
-            LOG.info("task {} attempt {} on {} is to stop: {}", c.key(), c.attempt(), m.name, reason);
+            LOG.info("task {} attempt {} on {} is to stop: {}", c.taskKey(), c.attempt(), m.name, reason);
             touch(m.name);
         }
     }
--- a/src/test/java/birchusher/RowBeforeTypesTest.java
+++ b/src/test/java/birchusher/JobRowBeforeMachineTypesTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Found on mahr-galleries: after a restart, replicas that named their machine type were never placed again. */
-class RowBeforeTypesTest {
+class JobRowBeforeMachineTypesTest {
     @Test
-    void aRowReadBeforeTheTypesAreKnownStillFitsItsMachines() {
+    void jobRowReadBeforeMachineTypesAllowsThoseTypes() {
         Catalog catalog = new Catalog(SettingsReader.read(TestJobs.SETTINGS.getBytes(StandardCharsets.UTF_8)));
         Map<String, Object> row = TestJobs.job();
         row.put("builds", List.of("g8"));
--- a/src/test/java/birchusher/PeerCodecTest.java
+++ b/src/test/java/birchusher/PeerCodecTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class PeerCodecTest {
-    private static final List<PeerRecord> ALL = List.of(
+    private static final List<PeerRecord> RECORDS = List.of(
             new PeerRecord.Heartbeat(
                     7,
                     true,
@@ -38,28 +38,28 @@
                             List.of("wk-7/3"))),
                     List.of("n-3"),
                     List.of("n-2")),
-            new PeerRecord.Offer(5, true, true, List.of(new PeerRecord.Item("wk-1", 4, "n-1", 2))),
-            new PeerRecord.CalledOff(List.of(new PeerRecord.Item("wk-1", 4, "n-1", 2))),
-            new PeerRecord.Verdict(5, List.of("", "no room"), List.of(9L, 0L)),
-            new PeerRecord.Stop("wk-1", -1, 3, 6.5, "notice"),
-            new PeerRecord.Retire("n-1", true),
-            new PeerRecord.Outcomes(List.of(new PeerRecord.Ended("wk-1", 4, 2, "n-1", 1, 9, 0))),
-            new PeerRecord.Retired("n-1", false),
-            new PeerRecord.Restoring(12),
+            new PeerRecord.Offer(5, true, true, List.of(new PeerRecord.OfferedTask("wk-1", 4, "n-1", 2))),
+            new PeerRecord.WithdrawnOffer(List.of(new PeerRecord.OfferedTask("wk-1", 4, "n-1", 2))),
+            new PeerRecord.OfferReply(5, List.of("", "no room"), List.of(9L, 0L)),
+            new PeerRecord.StopRequest("wk-1", -1, 3, 6.5, "notice"),
+            new PeerRecord.ReturnRequest("n-1", true),
+            new PeerRecord.AttemptOutcomes(List.of(new PeerRecord.AttemptOutcome("wk-1", 4, 2, "n-1", 1, 9, 0))),
+            new PeerRecord.ReturnReply("n-1", false),
+            new PeerRecord.DroppedTasks(12),
             new PeerRecord.RevisionQuery(77, 41),
-            new PeerRecord.RevisionReply(77, 8, true, 44, 41, List.of(new PeerRecord.Cancelled("wk-9", 43))));
+            new PeerRecord.RevisionReply(77, 8, true, 44, 41, List.of(new PeerRecord.Cancellation("wk-9", 43))));
 
     @Test
-    void recordsComeBackAsTheyWent() {
-        for (PeerRecord r : ALL) {
+    void decodingReturnsTheEncodedRecord() {
+        for (PeerRecord r : RECORDS) {
             assertThat(PeerCodec.decode(PeerCodec.encode("perch-1", 8, r)))
-                    .isEqualTo(new PeerCodec.From("perch-1", 8, r));
+                    .isEqualTo(new PeerCodec.Envelope("perch-1", 8, r));
         }
     }
 
     @Test
-    void aRecordCutOffAnywhereIsRefused() {
-        for (PeerRecord r : ALL) {
+    void truncatedRecordIsRejected() {
+        for (PeerRecord r : RECORDS) {
             byte[] whole = PeerCodec.encode("perch-1", 8, r);
             for (int n = 0; n < whole.length; n++) {
                 byte[] part = Arrays.copyOf(whole, n);
@@ -69,11 +69,11 @@
     }
 
     @Test
-    void bytesAtRandomNeverDoMoreThanBeRefused() {
+    void corruptedRecordIsDecodedOrRejected() {
         Random random = new Random(5);
         int refused = 0;
         for (int i = 0; i < 5_000; i++) {
-            byte[] b = PeerCodec.encode("perch-1", 8, ALL.get(i % ALL.size()));
+            byte[] b = PeerCodec.encode("perch-1", 8, RECORDS.get(i % RECORDS.size()));
             b[random.nextInt(b.length)] = (byte) random.nextInt();
             b[random.nextInt(b.length)] = (byte) random.nextInt();
             try {
--- a/src/test/java/birchusher/PlannerTest.java
+++ b/src/test/java/birchusher/PlannerTest.java
@@ -14,8 +14,8 @@
 import birchusher.store.Claim;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import birchusher.wire.JobCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
             .replace("\"zones\":[\"z\"]", "\"zones\":[\"z\",\"y\"]")
             .replace("\"gpus\":4,\"gpus_max\":8", "\"gpus\":2,\"gpus_max\":8")
             .getBytes(StandardCharsets.UTF_8)));
-    private final View view = new View(catalog, new JobCodec(catalog));
+    private final StoreView view = new StoreView(catalog, new JobCodec(catalog));
     private final Hazards hazards = new Hazards();
     private final Losses losses = new Losses(10_000, 1);
     private final Planner planner = new Planner(
@@ -209,11 +209,12 @@
     @Test
     void claimsEarlierInTheSameTransactionCountInTheirZones() {
         Job web = job("wk-web", Map.of("shape", "standing", "pieces", 2L, "scatter", true, "expect_s", 0.0));
-        Tx tx = new Tx(view);
-        Chunk chunk = tx.chunk(web, 0);
+        Transaction tx = new Transaction(view);
+        Chunk chunk = tx.editChunk(web, 0);
         chunk.claims.put(0, new Claim(web, 0, 1, "a", 1, 0));
         assertThat(Planner.zones(web, s -> s, web.chunks::get, c -> false)).isEmpty();
-        assertThat(Planner.zones(web, s -> s, i -> tx.peek(web, i), c -> false)).containsEntry(0, 1);
+        assertThat(Planner.zones(web, s -> s, i -> tx.peekChunk(web, i), c -> false))
+                .containsEntry(0, 1);
     }
 
     @Test
@@ -238,17 +239,17 @@
     /** A job of one row whose tasks are recorded on these machines, in the order of the tasks. */
     private Job placed(String id, Map<String, Object> changes, String... machines) {
         Job j = job(id, changes);
-        Tx tx = new Tx(view);
+        Transaction tx = new Transaction(view);
         for (int i = 0; i < machines.length; i++) {
-            tx.chunk(j, 0).claims.put(i, new Claim(j, i, 1, machines[i], 1, 0));
+            tx.editChunk(j, 0).claims.put(i, new Claim(j, i, 1, machines[i], 1, 0));
         }
-        tx.body();
+        tx.toRequestBody();
         tx.applyTo(view, ++revision);
         return j;
     }
 
     private void dropped(Job j, int task) {
-        view.gone(new Job.Gone(j.claim(task), 1, true, true));
+        view.markReleased(new Job.ReleasedClaim(j.claim(task), 1, true, true));
         losses.dropped(j.spec.id(), task, j.claim(task).machine(), 0);
     }
 
@@ -282,7 +283,7 @@
     @Test
     void whatAnotherControllerBringsBackIsLeftItsOwnRoomAndNoOther() {
         Job proven = placed("wk-proven", Map.of("pieces", 1L), "away");
-        view.gone(new Job.Gone(proven.claim(0), 1, true, true));
+        view.markReleased(new Job.ReleasedClaim(proven.claim(0), 1, true, true));
         losses.droppedForOther("wk-proven", 0, "away", 0);
         Job ours = placed("wk-ours", Map.of("pieces", 1L, "due_s", 900.0), "home");
         dropped(ours, 0);
@@ -348,19 +349,19 @@
     void aMarkFreesRoomAndZoneAtOnceAndLeavesWithItsClaim() {
         Job web =
                 placed("wk-web", Map.of("shape", "standing", "pieces", 2L, "scatter", true, "expect_s", 0.0), "a", "b");
-        view.gone(new Job.Gone(web.claim(0), 1, true, true));
-        assertThat(view.useOf("a")).containsExactly(0, 0, 0);
-        assertThat(view.gpusOf(web.spec.team())).isEqualTo(2);
+        view.markReleased(new Job.ReleasedClaim(web.claim(0), 1, true, true));
+        assertThat(view.capacityUsedOn("a")).containsExactly(0, 0, 0);
+        assertThat(view.claimedGpus(web.spec.team())).isEqualTo(2);
         assertThat(planner.zones(web, List.of())).containsEntry(0, 1);
-        view.gone(new Job.Gone(web.claim(0), 2, false, true));
-        assertThat(web.gone(0).term()).isEqualTo(2);
-        assertThat(view.goneCount()).isEqualTo(1);
-        Tx tx = new Tx(view);
-        tx.chunk(web, 0).claims.put(0, new Claim(web, 0, 2, "a", 2, 0));
-        tx.body();
+        view.markReleased(new Job.ReleasedClaim(web.claim(0), 2, false, true));
+        assertThat(web.released(0).term()).isEqualTo(2);
+        assertThat(view.releasedClaimCount()).isEqualTo(1);
+        Transaction tx = new Transaction(view);
+        tx.editChunk(web, 0).claims.put(0, new Claim(web, 0, 2, "a", 2, 0));
+        tx.toRequestBody();
         tx.applyTo(view, ++revision);
-        assertThat(view.goneCount()).isZero();
-        assertThat(web.placed(0)).isTrue();
-        assertThat(view.useOf("a")[1]).isEqualTo(1);
+        assertThat(view.releasedClaimCount()).isZero();
+        assertThat(web.isPlaced(0)).isTrue();
+        assertThat(view.capacityUsedOn("a")[1]).isEqualTo(1);
     }
 }
--- a/src/test/java/birchusher/cli/DaemonMeasure.java
+++ b/src/test/java/birchusher/cli/DaemonMeasure.java
@@ -5,7 +5,7 @@
 import birchusher.kv.Write;
 import birchusher.statehost.Keeper;
 import birchusher.store.Keys;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.wal.HostDisk;
 import birchusher.wal.Log;
 import birchusher.wire.Pack;
@@ -35,7 +35,7 @@
     }
 
     private static void fill(Path dir, int jobs) throws IOException {
-        byte[] ended = Pack.encode(View.endedRow(true, 1));
+        byte[] ended = Pack.encode(StoreView.endedJobRow(true, 1));
         try (Keeper k = Keeper.open(
                 new HostDisk(dir.resolve("state")), Log.Options.USUAL, 64 << 20, new Limits(1e9, 1e9, 16, 8192), 0)) {
             for (int i = 1; i <= jobs; i++) {
@@ -43,7 +43,7 @@
                         i,
                         i,
                         new Request.Txn(
-                                List.of(), List.of(new Write.Set(Keys.END + "wk-old-" + i, ended, 0)), 100, 100));
+                                List.of(), List.of(new Write.Set(Keys.ENDED_JOB + "wk-old-" + i, ended, 0)), 100, 100));
                 if (i % 1000 == 0 || i == jobs) {
                     k.flush(i);
                 }
--- a/src/test/java/birchusher/fleet/LateMachinesTest.java
+++ b/src/test/java/birchusher/fleet/LateMachinesTest.java
@@ -8,7 +8,7 @@
 import birchusher.settings.SettingsReader;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.wire.JobCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -56,7 +56,7 @@
 
     private long revision;
 
-    private Job job(View view, String id, String team, String rank, String cls) {
+    private Job job(StoreView view, String id, String team, String rank, String cls) {
         Map<String, Object> m = TestJobs.job();
         m.putAll(Map.of("name_id", id, "crew", team, "rank", rank, "lane", cls, "pieces", 9L, "loaners", true));
         view.put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 100L, "t", 0L, "j", m)), ++revision);
@@ -69,12 +69,12 @@
         String guests = TestJobs.SETTINGS.replace(
                 "\"teams\":[", "\"teams\":[{\"name\":\"guests\",\"cpus\":0,\"cpus_max\":0,\"gpus\":0,\"gpus_max\":0},");
         Catalog catalog = new Catalog(SettingsReader.read(guests.getBytes(StandardCharsets.UTF_8)));
-        View view = new View(catalog, new JobCodec(catalog));
+        StoreView view = new StoreView(catalog, new JobCodec(catalog));
         Demand a = new Demand(catalog, List.of(new Settings.Objective("finished", "spoken", 400, 0.8)), 150_000);
         Job idle = job(view, "wk-idle", "guests", "low", "idle");
         assertThat(a.of(idle, 9, 100_000)).isEqualTo(new Demand.Of(0, true));
         assertThat(a.of(idle, 9, 151_000)).as("it is to begin, though").isEqualTo(new Demand.Of(1, true));
-        view.put(Keys.place("wk-idle", 0), new HashMap<>(Map.of("a", 1L, "d", "1", "c", "")), ++revision);
+        view.put(Keys.placement("wk-idle", 0), new HashMap<>(Map.of("a", 1L, "d", "1", "c", "")), ++revision);
         assertThat(a.of(idle, 8, 400_000)).as("it has begun").isEqualTo(new Demand.Of(0, true));
         Job spoken = job(view, "wk-spoken", "guests", "low", "spoken");
         assertThat(a.of(spoken, 9, 100_000)).isEqualTo(new Demand.Of(9, true));
--- a/src/test/java/birchusher/fleet/ReserveTest.java
+++ b/src/test/java/birchusher/fleet/ReserveTest.java
@@ -7,7 +7,7 @@
 import birchusher.settings.Settings;
 import birchusher.settings.SettingsReader;
 import birchusher.store.Keys;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.wire.JobCodec;
 import birchusher.workers.MachineStatus;
 import java.nio.charset.StandardCharsets;
@@ -25,7 +25,7 @@
     private final Catalog catalog = new Catalog(SettingsReader.read(TestJobs.SETTINGS
             .replace("\"zones\":[\"z\"]", "\"zones\":[\"z\",\"y\"]")
             .getBytes(StandardCharsets.UTF_8)));
-    private final View view = new View(catalog, new JobCodec(catalog));
+    private final StoreView view = new StoreView(catalog, new JobCodec(catalog));
     private final Catalog.Type type =
             new Catalog.Type(catalog.typeNames.add("big"), "big", 32, 0, 128, 80, 1, 2.5, 0.8, 40, new int[] {0, 1});
     private final Map<String, MachineStatus> fleet = new LinkedHashMap<>();
--- a/src/test/java/birchusher/membership/StalenessTest.java
+++ b/src/test/java/birchusher/membership/StalenessTest.java
@@ -5,15 +5,15 @@
 import birchusher.TestJobs;
 import birchusher.core.Effect;
 import birchusher.core.Effects;
-import birchusher.mesh.PeerRecord.Cancelled;
+import birchusher.mesh.PeerRecord.Cancellation;
 import birchusher.mesh.PeerRecord.RevisionQuery;
 import birchusher.mesh.PeerRecord.RevisionReply;
 import birchusher.model.Catalog;
 import birchusher.settings.Settings;
 import birchusher.settings.SettingsReader;
 import birchusher.settings.Tuning;
-import birchusher.store.StoreLink;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
 import birchusher.wire.JobCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -33,8 +33,8 @@
                 TestJobs.SETTINGS.replace("\"seeds\":[]", PEERS).getBytes(StandardCharsets.UTF_8));
         final Catalog catalog = new Catalog(settings);
         final Effects effects = new Effects();
-        final View view = new View(catalog, new JobCodec(catalog));
-        final StoreLink store = new StoreLink(effects, view, settings, new Tuning());
+        final StoreView view = new StoreView(catalog, new JobCodec(catalog));
+        final StoreClient store = new StoreClient(effects, view, settings, new Tuning());
         final Staleness staleness = new Staleness(effects, settings, view, store);
         long now = 100_000;
 
@@ -70,7 +70,7 @@
         }
 
         void cancelled(String id, long revision) {
-            view.put("b/end/" + id, View.endedRow(false, 1), revision);
+            view.put("b/end/" + id, StoreView.endedJobRow(false, 1), revision);
         }
     }
 
@@ -91,7 +91,7 @@
         List<Effect.Call> reads = us.calls("/watch");
         us.now += 900;
         us.effects.time(us.now, us.now);
-        us.store.lease("POST", "/leases/1/extend", Map.of(), (s, m) -> {});
+        us.store.callLease("POST", "/leases/1/extend", Map.of(), (s, m) -> {});
         us.answer("/leases", 200, Map.of());
         assertThat(us.staleness.informedUpTo()).isEqualTo(100_000);
         reads.forEach(c -> us.effects.reply(c.id(), 200, Map.of("events", List.of(), "epoch", 41L)));
@@ -125,9 +125,9 @@
             assertThat(us.staleness.informedUpTo()).as("%s", r).isEqualTo(100_000);
         }
         us.staleness.replied(
-                1, new RevisionReply(us.now, LIFE, false, 44, 40, List.of(new Cancelled("wk-7", 43))), LIFE);
+                1, new RevisionReply(us.now, LIFE, false, 44, 40, List.of(new Cancellation("wk-7", 43))), LIFE);
         assertThat(us.staleness.informedUpTo()).isEqualTo(us.now);
-        assertThat(us.view.cancelled("wk-7")).isTrue();
+        assertThat(us.view.isCancelled("wk-7")).isTrue();
     }
 
     @Test
@@ -137,9 +137,9 @@
         other.cancelled("wk-3", 45);
         other.out(4_000);
         assertThat(other.staleness.reply(new RevisionQuery(7, 41), LIFE))
-                .isEqualTo(new RevisionReply(7, LIFE, false, 45, 41, List.of(new Cancelled("wk-3", 45))));
-        assertThat(other.staleness.reply(new RevisionQuery(7, 40), LIFE).cancelled())
-                .extracting(Cancelled::job)
+                .isEqualTo(new RevisionReply(7, LIFE, false, 45, 41, List.of(new Cancellation("wk-3", 45))));
+        assertThat(other.staleness.reply(new RevisionQuery(7, 40), LIFE).cancellations())
+                .extracting(Cancellation::job)
                 .containsExactly("wk-2", "wk-3");
     }
 
@@ -149,9 +149,9 @@
         Side back = new Side(50);
         back.out(4_000);
         RevisionReply r = back.staleness.reply(new RevisionQuery(us.now, 40), LIFE);
-        assertThat(r.known()).isEqualTo(50);
-        assertThat(r.since()).isEqualTo(-1);
-        assertThat(back.staleness.reply(new RevisionQuery(us.now, 50), LIFE).since())
+        assertThat(r.knownRevision()).isEqualTo(50);
+        assertThat(r.sinceRevision()).isEqualTo(-1);
+        assertThat(back.staleness.reply(new RevisionQuery(us.now, 50), LIFE).sinceRevision())
                 .isEqualTo(50);
     }
 
@@ -165,7 +165,7 @@
         blank.store.tick();
         blank.answer("/watch", 410, Map.of());
         assertThat(blank.store.loaded()).isFalse();
-        assertThat(blank.staleness.reply(new RevisionQuery(us.now, 60), LIFE).known())
+        assertThat(blank.staleness.reply(new RevisionQuery(us.now, 60), LIFE).knownRevision())
                 .isEqualTo(-1);
     }
 
@@ -176,14 +176,14 @@
         }
         other.out(4_000);
         RevisionReply r = other.staleness.reply(new RevisionQuery(us.now, 40), LIFE);
-        assertThat(r.since()).isEqualTo(-1);
-        assertThat(r.cancelled()).isEmpty();
+        assertThat(r.sinceRevision()).isEqualTo(-1);
+        assertThat(r.cancellations()).isEmpty();
         us.out(20_000);
         us.staleness.replied(2, word(us.now), LIFE);
         for (int i = 0; i < 5; i++) {
-            List<Cancelled> many = new ArrayList<>();
+            List<Cancellation> many = new ArrayList<>();
             for (int k = 0; k < 450; k++) {
-                many.add(new Cancelled("wk-" + i + k * 10, 1_000));
+                many.add(new Cancellation("wk-" + i + k * 10, 1_000));
             }
             us.staleness.replied(1, new RevisionReply(us.now, LIFE, false, 1_000, 40, many), LIFE);
             assertThat(us.staleness.informedUpTo() == us.now).as("round %s", i).isEqualTo(i < 4);
--- a/src/test/java/birchusher/placement/QuotasTest.java
+++ b/src/test/java/birchusher/placement/QuotasTest.java
@@ -9,8 +9,8 @@
 import birchusher.store.Claim;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import birchusher.wire.JobCodec;
 import birchusher.wire.Pack;
 import java.nio.charset.StandardCharsets;
@@ -41,7 +41,7 @@
     /** One controller's part: its view, its gates and how far it has read. */
     private final class Member {
         Catalog catalog;
-        View view;
+        StoreView view;
         Quotas quotas;
         int read;
 
@@ -51,10 +51,10 @@
 
         void restart() {
             catalog = new Catalog(SettingsReader.read(SETTINGS.getBytes(StandardCharsets.UTF_8)));
-            view = new View(catalog, new JobCodec(catalog));
+            view = new StoreView(catalog, new JobCodec(catalog));
             quotas = new Quotas(catalog, view, 3);
             rows.forEach((k, r) -> view.put(k, value(r[0]), (Long) r[1]));
-            view.applied(revision);
+            view.appliedRevision(revision);
             read = log.size();
         }
 
@@ -66,7 +66,7 @@
                     Object[] e = log.get(read++);
                     view.put((String) e[0], value(e[1]), at);
                 }
-                view.applied(at);
+                view.appliedRevision(at);
             }
         }
 
@@ -79,15 +79,15 @@
                     free.add(t);
                 }
             }
-            Tx tx = new Tx(view);
+            Transaction tx = new Transaction(view);
             Quotas.Pass pass =
                     free.isEmpty() ? Quotas.Pass.NO : quotas.pass(tx, j.spec.team(), free.size(), 0, free.size());
             if (pass == Quotas.Pass.NO) {
                 return false;
             }
             if (pass == Quotas.Pass.YES) {
-                Chunk c = tx.chunk(j, 0);
-                free.forEach(t -> c.claims.put((int) t, new Claim(j, t, ++c.attempts, "m" + t, 1, 0)));
+                Chunk c = tx.editChunk(j, 0);
+                free.forEach(t -> c.claims.put((int) t, new Claim(j, t, ++c.lastAttempt, "m" + t, 1, 0)));
             }
             long rev = commit(tx);
             if (rev > 0 && answered) {
@@ -101,8 +101,8 @@
 
         void release(String id, Random r) {
             Job j = view.job(id);
-            Tx tx = new Tx(view);
-            Chunk c = tx.chunk(j, 0);
+            Transaction tx = new Transaction(view);
+            Chunk c = tx.editChunk(j, 0);
             c.claims.values().removeIf(x -> r.nextBoolean());
             long rev = commit(tx);
             if (rev > 0) {
@@ -116,8 +116,8 @@
     }
 
     @SuppressWarnings("unchecked")
-    private long commit(Tx tx) {
-        Map<String, Object> body = tx.body();
+    private long commit(Transaction tx) {
+        Map<String, Object> body = tx.toRequestBody();
         for (Object o : (List<Object>) body.get("if")) {
             Map<String, Object> c = (Map<String, Object>) o;
             Object[] row = rows.get(c.get("path"));
@@ -137,7 +137,7 @@
         byte[] packed = Pack.encode(value);
         rows.put(key, new Object[] {packed, revision});
         log.add(new Object[] {key, packed, revision});
-        gateWrites += key.startsWith(Keys.GATE) ? 1 : 0;
+        gateWrites += key.startsWith(Keys.QUOTA) ? 1 : 0;
     }
 
     private void job(String id) {
@@ -149,7 +149,7 @@
     }
 
     private double use() {
-        return new Member().view.gpusOf(0);
+        return new Member().view.claimedGpus(0);
     }
 
     private final Member[] members = new Member[3];
--- a/src/test/java/birchusher/recovery/ReturnTest.java
+++ b/src/test/java/birchusher/recovery/ReturnTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import birchusher.model.Catalog;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.wire.JobCodec;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -15,7 +15,7 @@
 class ReturnTest {
     private final Catalog catalog = new Catalog(birchusher.settings.SettingsReader.read(
             birchusher.TestJobs.SETTINGS.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
-    private final Inventory inventory = new Inventory(new View(catalog, new JobCodec(catalog)), 10_000);
+    private final Inventory inventory = new Inventory(new StoreView(catalog, new JobCodec(catalog)), 10_000);
     private final Set<String> heard = new HashSet<>();
     private final Set<String> reports = new HashSet<>();
     private final Set<String> gone = new HashSet<>();
