--- a/src/test/java/birchusher/store/StoreLinkTest.java
+++ b/src/test/java/birchusher/store/StoreClientTest.java
@@ -18,20 +18,20 @@
 import org.junit.jupiter.api.Test;
 
 /** What goes into one transaction, and who goes first when rows are short. */
-class StoreLinkTest {
+class StoreClientTest {
     private final Settings settings = SettingsReader.read(TestJobs.SETTINGS.getBytes(StandardCharsets.UTF_8));
     private final Catalog catalog = new Catalog(settings);
     private final Effects effects = new Effects();
-    private final View view = new View(catalog, new JobCodec(catalog));
-    private final StoreLink store = new StoreLink(effects, view, settings, new Tuning());
-    private final List<String> built = new ArrayList<>();
+    private final StoreView view = new StoreView(catalog, new JobCodec(catalog));
+    private final StoreClient store = new StoreClient(effects, view, settings, new Tuning());
+    private final List<String> builtChanges = new ArrayList<>();
     private long now = 1_000;
 
-    StoreLinkTest() {
+    StoreClientTest() {
         effects.time(now, now);
         store.tick();
-        answer("/store?", 200, Map.of("rows", List.of(), "has_next", false, "epoch", 1L));
-        answer("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
+        replyTo("/store?", 200, Map.of("rows", List.of(), "has_next", false, "epoch", 1L));
+        replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
     }
 
     private List<Effect.Call> calls(String path) {
@@ -41,26 +41,26 @@
                 .toList();
     }
 
-    private void answer(String path, int status, Map<String, Object> body) {
+    private void replyTo(String path, int status, Map<String, Object> body) {
         calls(path).forEach(c -> effects.reply(c.id(), status, body));
     }
 
-    private void offer(String key, int rank, int bytes) {
-        store.offer(new Change() {
+    private void enqueue(String key, int rank, int bytes) {
+        store.enqueue(new Change() {
             @Override
             public int rank() {
                 return rank;
             }
 
             @Override
-            public int cost() {
+            public int maxWrites() {
                 return 1;
             }
 
             @Override
-            public boolean build(Tx tx) {
+            public boolean build(Transaction tx) {
                 tx.put("b/live/" + key, Map.of("x", "y".repeat(bytes)));
-                built.add(key);
+                builtChanges.add(key);
                 return true;
             }
 
@@ -72,7 +72,7 @@
         });
     }
 
-    private void later(long ms) {
+    private void advance(long ms) {
         now += ms;
         effects.time(now, now);
         store.tick();
@@ -80,32 +80,32 @@
 
     /** A dozen full rows are within the number of writes and beyond the 64 KiB: refused whole, and worked out again as they were. */
     @Test
-    void aTransactionKeepsWithinItsBytes() {
-        offer("first", 4, 10);
+    void transactionStaysWithinMaxBytes() {
+        enqueue("first", 4, 10);
         Effect.Call first = calls("/multi").get(0);
         for (int i = 0; i < 11; i++) {
-            offer("row" + i, 4, 8_000);
+            enqueue("row" + i, 4, 8_000);
         }
         effects.reply(first.id(), 200, Map.of("epoch", 2L));
-        later(3_000);
+        advance(3_000);
         Effect.Call all = calls("/multi").get(0);
         assertThat(Json.size(all.body())).isBetween(30_000, 64 * 1024);
     }
 
     /** A swarm's ends took each row as it came, and submissions waited for the next. */
     @Test
-    void changesThatNobodyWaitsForLeaveRowsToThoseThatSomebodyWaitsFor() {
+    void unawaitedChangesLeaveRowsToAwaitedOnes() {
         for (int i = 0; i < 60; i++) {
-            offer("end" + i, 9, 10);
+            enqueue("end" + i, 9, 10);
         }
-        for (int i = 0; i < 400 && built.size() < 50; i++) {
-            later(10);
-            answer("/multi", 200, Map.of("epoch", 2L + i));
+        for (int i = 0; i < 400 && builtChanges.size() < 50; i++) {
+            advance(10);
+            replyTo("/multi", 200, Map.of("epoch", 2L + i));
         }
-        int before = built.size();
-        offer("submitted", 2, 10);
-        later(40);
-        assertThat(built.subList(before, built.size())).contains("submitted");
+        int before = builtChanges.size();
+        enqueue("submitted", 2, 10);
+        advance(40);
+        assertThat(builtChanges.subList(before, builtChanges.size())).contains("submitted");
         assertThat(calls("/multi")).isNotEmpty();
     }
 
@@ -114,36 +114,36 @@
      * its second try, its controller answered workers again beside the new owner.
      */
     @Test
-    void whatMayYetBeAppliedIsNotDroppedWithARefusedTransaction() {
-        offer("handover", 1, 10);
+    void changeWithUnknownOutcomeSurvivesRejectedTransaction() {
+        enqueue("handover", 1, 10);
         effects.reply(calls("/multi").get(0).id(), 0, Map.of());
-        later(500);
-        answer("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
-        later(300);
+        advance(500);
+        replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
+        advance(300);
         effects.reply(calls("/multi").get(0).id(), 400, Map.of("error", "no such lease"));
-        built.clear();
-        later(1_000);
-        answer("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
-        later(300);
-        assertThat(built).as("worked out again").contains("handover");
+        builtChanges.clear();
+        advance(1_000);
+        replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
+        advance(300);
+        assertThat(builtChanges).as("worked out again").contains("handover");
     }
 
     /** Sent in the same millisecond, but before the question came: what it reads may be older than what the user was told elsewhere. */
     @Test
-    void aReadUnderWayIsNoAnswerToALaterQuestion() {
+    void readInProgressDoesNotAnswerALaterRequest() {
         List<String> fresh = new ArrayList<>();
-        later(3_000);
-        answer("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
-        later(1_000);
-        store.fresh(ok -> fresh.add("first " + ok));
+        advance(3_000);
+        replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
+        advance(1_000);
+        store.whenUpToDate(ok -> fresh.add("first " + ok));
         List<Effect.Call> reads = calls("/watch");
         assertThat(reads).isNotEmpty();
-        store.fresh(ok -> fresh.add("second " + ok));
+        store.whenUpToDate(ok -> fresh.add("second " + ok));
         effects.reply(reads.get(reads.size() - 1).id(), 200, Map.of("events", List.of(), "epoch", 1L));
         assertThat(fresh).isNotEmpty().doesNotContain("second true");
         for (int i = 0; i < 10; i++) {
-            later(100);
-            answer("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
+            advance(100);
+            replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
         }
         assertThat(fresh).contains("second true");
     }
--- a/src/test/java/birchusher/workers/FaultsTest.java
+++ b/src/test/java/birchusher/workers/FaultsTest.java
@@ -7,7 +7,7 @@
 import birchusher.settings.SettingsReader;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.wire.JobCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -18,7 +18,7 @@
 class FaultsTest {
     private final Catalog catalog =
             new Catalog(SettingsReader.read(TestJobs.SETTINGS.getBytes(StandardCharsets.UTF_8)));
-    private final View view = new View(catalog, new JobCodec(catalog));
+    private final StoreView view = new StoreView(catalog, new JobCodec(catalog));
     private final Faults faults = new Faults();
     private final Machine a = new Machine("a", 0, 10);
     private final Machine b = new Machine("b", 0, 10);
@@ -39,7 +39,7 @@
         assertThat(faults.failed(bad, b)).containsExactlyInAnyOrder("a", "b");
         assertThat(faults.against(a, view::job)).isZero();
         assertThat(faults.against(b, view::job)).isZero();
-        view.put(Keys.place("wk-bad", 0), new HashMap<>(Map.of("a", 3L, "d", "1", "c", "")), ++revision);
+        view.put(Keys.placement("wk-bad", 0), new HashMap<>(Map.of("a", 3L, "d", "1", "c", "")), ++revision);
         assertThat(bad.doneCount()).as("a task ended well").isEqualTo(1);
         assertThat(faults.against(a, view::job)).isEqualTo(1);
     }
--- a/src/test/java/birchusher/workers/GrantsTest.java
+++ b/src/test/java/birchusher/workers/GrantsTest.java
@@ -9,7 +9,7 @@
 import birchusher.settings.SettingsReader;
 import birchusher.store.Claim;
 import birchusher.store.Keys;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.wire.JobCodec;
 import birchusher.wire.Wire;
 import java.nio.charset.StandardCharsets;
@@ -112,7 +112,7 @@
         first.entries = report.tasks();
         checks.shown("wk-1/0", first);
         Catalog catalog = new Catalog(SettingsReader.read(TestJobs.SETTINGS.getBytes(StandardCharsets.UTF_8)));
-        View view = new View(catalog, new JobCodec(catalog));
+        StoreView view = new StoreView(catalog, new JobCodec(catalog));
         Map<String, Object> body = TestJobs.job();
         body.put("name_id", "wk-1");
         view.put(Keys.JOB + "wk-1", new HashMap<>(Map.of("s", "OPEN", "k", 100L, "t", 0L, "j", body)), 1);
