--- a/src/main/java/birchusher/agent/Agent.java
+++ b/src/main/java/birchusher/agent/Agent.java
@@ -1,7 +1,7 @@
 package birchusher.agent;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.http.EventLoop;
 import birchusher.http.HttpClient;
 import birchusher.http.HttpServer;
@@ -213,7 +213,7 @@
                 (status, bytes) -> {
                     try {
                         reply.got(status, bytes.length == 0 ? Map.of() : Fields.map(Pack.decode(bytes), "answer"));
-                    } catch (Bad e) {
+                    } catch (InvalidInputException e) {
                         LOG.error("{} of {} not as agreed: {}", path, address, e.getMessage());
                         reply.got(0, Map.of());
                     }
@@ -297,7 +297,7 @@
                 act(worker.direct(
                         EventLoop.now(), exchange, method, target, body.length == 0 ? null : Pack.decode(body)));
             }
-        } catch (Bad | Target.Bad e) {
+        } catch (InvalidInputException | Target.Bad e) {
             httpServer.answer(exchange, 400, Pack.encode(Map.of("error", e.getMessage())), 0);
         } catch (IOException e) {
             LOG.error("log can't be read: {}", e.getMessage());
--- a/src/main/java/birchusher/agent/Logs.java
+++ b/src/main/java/birchusher/agent/Logs.java
@@ -1,6 +1,6 @@
 package birchusher.agent;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -126,7 +126,7 @@
         Path head = file(key, HEAD);
         Path tail = file(key, TAIL);
         if (!Files.exists(head)) {
-            throw new Bad("try: no log of this attempt is kept here");
+            throw new InvalidInputException("try: no log of this attempt is kept here");
         }
         long first = Files.size(head);
         boolean second = from >= first && Files.exists(tail);
--- a/src/main/java/birchusher/agent/Order.java
+++ b/src/main/java/birchusher/agent/Order.java
@@ -1,7 +1,7 @@
 package birchusher.agent;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.Wire;
 import java.util.ArrayList;
 import java.util.List;
@@ -25,7 +25,7 @@
         }
         List<?> l = Fields.list(m, Wire.COMMANDS);
         if (l.size() > MAX_ORDERS) {
-            throw new Bad(Wire.COMMANDS + ": over " + MAX_ORDERS);
+            throw new InvalidInputException(Wire.COMMANDS + ": over " + MAX_ORDERS);
         }
         for (Object o : l) {
             Map<String, Object> x = Fields.map(o, Wire.COMMANDS);
@@ -34,7 +34,7 @@
                         case Wire.START -> Verb.START;
                         case Wire.STOP -> Verb.STOP;
                         case Wire.FORGET -> Verb.REAP;
-                        default -> throw new Bad(Wire.OP + ": unknown");
+                        default -> throw new InvalidInputException(Wire.OP + ": unknown");
                     };
             orders.add(new Order(
                     verb,
@@ -52,6 +52,6 @@
                 && piece.substring(slash + 1).matches("[0-9]{1,6}")) {
             return new Action.Key(piece.substring(0, slash), Integer.parseInt(piece.substring(slash + 1)), attempt);
         }
-        throw new Bad(Wire.TASK + ": not a task's name");
+        throw new InvalidInputException(Wire.TASK + ": not a task's name");
     }
 }
--- a/src/main/java/birchusher/agent/Worker.java
+++ b/src/main/java/birchusher/agent/Worker.java
@@ -1,7 +1,7 @@
 package birchusher.agent;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.Wire;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -302,7 +302,7 @@
             } else {
                 elsewhere(at, status == 421 ? Fields.textOrNull(m, Wire.REPORT_TO) : null);
             }
-        } catch (Bad e) {
+        } catch (InvalidInputException e) {
             LOG.error("answer to a report not as agreed: {}", e.getMessage());
         }
         return taken();
--- a/src/main/java/birchusher/cli/Caller.java
+++ b/src/main/java/birchusher/cli/Caller.java
@@ -1,7 +1,7 @@
 package birchusher.cli;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.http.HttpParser;
 import birchusher.http.HttpWriter;
 import birchusher.settings.Settings.Address;
@@ -102,7 +102,7 @@
                             m.status(), m.body().length == 0 ? Map.of() : Fields.map(Pack.decode(m.body()), "answer"));
                 }
             }
-        } catch (HttpParser.Malformed | Bad e) {
+        } catch (HttpParser.Malformed | InvalidInputException e) {
             throw new IOException("answer is not as agreed: " + e.getMessage());
         }
     }
--- a/src/main/java/birchusher/cli/Inspect.java
+++ b/src/main/java/birchusher/cli/Inspect.java
@@ -1,7 +1,7 @@
 package birchusher.cli;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.Json;
 import birchusher.wire.Wire;
 import java.util.ArrayList;
@@ -119,7 +119,7 @@
 
         private static String param(String option, String name, String value) {
             if (value != null && !value.matches("[A-Za-z0-9_.-]+")) {
-                throw new Bad(option + ": letters, digits, - _ and .");
+                throw new InvalidInputException(option + ": letters, digits, - _ and .");
             }
             return value == null ? "" : "&" + name + "=" + value;
         }
@@ -285,7 +285,7 @@
         private Map<String, Object> find(String path) throws Exception {
             Caller.Got g = talk.call("GET", path, null);
             if (!g.fine()) {
-                throw new Bad(g.error());
+                throw new InvalidInputException(g.error());
             }
             Map<String, Object> best = null;
             for (Map.Entry<String, Object> host :
@@ -308,7 +308,7 @@
                 Caller.Got g = talk.call(
                         "GET", path + "?host=" + log.get("host") + "&try=" + log.get("try") + "&from=" + at, null);
                 if (!g.fine()) {
-                    throw new Bad(g.error());
+                    throw new InvalidInputException(g.error());
                 }
                 if (Boolean.TRUE.equals(g.body().get("cut"))) {
                     System.out.println("\n[... the middle is not kept ...]");
--- a/src/main/java/birchusher/cli/Journal.java
+++ b/src/main/java/birchusher/cli/Journal.java
@@ -1,7 +1,7 @@
 package birchusher.cli;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.settings.SettingsReader;
 import birchusher.wire.Json;
 import java.io.IOException;
@@ -65,7 +65,7 @@
     Map<String, Object> read(String id) throws IOException {
         try {
             return Fields.map(SettingsReader.tree(Files.readAllBytes(dir.resolve(id + END))), id);
-        } catch (Bad e) {
+        } catch (InvalidInputException e) {
             throw new IOException(dir.resolve(id + END) + ": " + e.getMessage());
         }
     }
--- a/src/main/java/birchusher/cli/Main.java
+++ b/src/main/java/birchusher/cli/Main.java
@@ -1,6 +1,6 @@
 package birchusher.cli;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.server.Loop;
 import birchusher.settings.Settings;
 import birchusher.settings.SettingsReader;
@@ -103,7 +103,7 @@
     static int guarded(Body body) {
         try {
             return body.run();
-        } catch (Bad e) {
+        } catch (InvalidInputException e) {
             System.err.println("birchusher: " + e.getMessage());
             return 2;
         } catch (Caller.Unreachable e) {
--- a/src/main/java/birchusher/cli/Serving.java
+++ b/src/main/java/birchusher/cli/Serving.java
@@ -1,7 +1,7 @@
 package birchusher.cli;
 
 import birchusher.agent.Agent;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.daemon.Daemon;
 import birchusher.daemon.DaemonSettings;
 import birchusher.settings.Settings.Address;
@@ -105,7 +105,7 @@
             String host =
                     local.isEmpty() ? d.hosts().hosts().keySet().iterator().next() : local;
             if (!d.hosts().hosts().containsKey(host)) {
-                throw new Bad("--local: no host " + host + " is listed");
+                throw new InvalidInputException("--local: no host " + host + " is listed");
             }
             List<String> command = new ArrayList<>(List.of(
                     ProcessHandle.current().info().command().orElse("java"),
@@ -207,7 +207,7 @@
         public Integer call() {
             return Main.guarded(() -> {
                 if (!Files.isDirectory(dir)) {
-                    throw new Bad("--dir: " + dir + " is no directory");
+                    throw new InvalidInputException("--dir: " + dir + " is no directory");
                 }
                 try (HostDisk disk = new HostDisk(dir)) {
                     Repair.Plan plan = Repair.plan(disk);
--- a/src/main/java/birchusher/cli/Submit.java
+++ b/src/main/java/birchusher/cli/Submit.java
@@ -1,7 +1,7 @@
 package birchusher.cli;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.pool.Programs;
 import birchusher.settings.SettingsReader;
 import birchusher.wire.Wire;
@@ -168,7 +168,7 @@
         set(job, Wire.CHECKPOINT, saveEveryS);
         set(job, Wire.SAVE, saveTakeS);
         if (job.get(Wire.TEAM) == null) {
-            throw new Bad("--team: missing, and BIRCHUSHER_TEAM is not set");
+            throw new InvalidInputException("--team: missing, and BIRCHUSHER_TEAM is not set");
         }
         if (job.get(Wire.ID) == null) {
             job.put(Wire.ID, Wire.ID_PREFIX + UUID.randomUUID());
@@ -180,7 +180,7 @@
         }
         if (!env.isEmpty()) {
             if (program == null) {
-                throw new Bad("--env: without a command");
+                throw new InvalidInputException("--env: without a command");
             }
             Map<String, Object> all =
                     new HashMap<>(program.get("env") == null ? Map.of() : Fields.map(program.get("env"), "env"));
--- a/src/main/java/birchusher/cli/Talk.java
+++ b/src/main/java/birchusher/cli/Talk.java
@@ -1,7 +1,7 @@
 package birchusher.cli;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.JobCodec;
 import birchusher.wire.Json;
 import birchusher.wire.Wire;
@@ -45,7 +45,7 @@
 
     Caller.Got call(String method, String path, Object body) throws Exception {
         if (!(deadlineS > 0 && deadlineS <= 86_400)) {
-            throw new Bad("--deadline: above 0, at most 86400");
+            throw new InvalidInputException("--deadline: above 0, at most 86400");
         }
         if (caller == null) {
             caller = new Caller(server, deadlineS);
@@ -59,7 +59,7 @@
 
     static String checked(String id) {
         if (!JobCodec.isId(id)) {
-            throw new Bad("ID: not a job id, expected " + Wire.ID_PREFIX + "...");
+            throw new InvalidInputException("ID: not a job id, expected " + Wire.ID_PREFIX + "...");
         }
         return id;
     }
--- a/src/main/java/birchusher/cli/Wait.java
+++ b/src/main/java/birchusher/cli/Wait.java
@@ -1,6 +1,6 @@
 package birchusher.cli;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.Wire;
 import java.util.ArrayList;
 import java.util.List;
@@ -38,7 +38,7 @@
     public Integer call() {
         return Main.guarded(() -> {
             if (!(timeoutS >= 0)) {
-                throw new Bad("--timeout: 0 or more");
+                throw new InvalidInputException("--timeout: 0 or more");
             }
             ids.forEach(Talk::checked);
             return until(talk, ids, timeoutS);
--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -1,10 +1,10 @@
 package birchusher.controller;
 
-import birchusher.cloud.CloudLink;
+import birchusher.cloud.CloudClient;
 import birchusher.core.Effect;
 import birchusher.core.Effects;
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.fleet.Autoscaler;
 import birchusher.http.Target;
 import birchusher.jobs.Events;
@@ -20,9 +20,9 @@
 import birchusher.placement.Driver;
 import birchusher.placement.Planner;
 import birchusher.placement.Slot;
+import birchusher.recovery.ActionCounters;
 import birchusher.recovery.Inventory;
-import birchusher.recovery.Losses;
-import birchusher.recovery.Orders;
+import birchusher.recovery.LostTasks;
 import birchusher.settings.Settings;
 import birchusher.settings.Tuning;
 import birchusher.store.Claim;
@@ -47,7 +47,7 @@
  */
 public final class Core {
     private static final Logger LOG = LoggerFactory.getLogger(Core.class);
-    private static final long HEARTBEAT_MS = 500;
+    private static final long HEARTBEAT_INTERVAL_MS = 500;
 
     private final Effects effects = new Effects();
     private final Settings settings;
@@ -60,24 +60,24 @@
     private final JobApi jobApi;
     private final Listing listing;
     private final Planner planner;
-    private final Driver driver;
+    private final Driver jobScheduler;
     private final Autoscaler autoscaler;
     private final Counters counters = new Counters();
-    private final MachineStatusExchange book;
-    private final Orders orders = new Orders();
+    private final MachineStatusExchange statusExchange;
+    private final ActionCounters actionCounters = new ActionCounters();
     private final Inventory inventory;
-    private final Losses losses;
+    private final LostTasks lostTasks;
     /** Our machines as last drawn, a quarter of a second old at most when the news of them is told. */
-    private List<MachineStatus> own = List.of();
+    private List<MachineStatus> ownStatuses = List.of();
 
-    private boolean toldRestoring;
-    private long nextHeartbeat;
-    private long nextPictures;
-    private long nextLine;
-    private long badLogged = -1_000_000;
+    private boolean restoringAnnounced;
+    private long nextHeartbeatMs;
+    private long nextStatusUpdateMs;
+    private long nextCountersLogMs;
+    private long rejectionLoggedMs = -1_000_000;
 
     public Core(Settings s, Tuning t, long now, long wall) {
-        effects.time(now, wall);
+        effects.setTime(now, wall);
         settings = s;
         catalog = new Catalog(s);
         JobCodec codec = new JobCodec(catalog);
@@ -87,12 +87,12 @@
         membership = new Membership(effects, s, catalog, view, store, t);
         Speeds speeds = new Speeds();
         Driver[] later = new Driver[1];
-        book = new MachineStatusExchange(effects, catalog, membership);
-        membership.hearsWorkers(book::hears);
-        long patience =
-                Inventory.patience(Math.round(s.reportS() * 1000), 1 + s.peers().size());
-        losses = new Losses(patience, 1 + s.peers().size());
-        outcomes = new Outcomes(effects, view, store, membership, counters, losses, this::send);
+        statusExchange = new MachineStatusExchange(effects, catalog, membership);
+        membership.reachesWorkers(statusExchange::hears);
+        long patience = Inventory.reconnectTimeMs(
+                Math.round(s.reportS() * 1000), 1 + s.peers().size());
+        lostTasks = new LostTasks(patience, 1 + s.peers().size());
+        outcomes = new Outcomes(effects, view, store, membership, counters, lostTasks, this::send);
         workerRegistry = new WorkerRegistry(
                 effects,
                 s,
@@ -104,22 +104,22 @@
                 t,
                 counters,
                 outcomes,
-                book,
-                orders,
+                statusExchange,
+                actionCounters,
                 (job, grace, reason) -> later[0].stopGang(job, grace, reason),
                 id -> later[0].last().guaranteed().contains(id));
         Hazards hazards = new Hazards();
         Events events = new Events();
         view.setClaimListeners(
-                book::kind,
+                statusExchange::kind,
                 c -> {
                     events.placed(effects.now(), c);
-                    losses.back(c);
+                    lostTasks.recordPlaced(c);
                 },
                 (c, lost) -> {
                     events.left(effects.now(), c, lost);
                     if (lost) {
-                        losses.left(c, effects.now());
+                        lostTasks.recordReleased(c, effects.now());
                     }
                     if (c.machineKind() >= 0) {
                         hazards.observe(c.machineKind(), (effects.now() - c.seenAtMs()) / 1000.0, lost, effects.now());
@@ -130,12 +130,12 @@
                 view,
                 speeds,
                 hazards,
-                losses,
+                lostTasks,
                 LeaseTerms.from(t),
                 s.objectives(),
                 t.num("placement.begin-by-s"));
         inventory = new Inventory(view, patience);
-        driver = new Driver(
+        jobScheduler = new Driver(
                 effects,
                 s,
                 catalog,
@@ -147,9 +147,9 @@
                 counters,
                 t,
                 this::send,
-                inventory::returned,
-                () -> losses.returningOfAll(effects.now()));
-        later[0] = driver;
+                inventory::wasFleetKnown,
+                () -> lostTasks.tasksToRestoreOfAll(effects.now()));
+        later[0] = jobScheduler;
         jobApi = new JobApi(effects, s, catalog, codec, view, store, membership);
         listing = new Listing(effects, catalog, codec, view, store, jobApi, events);
         autoscaler = new Autoscaler(
@@ -159,118 +159,118 @@
                 view,
                 store,
                 membership,
-                new CloudLink(effects, s),
+                new CloudClient(effects, s),
                 counters,
-                orders,
-                inventory::known,
-                () -> losses.returningOfAll(effects.now()),
+                actionCounters,
+                inventory::isFleetKnown,
+                () -> lostTasks.tasksToRestoreOfAll(effects.now()),
                 t,
-                this::retire,
+                this::requestReturn,
                 workerRegistry::gone,
-                driver::slots,
-                driver::runningFor);
+                jobScheduler::slots,
+                jobScheduler::runningFor);
     }
 
     // ---- inputs
 
-    public List<Effect> request(long now, long wall, long exchange, String method, String target, byte[] body) {
-        effects.time(now, wall);
+    public List<Effect> handleRequest(long now, long wall, long exchange, String method, String target, byte[] body) {
+        effects.setTime(now, wall);
         try {
             route(exchange, method, target, body);
-        } catch (Bad | Target.Bad e) {
-            if (now - badLogged > 1_000) {
-                badLogged = now;
+        } catch (InvalidInputException | Target.Bad e) {
+            if (now - rejectionLoggedMs > 1_000) {
+                rejectionLoggedMs = now;
                 LOG.info("{} {} refused: {}", method, target, e.getMessage());
             }
             effects.answer(exchange, 400, Map.of("error", e.getMessage()));
         }
-        return done();
+        return finishStep();
     }
 
-    public List<Effect> reply(long now, long wall, long id, int status, byte[] body) {
-        effects.time(now, wall);
+    public List<Effect> handleReply(long now, long wall, long id, int status, byte[] body) {
+        effects.setTime(now, wall);
         Map<String, Object> m = Map.of();
         int got = status;
         if (body.length > 0) {
             try {
                 m = Fields.map(Pack.decode(body), "answer");
-            } catch (Bad e) {
+            } catch (InvalidInputException e) {
                 LOG.info("unreadable answer: {}", e.getMessage());
                 got = 0;
             }
         }
         try {
-            effects.reply(id, got, m);
-        } catch (Bad e) {
+            effects.completeCall(id, got, m);
+        } catch (InvalidInputException e) {
             LOG.error("answer not as agreed: {}", e.getMessage());
         }
-        return done();
+        return finishStep();
     }
 
-    public List<Effect> peer(long now, long wall, byte[] record) {
-        effects.time(now, wall);
+    public List<Effect> handlePeerRecord(long now, long wall, byte[] record) {
+        effects.setTime(now, wall);
         try {
             PeerCodec.Envelope from = PeerCodec.decode(record);
-            int i = membership.index(from.member());
-            if (i > 0 && membership.earlierLife(i, from.incarnation())) {
-                throw new Bad("from an earlier life of " + from.member());
+            int i = membership.memberIndex(from.member());
+            if (i > 0 && membership.isEarlierIncarnation(i, from.incarnation())) {
+                throw new InvalidInputException("from an earlier life of " + from.member());
             }
             if (i > 0) {
-                heard(i, from.incarnation(), from.record());
+                dispatchPeerRecord(i, from.incarnation(), from.record());
             }
-        } catch (Bad e) {
-            if (now - badLogged > 1_000) {
-                badLogged = now;
+        } catch (InvalidInputException e) {
+            if (now - rejectionLoggedMs > 1_000) {
+                rejectionLoggedMs = now;
                 LOG.info("peer record refused: {}", e.getMessage());
             }
         }
-        return done();
+        return finishStep();
     }
 
     public List<Effect> tick(long now, long wall) {
-        effects.time(now, wall);
+        effects.setTime(now, wall);
         store.tick();
         membership.tick();
         workerRegistry.tick();
         jobApi.tick();
-        losses.tick(now);
-        boolean plan = driver.due();
-        if (plan || now >= nextPictures) {
-            nextPictures = now + 250;
-            own = workerRegistry.pictures();
-            book.draw(own);
-            inventory.look(now, store.loaded(), this::told, autoscaler::leaves, autoscaler.strangers());
+        lostTasks.tick(now);
+        boolean plan = jobScheduler.due();
+        if (plan || now >= nextStatusUpdateMs) {
+            nextStatusUpdateMs = now + 250;
+            ownStatuses = workerRegistry.pictures();
+            statusExchange.draw(ownStatuses);
+            inventory.update(now, store.loaded(), this::machineEvidence, autoscaler::leaves, autoscaler.strangers());
         }
         if (plan) {
-            driver.tick(book.pictures(), this::coming);
+            jobScheduler.tick(statusExchange.pictures(), this::upcomingSlots);
         }
-        autoscaler.tick(book.pictures(), driver.last());
-        if (now >= nextHeartbeat) {
-            nextHeartbeat = now + HEARTBEAT_MS;
-            heartbeat();
+        autoscaler.tick(statusExchange.pictures(), jobScheduler.last());
+        if (now >= nextHeartbeatMs) {
+            nextHeartbeatMs = now + HEARTBEAT_INTERVAL_MS;
+            sendHeartbeat();
         }
-        if (now >= nextLine) {
-            nextLine = now + 30_000;
+        if (now >= nextCountersLogMs) {
+            nextCountersLogMs = now + 30_000;
             LOG.info(
                     "counters takeovers={} shards={} revision={} informed_ms={} jobs={} machines={} {} {} {} recovery={} open={} gone={} {}",
                     membership.takeovers,
-                    membership.owned(),
+                    membership.describeOwnedShards(),
                     view.appliedRevision(),
                     store.loaded() ? membership.staleness().ageMs() : -1,
                     view.jobs().size(),
-                    book.pictures().size(),
+                    statusExchange.pictures().size(),
                     counters.line(),
                     store.logText(),
-                    driver.line(),
+                    jobScheduler.line(),
                     inventory.phase(),
                     inventory.open(),
                     view.releasedClaimCount(),
-                    orders.line());
+                    actionCounters.logText());
         }
-        return done();
+        return finishStep();
     }
 
-    private List<Effect> done() {
+    private List<Effect> finishStep() {
         workerRegistry.flush();
         return effects.drain();
     }
@@ -281,39 +281,39 @@
         int q = target.indexOf('?');
         String path = q < 0 ? target : target.substring(0, q);
         if (path.equals(Wire.HELLO)) {
-            if (only(exchange, method, "POST")) {
+            if (requireMethod(exchange, method, "POST")) {
                 workerRegistry.hello(exchange, Fields.map(Pack.decode(body), "body"));
             }
         } else if (path.equals(Wire.READY)) {
-            if (only(exchange, method, "GET")) {
-                if (ready()) {
+            if (requireMethod(exchange, method, "GET")) {
+                if (isReady()) {
                     effects.answer(exchange, 200, Map.of());
                 } else {
-                    effects.later(exchange, 503, 1);
+                    effects.refuseWithRetry(exchange, 503, 1);
                 }
             }
         } else if (path.equals(Wire.RUNS) && method.equals("GET")) {
             listing.list(exchange, Target.parse(target));
         } else if (path.equals(Wire.RUNS)) {
-            if (only(exchange, method, "POST")) {
+            if (requireMethod(exchange, method, "POST")) {
                 jobApi.submit(exchange, body);
             }
         } else if (path.equals(Wire.TEAMS)) {
-            if (only(exchange, method, "GET")) {
+            if (requireMethod(exchange, method, "GET")) {
                 listing.teams(exchange, settings.teams());
             }
         } else if (path.startsWith(Wire.RUNS + "/")) {
             String id = path.substring(Wire.RUNS.length() + 1);
             if (id.endsWith(Wire.WITHDRAW)) {
-                if (only(exchange, method, "POST")) {
+                if (requireMethod(exchange, method, "POST")) {
                     jobApi.cancel(exchange, id.substring(0, id.length() - Wire.WITHDRAW.length()));
                 }
             } else if (id.endsWith(Wire.DESCRIBE)) {
-                if (only(exchange, method, "GET")) {
+                if (requireMethod(exchange, method, "GET")) {
                     listing.describe(
                             exchange, id.substring(0, id.length() - Wire.DESCRIBE.length()), Target.parse(target));
                 }
-            } else if (only(exchange, method, "GET")) {
+            } else if (requireMethod(exchange, method, "GET")) {
                 jobApi.poll(exchange, id);
             }
         } else {
@@ -321,7 +321,7 @@
         }
     }
 
-    private boolean only(long exchange, String method, String allowed) {
+    private boolean requireMethod(long exchange, String method, String allowed) {
         if (method.equals(allowed)) {
             return true;
         }
@@ -333,10 +333,10 @@
      * In an outage of everybody's, staying ready keeps polls of ended jobs answered; alone refused, we step back. So does who hears
      * neither the state service nor any other controller: it can't tell the two apart, and its users would get nothing but 503.
      */
-    private boolean ready() {
+    private boolean isReady() {
         return store.loaded()
                 && catalog.typesKnown()
-                && (store.healthy() || !membership.othersAreServed() && !membership.lonely());
+                && (store.healthy() || !membership.anyPeerServed() && !membership.isIsolated());
     }
 
     // ---- other controllers
@@ -349,22 +349,22 @@
         return PeerCodec.encode(settings.member(), membership.incarnation(), r);
     }
 
-    private void heartbeat() {
-        List<PeerRecord.Machine> news = book.news(own);
+    private void sendHeartbeat() {
+        List<PeerRecord.Machine> news = statusExchange.news(ownStatuses);
         PeerRecord.Heartbeat h = new PeerRecord.Heartbeat(
                 membership.incarnation(),
                 store.healthy(),
-                membership.termsSeen(),
-                membership.termsOwned(),
+                membership.highestTerms(),
+                membership.ownedTerms(),
                 news,
-                book.left(),
+                statusExchange.left(),
                 autoscaler.recentlyGone());
         byte[] record = encode(h);
-        byte[] restoring = losses.returning() > 0 || toldRestoring
-                ? encode(new PeerRecord.DroppedTasks(losses.returning()))
+        byte[] restoring = lostTasks.tasksToRestore() > 0 || restoringAnnounced
+                ? encode(new PeerRecord.DroppedTasks(lostTasks.tasksToRestore()))
                 : null;
-        toldRestoring = losses.returning() > 0;
-        PeerRecord.RevisionQuery q = membership.staleness().ask();
+        restoringAnnounced = lostTasks.tasksToRestore() > 0;
+        PeerRecord.RevisionQuery q = membership.staleness().peerQuery();
         byte[] query = q == null ? null : encode(q);
         for (int i = 1; i < membership.memberCount(); i++) {
             effects.send(i, record);
@@ -377,21 +377,21 @@
         }
     }
 
-    private void heard(int from, long incarnation, PeerRecord r) {
+    private void dispatchPeerRecord(int from, long incarnation, PeerRecord r) {
         if (r instanceof PeerRecord.Heartbeat h) {
-            if (membership.heard(from, h.storeHealthy(), h.incarnation(), h.seenTerms(), h.ownedTerms())) {
-                book.tellEverything();
+            if (membership.handleHeartbeat(from, h.storeHealthy(), h.incarnation(), h.seenTerms(), h.ownedTerms())) {
+                statusExchange.tellEverything();
             }
-            book.heard(from, h);
+            statusExchange.heard(from, h);
             h.deletedMachines().forEach(workerRegistry::gone);
         } else if (r instanceof PeerRecord.Offer o) {
-            send(from, driver.judge(o));
+            send(from, jobScheduler.judge(o));
         } else if (r instanceof PeerRecord.WithdrawnOffer o) {
-            driver.calledOff(o);
+            jobScheduler.calledOff(o);
         } else if (r instanceof PeerRecord.OfferReply v) {
-            driver.verdict(v);
+            jobScheduler.verdict(v);
         } else if (r instanceof PeerRecord.StopRequest s) {
-            driver.stopAsked(s);
+            jobScheduler.stopAsked(s);
         } else if (r instanceof PeerRecord.ReturnRequest x) {
             send(from, new PeerRecord.ReturnReply(x.machine(), workerRegistry.retire(x.machine(), x.withTasks())));
         } else if (r instanceof PeerRecord.AttemptOutcomes o) {
@@ -399,41 +399,41 @@
         } else if (r instanceof PeerRecord.ReturnReply x) {
             autoscaler.retired(x.machine(), x.agreed());
         } else if (r instanceof PeerRecord.DroppedTasks x) {
-            losses.told(from, x.count(), effects.now());
+            lostTasks.handlePeerReport(from, x.count(), effects.now());
         } else if (r instanceof PeerRecord.RevisionQuery q) {
-            send(from, membership.staleness().reply(q, incarnation));
+            send(from, membership.staleness().answerQuery(q, incarnation));
         } else if (r instanceof PeerRecord.RevisionReply a) {
-            membership.staleness().replied(from, a, membership.incarnation());
+            membership.staleness().handleReply(from, a, membership.incarnation());
         }
     }
 
-    private Inventory.Told told(String machine) {
-        MachineStatus p = book.pictures().get(machine);
+    private Inventory.MachineEvidence machineEvidence(String machine) {
+        MachineStatus p = statusExchange.pictures().get(machine);
         if (p == null) {
-            return Inventory.Told.NOTHING;
+            return Inventory.MachineEvidence.NONE;
         }
         return p.usable() || p.condemned() || p.leaving() || p.silentMs() > 0
-                ? Inventory.Told.FIT
-                : Inventory.Told.REPORTS;
+                ? Inventory.MachineEvidence.CONFIRMED
+                : Inventory.MachineEvidence.REPORTED;
     }
 
-    private void retire(String machine, boolean withTasks) {
-        MachineStatus p = book.pictures().get(machine);
+    private void requestReturn(String machine, boolean withTasks) {
+        MachineStatus p = statusExchange.pictures().get(machine);
         if (p == null) {
             return;
         }
         if (membership.owns(p.shard())) {
             autoscaler.retired(machine, workerRegistry.retire(machine, withTasks));
-        } else if (membership.liveOwner(p.shard()) > 0) {
-            send(membership.liveOwner(p.shard()), new PeerRecord.ReturnRequest(machine, withTasks));
+        } else if (membership.connectedOwner(p.shard()) > 0) {
+            send(membership.connectedOwner(p.shard()), new PeerRecord.ReturnRequest(machine, withTasks));
         }
     }
 
     /** Room that will be there before a machine bought now could be up. */
-    private List<Slot> coming() {
-        List<Slot> l = autoscaler.coming(book.pictures());
+    private List<Slot> upcomingSlots() {
+        List<Slot> l = autoscaler.coming(statusExchange.pictures());
         long now = effects.now();
-        for (MachineStatus p : book.pictures().values()) {
+        for (MachineStatus p : statusExchange.pictures().values()) {
             Catalog.Type t = catalog.type(p.type());
             if (p.arriving() && t != null) {
                 l.add(Slot.arriving(p, t, view.capacityUsedOn(p.machine())));
@@ -446,7 +446,7 @@
             double mem = 0;
             long eta = 0;
             for (Claim c : view.claims(p.machine()).values()) {
-                long end = driver.expectedEnd(c);
+                long end = jobScheduler.expectedEnd(c);
                 if (end == Long.MAX_VALUE || end > now + t.soonMs() || !c.job().isPlaced(c.task())) {
                     continue;
                 }
--- a/src/main/java/birchusher/core/Effect.java
+++ b/src/main/java/birchusher/core/Effect.java
@@ -8,14 +8,15 @@
     record Answer(long exchange, int status, Map<String, ?> body, int retryAfterS) implements Effect {}
 
     /** Calls another party over HTTP. Its answer comes back as {@link Effects#reply}. */
-    record Call(long id, Target target, String address, String method, String path, Object body, int timeoutMs)
+    record Call(
+            long id, Destination destination, String address, String method, String path, Object body, int timeoutMs)
             implements Effect {}
 
     /** Sends one record to another controller. It may be lost. */
     record Send(int peer, byte[] record) implements Effect {}
 
     /** Whom a call is for. */
-    enum Target {
+    enum Destination {
         STORE,
         WATCH,
         CLOUD,
--- a/src/main/java/birchusher/core/Fields.java
+++ b/src/main/java/birchusher/core/Fields.java
@@ -6,10 +6,10 @@
 /** Reads loosely typed maps from outside; anything missing or of the wrong type is a {@link Bad}. */
 public final class Fields {
     /** Input that can't be used; the message names the field. */
-    public static final class Bad extends RuntimeException {
+    public static final class InvalidInputException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        public Bad(String message) {
+        public InvalidInputException(String message) {
             super(message, null, false, false);
         }
     }
@@ -21,14 +21,14 @@
         if (o instanceof Map<?, ?> m) {
             return (Map<String, Object>) m;
         }
-        throw new Bad(what + ": not a map");
+        throw new InvalidInputException(what + ": not a map");
     }
 
     public static String text(Map<String, Object> m, String key) {
         if (m.get(key) instanceof String s && !s.isEmpty() && s.length() <= 200) {
             return s;
         }
-        throw new Bad(key + ": missing, empty, too long or not text");
+        throw new InvalidInputException(key + ": missing, empty, too long or not text");
     }
 
     public static String textOrNull(Map<String, Object> m, String key) {
@@ -39,7 +39,7 @@
         if (m.get(key) instanceof Boolean b) {
             return b;
         }
-        throw new Bad(key + ": missing or not a boolean");
+        throw new InvalidInputException(key + ": missing or not a boolean");
     }
 
     /** A finite number that is not negative. */
@@ -50,7 +50,7 @@
                 return d;
             }
         }
-        throw new Bad(key + ": missing or not an amount");
+        throw new InvalidInputException(key + ": missing or not an amount");
     }
 
     public static double amountOr(Map<String, Object> m, String key, double none) {
@@ -65,7 +65,7 @@
         if (o instanceof Double d && d >= 0 && d == Math.rint(d) && d < 1e15) {
             return d.longValue();
         }
-        throw new Bad(key + ": missing or not a count");
+        throw new InvalidInputException(key + ": missing or not a count");
     }
 
     public static long countOr(Map<String, Object> m, String key, long none) {
@@ -76,6 +76,6 @@
         if (m.get(key) instanceof List<?> l) {
             return l;
         }
-        throw new Bad(key + ": missing or not a list");
+        throw new InvalidInputException(key + ": missing or not a list");
     }
 }
--- a/src/main/java/birchusher/core/Names.java
+++ b/src/main/java/birchusher/core/NameIndex.java
@@ -6,25 +6,25 @@
 import java.util.List;
 
 /** Maps names to dense indices at the door, so that the inside compares and indexes plain numbers. */
-public final class Names {
+public final class NameIndex {
     public static final int NONE = -1;
-    private final Object2IntOpenHashMap<String> index = new Object2IntOpenHashMap<>();
+    private final Object2IntOpenHashMap<String> indexByName = new Object2IntOpenHashMap<>();
     private final List<String> names = new ArrayList<>();
 
-    public Names() {
-        index.defaultReturnValue(NONE);
+    public NameIndex() {
+        indexByName.defaultReturnValue(NONE);
     }
 
-    public Names(Collection<String> known) {
+    public NameIndex(Collection<String> known) {
         this();
         known.forEach(this::add);
     }
 
     public int add(String name) {
-        int i = index.getInt(name);
+        int i = indexByName.getInt(name);
         if (i == NONE) {
             i = names.size();
-            index.put(name, i);
+            indexByName.put(name, i);
             names.add(name);
         }
         return i;
@@ -32,7 +32,7 @@
 
     /** The index of a name already known, or {@link #NONE}. */
     public int find(String name) {
-        return name == null ? NONE : index.getInt(name);
+        return name == null ? NONE : indexByName.getInt(name);
     }
 
     public String name(int i) {
--- a/src/main/java/birchusher/daemon/DaemonSettings.java
+++ b/src/main/java/birchusher/daemon/DaemonSettings.java
@@ -1,6 +1,6 @@
 package birchusher.daemon;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.kv.Limits;
 import birchusher.pool.Hosts;
 import birchusher.settings.Settings;
@@ -71,7 +71,7 @@
         try {
             p.load(file);
         } catch (IllegalArgumentException e) {
-            throw new Bad("properties: " + e.getMessage());
+            throw new InvalidInputException("properties: " + e.getMessage());
         }
         return new Form(p).read();
     }
@@ -102,7 +102,7 @@
             for (String h : named("hosts", "host", HOST_KEYS)) {
                 String zone = p.getProperty("host." + h + ".zone", zones.get(0)).trim();
                 if (!zones.contains(zone)) {
-                    throw new Bad("host." + h + ".zone: " + zone + " is not among the zones");
+                    throw new InvalidInputException("host." + h + ".zone: " + zone + " is not among the zones");
                 }
                 hosts.put(h, new Hosts.Host(h, text("host." + h + ".type"), zone));
             }
@@ -110,7 +110,7 @@
             double lease = num("workers.lease-s", 60);
             double report = num("workers.report-s", 2);
             if (report <= 0 || lease < 4 * report || lease < 10) {
-                throw new Bad("workers.lease-s: at least 10, and four times workers.report-s");
+                throw new InvalidInputException("workers.lease-s: at least 10, and four times workers.report-s");
             }
             double rps = num("state.requests-per-s", 1000);
             double changes = num("state.changes-per-s", 1000);
@@ -124,7 +124,7 @@
                         lease,
                         new Limits(rps, changes, WRITES, VALUE_KB * 1024));
             } catch (IllegalArgumentException e) {
-                throw new Bad(e.getMessage());
+                throw new InvalidInputException(e.getMessage());
             }
         }
 
@@ -184,11 +184,12 @@
                 }
                 String[] f = s.trim().split("/");
                 if (f.length != 4 || !zones.contains(f[1])) {
-                    throw new Bad("peers: " + s.trim() + " is not NAME/ZONE/MESH-HOST:PORT/LISTEN-HOST:PORT");
+                    throw new InvalidInputException(
+                            "peers: " + s.trim() + " is not NAME/ZONE/MESH-HOST:PORT/LISTEN-HOST:PORT");
                 }
                 peers.add(new Settings.Peer(f[0], f[1], SettingsReader.parse(f[2], "peers")));
                 if (controllers.put(f[0], SettingsReader.parse(f[3], "peers")) != null) {
-                    throw new Bad("peers: " + f[0] + " twice");
+                    throw new InvalidInputException("peers: " + f[0] + " twice");
                 }
             }
             return List.copyOf(peers);
@@ -215,11 +216,12 @@
                     .filter(s -> !s.isEmpty())
                     .toList();
             if (l.isEmpty() || new HashSet<>(l).size() < l.size()) {
-                throw new Bad(key + ": empty, or a name twice");
+                throw new InvalidInputException(key + ": empty, or a name twice");
             }
             for (String n : l) {
                 if (!n.matches("[A-Za-z0-9_-]{1,60}")) {
-                    throw new Bad(key + ": " + n + " is not a name (letters, digits, - and _, at most 60)");
+                    throw new InvalidInputException(
+                            key + ": " + n + " is not a name (letters, digits, - and _, at most 60)");
                 }
             }
             return l;
@@ -234,7 +236,7 @@
         private String text(String key) {
             String s = p.getProperty(key);
             if (s == null || s.isBlank()) {
-                throw new Bad(key + ": missing");
+                throw new InvalidInputException(key + ": missing");
             }
             return s.trim();
         }
--- a/src/main/java/birchusher/daemon/Front.java
+++ b/src/main/java/birchusher/daemon/Front.java
@@ -1,7 +1,7 @@
 package birchusher.daemon;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.http.EventLoop;
 import birchusher.http.HttpClient;
 import birchusher.http.HttpServer;
@@ -111,7 +111,7 @@
         return (status, body) -> {
             try {
                 reply.got(status, body);
-            } catch (Bad e) {
+            } catch (InvalidInputException e) {
                 refuse(exchange, 503, "an answer was not as agreed: " + e.getMessage(), 5);
             }
         };
@@ -163,7 +163,7 @@
     private void routed(long exchange, Route r) {
         try {
             r.go();
-        } catch (Bad | Target.Bad e) {
+        } catch (InvalidInputException | Target.Bad e) {
             refuse(exchange, 400, e.getMessage(), 0);
         }
         act();
@@ -236,7 +236,7 @@
     private static String id(Target t, String prefix) {
         String id = t.path().substring(prefix.length());
         if (!JobCodec.isId(id)) {
-            throw new Bad(Wire.ID + ": not a job id");
+            throw new InvalidInputException(Wire.ID + ": not a job id");
         }
         return id;
     }
--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -1,6 +1,6 @@
 package birchusher.fleet;
 
-import birchusher.cloud.CloudLink;
+import birchusher.cloud.CloudClient;
 import birchusher.core.Effects;
 import birchusher.core.Fields;
 import birchusher.membership.Membership;
@@ -8,7 +8,7 @@
 import birchusher.model.JobSpec;
 import birchusher.placement.Planner;
 import birchusher.placement.Slot;
-import birchusher.recovery.Orders;
+import birchusher.recovery.ActionCounters;
 import birchusher.settings.Settings;
 import birchusher.settings.Tuning;
 import birchusher.store.Change;
@@ -59,9 +59,9 @@
     private final StoreView view;
     private final StoreClient store;
     private final Membership membership;
-    private final CloudLink cloud;
+    private final CloudClient cloud;
     private final Counters counters;
-    private final Orders orders;
+    private final ActionCounters orders;
     /** Until then nothing is rented, returned or emptied: the next reports may show that it was there, or needed. */
     private final BooleanSupplier fleetKnown;
     /** Tasks that are expected to find their old room again. */
@@ -106,9 +106,9 @@
             StoreView view,
             StoreClient store,
             Membership membership,
-            CloudLink cloud,
+            CloudClient cloud,
             Counters counters,
-            Orders orders,
+            ActionCounters orders,
             BooleanSupplier fleetKnown,
             IntSupplier returning,
             Tuning t,
@@ -174,7 +174,7 @@
 
     public boolean isBuyer() {
         Map<String, Object> row = view.row(Keys.AUTOSCALER);
-        return membership.holding()
+        return membership.canAct()
                 && row != null
                 && membership.memberName(0).equals(row.get("m"))
                 && Fields.countOr(row, "i", 0) == membership.incarnation();
@@ -267,11 +267,11 @@
 
     private void become() {
         Map<String, Object> row = view.row(Keys.AUTOSCALER);
-        if (claiming || !membership.holding() || !store.healthy() || effects.now() - lostAt < 20_000) {
+        if (claiming || !membership.canAct() || !store.healthy() || effects.now() - lostAt < 20_000) {
             return;
         }
-        int holder = row == null ? -1 : membership.index(String.valueOf(row.get("m")));
-        if (holder > 0 && membership.seen(holder)) {
+        int holder = row == null ? -1 : membership.memberIndex(String.valueOf(row.get("m")));
+        if (holder > 0 && membership.isAlive(holder)) {
             return;
         }
         // An earlier life of ours held it: the others hear us and wait for us, so we must not wait for any of them.
@@ -279,7 +279,7 @@
         // after all had crashed together nobody rented or returned a machine any more, unless the lowest name had been
         // the autoscaler.
         for (int i = 1; holder != 0 && i < membership.memberCount(); i++) {
-            if (membership.live(i) && membership.memberName(i).compareTo(membership.memberName(0)) < 0) {
+            if (membership.isConnected(i) && membership.memberName(i).compareTo(membership.memberName(0)) < 0) {
                 return;
             }
         }
@@ -364,7 +364,7 @@
         for (Ask a : asks()) {
             Catalog.Type t = catalog.type(a.type());
             int n = a.hosts() == null ? a.count() : a.hosts().size();
-            double ageS = Math.max(0, (effects.wall() - a.at()) / 1000.0);
+            double ageS = Math.max(0, (effects.wallTime() - a.at()) / 1000.0);
             int kind = kind(a.type(), a.zone(), a.spot());
             boolean overdue = ageS > t.bootS() * boots.overdue(kind);
             long eta = Math.round(boots.etaS(kind, ageS, t.bootS()) * 1000);
@@ -402,7 +402,7 @@
                 }
                 continue;
             }
-            double ageS = (effects.wall() - a.at()) / 1000.0;
+            double ageS = (effects.wallTime() - a.at()) / 1000.0;
             boolean allUp = true;
             List<String> late = new ArrayList<>();
             for (String h : a.hosts()) {
@@ -442,7 +442,7 @@
             if (status == 200) {
                 List<Object> hosts = new ArrayList<>(Fields.list(m, Wire.MACHINES));
                 counters.rentals += hosts.size();
-                orders.rent(
+                orders.recordRental(
                         kind(a.type(), a.zone(), a.spot()),
                         hosts.size(),
                         Math.round(catalog.type(a.type()).bootS() * 1000),
@@ -547,10 +547,10 @@
         });
         int opened = 0;
         int expected = returning.getAsInt();
-        for (Planner.Unplaced u : plan.wanted(effects.wall())) {
+        for (Planner.Unplaced u : plan.wanted(effects.wallTime())) {
             JobSpec s = u.job().spec;
             Map<Integer, Integer> zones = tasksByZone(u.job());
-            Demand.Of may = demand.of(u.job(), u.tasks(), effects.wall());
+            Demand.Of may = demand.of(u.job(), u.tasks(), effects.wallTime());
             int spared = Math.min(may.tasks(), expected);
             expected -= spared;
             for (int n = spared; n < Math.min(may.tasks(), 400); n++) {
@@ -638,7 +638,7 @@
     /** Records the request names before any of them is used. */
     private void reserve(Map<Kind, Integer> wanted) {
         reserving = true;
-        long at = effects.wall();
+        long at = effects.wallTime();
         int max = Math.max(1, settings.txnOps() - 1);
         long[] first = {-1};
         store.enqueue(new Simple(
@@ -749,7 +749,7 @@
             LOG.info("machine {} is returned", machine);
             MachineStatus p = known.get(machine);
             if (p != null) {
-                orders.giveBack(kind(p.type(), p.zone(), p.spot()), effects.now());
+                orders.recordReturn(kind(p.type(), p.zone(), p.spot()), effects.now());
             }
             delete(machine);
         }
--- a/src/main/java/birchusher/fleet/MachineList.java
+++ b/src/main/java/birchusher/fleet/MachineList.java
@@ -1,6 +1,6 @@
 package birchusher.fleet;
 
-import birchusher.cloud.CloudLink;
+import birchusher.cloud.CloudClient;
 import birchusher.core.Effects;
 import birchusher.core.Fields;
 import birchusher.membership.Membership;
@@ -38,7 +38,7 @@
     private final Catalog catalog;
     private final StoreView view;
     private final Membership membership;
-    private final CloudLink cloud;
+    private final CloudClient cloud;
     private final double giveUpBoots;
     private final Known autoscaler;
     /** Listed machines that report to nobody, since when. */
@@ -54,7 +54,7 @@
             Catalog catalog,
             StoreView view,
             Membership membership,
-            CloudLink cloud,
+            CloudClient cloud,
             double giveUpBoots,
             Known autoscaler) {
         this.effects = effects;
@@ -127,7 +127,7 @@
             return;
         }
         for (int i = 1; i < membership.memberCount(); i++) {
-            if (!membership.live(i)) {
+            if (!membership.isConnected(i)) {
                 // It may well report to a controller that we can't hear.
                 strangers.clear();
                 running.clear();
--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -2,7 +2,7 @@
 
 import birchusher.core.Effects;
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.membership.Membership;
 import birchusher.model.Catalog;
 import birchusher.model.JobSpec;
@@ -150,7 +150,7 @@
     private void lookUp(long exchange, String id, Consumer<Job> unfinished, Runnable unknown) {
         boolean asked = store.whenUpToDate(ok -> {
             if (!ok) {
-                effects.later(exchange, 503, 2);
+                effects.refuseWithRetry(exchange, 503, 2);
                 return;
             }
             Map<String, Object> last = finalState(id);
@@ -179,20 +179,20 @@
                     if (kept != null) {
                         effects.answer(exchange, 200, kept);
                     } else {
-                        effects.later(exchange, 503, 2);
+                        effects.refuseWithRetry(exchange, 503, 2);
                     }
                 } else if (status == 404) {
                     unknown.run();
                 } else {
-                    effects.later(exchange, 503, 2);
+                    effects.refuseWithRetry(exchange, 503, 2);
                 }
             });
             if (!sent) {
-                effects.later(exchange, 503, 1);
+                effects.refuseWithRetry(exchange, 503, 1);
             }
         });
         if (!asked) {
-            effects.later(exchange, 503, 2);
+            effects.refuseWithRetry(exchange, 503, 2);
         }
     }
 
@@ -200,7 +200,7 @@
 
     public void submit(long exchange, byte[] body) {
         JobSpec spec = null;
-        Bad bad = null;
+        InvalidInputException bad = null;
         JobCodec.Never never = null;
         String id = null;
         try {
@@ -209,7 +209,7 @@
             if (catalog.typesKnown()) {
                 spec = codec.read(m);
             }
-        } catch (Bad e) {
+        } catch (InvalidInputException e) {
             bad = e;
         } catch (JobCodec.Never e) {
             never = e;
@@ -221,7 +221,7 @@
         }
         if (id != null && view.job(id) != null) {
             String jobId = id;
-            lookUp(exchange, jobId, () -> effects.later(exchange, 503, 1));
+            lookUp(exchange, jobId, () -> effects.refuseWithRetry(exchange, 503, 1));
             return;
         }
         if (bad != null && id == null) {
@@ -229,7 +229,7 @@
             return;
         }
         if (spec == null && bad == null && never == null || !store.healthy()) {
-            effects.later(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
         String why = bad != null ? bad.getMessage() : never != null ? never.getMessage() : catalog.misfit(spec);
@@ -240,7 +240,7 @@
             return;
         }
         if (!store.enqueue(new Accept(exchange, spec))) {
-            effects.later(exchange, 503, 2);
+            effects.refuseWithRetry(exchange, 503, 2);
         }
     }
 
@@ -279,7 +279,7 @@
                 return false;
             }
             tx.requireUnchanged(Keys.ENDED_JOB + spec.id());
-            tx.put(Keys.JOB + spec.id(), row(spec, chunkSize, effects.wall(), Job.State.OPEN));
+            tx.put(Keys.JOB + spec.id(), row(spec, chunkSize, effects.wallTime(), Job.State.OPEN));
             return true;
         }
 
@@ -300,7 +300,7 @@
 
         @Override
         public void dropped() {
-            lookUp(exchange, spec.id(), () -> effects.later(exchange, 503, 1));
+            lookUp(exchange, spec.id(), () -> effects.refuseWithRetry(exchange, 503, 1));
         }
     }
 
@@ -326,7 +326,7 @@
             return;
         }
         if (!store.healthy() || view.unreadable(id)) {
-            effects.later(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
         if (view.job(id) == null) {
@@ -344,7 +344,7 @@
 
     private void cancel(long exchange, Job j) {
         if (!store.enqueue(new Cancel(exchange, j.spec.id()))) {
-            effects.later(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, 1);
         }
     }
 
@@ -409,7 +409,7 @@
                 effects.answer(exchange, 200, known);
             } else {
                 // Not settled in time, or the job ended meanwhile: the repeat will find out.
-                effects.later(exchange, 503, 1);
+                effects.refuseWithRetry(exchange, 503, 1);
             }
         }
     }
@@ -419,13 +419,13 @@
     /** Writes final states, and puts ended jobs away once nothing of them is on any machine. */
     public void tick() {
         long now = effects.now();
-        if (!store.loaded() || !store.healthy() || !membership.holding() || now < nextSweep) {
+        if (!store.loaded() || !store.healthy() || !membership.canAct() || now < nextSweep) {
             return;
         }
         nextSweep = now + 200;
         for (Job j : view.jobs()) {
             boolean over = (j.state() != Job.State.OPEN || j.allDone()) && j.claimCount() == 0;
-            if (over && membership.drives(j.spec.id()) && ending.size() < 100 && ending.add(j.spec.id())) {
+            if (over && membership.schedules(j.spec.id()) && ending.size() < 100 && ending.add(j.spec.id())) {
                 if (!store.enqueue(new End(j.spec.id(), Math.min(txnOps, j.chunks.size() + 2)))) {
                     ending.remove(j.spec.id());
                 }
--- a/src/main/java/birchusher/jobs/Listing.java
+++ b/src/main/java/birchusher/jobs/Listing.java
@@ -2,7 +2,7 @@
 
 import birchusher.core.Effects;
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.http.Target;
 import birchusher.model.Catalog;
 import birchusher.settings.Settings;
@@ -60,18 +60,18 @@
             if (ok) {
                 then.run();
             } else {
-                effects.later(exchange, 503, 2);
+                effects.refuseWithRetry(exchange, 503, 2);
             }
         });
         if (!asked) {
-            effects.later(exchange, 503, 2);
+            effects.refuseWithRetry(exchange, 503, 2);
         }
     }
 
     private static int most(Target t, int most) throws Target.Bad {
         long n = t.count(Wire.LIMIT, most);
         if (n < 1 || n > most) {
-            throw new Bad(Wire.LIMIT + ": 1 to " + most);
+            throw new InvalidInputException(Wire.LIMIT + ": 1 to " + most);
         }
         return (int) n;
     }
@@ -90,11 +90,11 @@
         if (stage != null
                 && !List.of(Wire.QUEUED, Wire.RUNNING, Wire.DONE, Wire.CANCELLED)
                         .contains(stage)) {
-            throw new Bad(Wire.STATE + ": queued, running, done or cancelled");
+            throw new InvalidInputException(Wire.STATE + ": queued, running, done or cancelled");
         }
         boolean ended = Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage);
         if (ended && (team != null || cls != null)) {
-            throw new Bad(Wire.TEAM + ", " + Wire.CLASS + ": not kept of ended jobs");
+            throw new InvalidInputException(Wire.TEAM + ", " + Wire.CLASS + ": not kept of ended jobs");
         }
         Predicate<Job> wanted = j -> j.spec.id().compareTo(after) > 0
                 && (team == null || team.equals(catalog.teams.name(j.spec.team())))
@@ -131,7 +131,7 @@
         boolean sent =
                 store.readPage(Keys.ENDED_JOB, after.isEmpty() ? "" : Keys.ENDED_JOB + after, most, (status, m) -> {
                     if (status != 200) {
-                        effects.later(exchange, 503, 2);
+                        effects.refuseWithRetry(exchange, 503, 2);
                         return;
                     }
                     boolean more = Boolean.TRUE.equals(m.get(Wire.MORE));
@@ -153,7 +153,7 @@
                     answer(exchange, rows, most, more);
                 });
         if (!sent) {
-            effects.later(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, 1);
         }
     }
 
--- a/src/main/java/birchusher/kv/Engine.java
+++ b/src/main/java/birchusher/kv/Engine.java
@@ -1,6 +1,6 @@
 package birchusher.kv;
 
-import birchusher.core.Bucket;
+import birchusher.core.TokenBucket;
 import birchusher.kv.State.Event;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -62,8 +62,8 @@
     }
 
     private final Limits limits;
-    private final Bucket requests;
-    private final Bucket writes;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
     private State head;
     private long appended;
     private final ArrayDeque<Step> steps = new ArrayDeque<>();
@@ -82,8 +82,8 @@
     /** @param sequence the last record kept; the next entry is one more */
     public Engine(Restore kept, long sequence, Limits limits, long now) {
         this.limits = limits;
-        this.requests = new Bucket(limits.requestsPerS(), limits.requestsPerS());
-        this.writes = new Bucket(limits.writesPerS(), limits.writesPerS());
+        this.requests = new TokenBucket(limits.requestsPerS(), limits.requestsPerS());
+        this.writes = new TokenBucket(limits.writesPerS(), limits.writesPerS());
         this.head = kept.state();
         this.appended = sequence;
         this.history = kept.history();
@@ -108,7 +108,7 @@
 
     /** One request; its answer comes now or later, always exactly one. Tickets are never used twice. */
     public List<Output> handle(long now, long ticket, Request r) {
-        if (!requests.take(now, 1)) {
+        if (!requests.tryTake(now, 1)) {
             out.add(new Answer(ticket, new Reply.TooMany(1)));
         } else if (r instanceof Request.Watch w) {
             watch(now, ticket, w);
@@ -329,7 +329,7 @@
         if (!t.writes().isEmpty() && stalled) {
             return new Reply.Unavailable(1);
         }
-        if (!t.writes().isEmpty() && !writes.take(now, t.writes().size())) {
+        if (!t.writes().isEmpty() && !writes.tryTake(now, t.writes().size())) {
             return new Reply.TooMany(1);
         }
         for (Write w : t.writes()) {
--- a/src/main/java/birchusher/membership/Membership.java
+++ b/src/main/java/birchusher/membership/Membership.java
@@ -27,17 +27,17 @@
 public final class Membership {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
 
-    private static final long GIVE_MS = 1_000;
+    private static final long HANDOVER_TIMEOUT_MS = 1_000;
     /** While we miss a controller in the mesh, a beat in our seat's row shows the others that we live. */
-    private static final long BEAT_MS = 2_500;
+    private static final long ROW_HEARTBEAT_INTERVAL_MS = 2_500;
 
-    private static final long BEAT_SEEN_MS = 6_500;
+    private static final long ROW_HEARTBEAT_TIMEOUT_MS = 6_500;
     /** A controller that falls silent in the mesh has this long for its first beat. */
-    private static final long GRACE_MS = 1_200;
+    private static final long FIRST_ROW_HEARTBEAT_GRACE_MS = 1_200;
     /** Two heartbeats. */
-    private static final long JUST_MS = 1_000;
+    private static final long RECENT_HEARTBEAT_MS = 1_000;
     /** A shard that was taken for its workers' sake stays for a seat's lease, each time twice as long up to this often. */
-    private static final int MAX_DOUBLINGS = 3;
+    private static final int MAX_HANDOVER_DELAY_DOUBLINGS = 3;
 
     private final Effects effects;
     private final Settings settings;
@@ -45,50 +45,50 @@
     private final StoreView view;
     private final StoreClient store;
     private final long leaseMs;
-    private final long suspectMs;
+    private final long suspicionTimeoutMs;
     private final long settleMs;
-    private final int perZone;
+    private final int shardsPerZone;
     /** When the state was first read; -1: not yet. */
-    private long readAt = -1;
+    private long storeReadAtMs = -1;
 
     private final List<Settings.Peer> members = new ArrayList<>();
-    private final long[] heardAt;
-    private final long[] aliveSince;
-    private final boolean[] storeOk;
-    private final long[] badStoreSince;
-    private long lease;
+    private final long[] heartbeatAtMs;
+    private final long[] aliveSinceMs;
+    private final boolean[] storeHealthy;
+    private final long[] storeUnhealthySinceMs;
+    private long leaseId;
     private long incarnation;
-    private long goodUntil = -1;
-    private long nextLease;
-    private boolean leaseBusy;
-    private boolean seatBusy;
-    private boolean seated;
+    private long leaseValidUntilMs = -1;
+    private long nextLeaseCallMs;
+    private boolean leaseCallPending;
+    private boolean registrationPending;
+    private boolean registered;
     private final String[] shardKeys;
-    private final ShardRow[] rows;
-    private long rowsAt = -1;
-    private final boolean[] giving;
-    private final long[] ownedSince;
-    private final long[] ownedTerm;
-    private final long[] fencedAt;
-    private final long[] lastTake;
+    private final ShardRow[] shardRows;
+    private long shardRowsVersion = -1;
+    private final boolean[] handingOver;
+    private final long[] ownedSinceMs;
+    private final long[] ownedSinceTerm;
+    private final long[] fencedAtMs;
+    private final long[] lastTakeoverMs;
     /** When workers that could not reach its owner last made us take a shard, and how often. */
-    private final long[] pressedAt;
+    private final long[] ownerUnreachableAtMs;
 
-    private BiPredicate<Integer, Integer> hearsWorkers = (member, zone) -> true;
+    private BiPredicate<Integer, Integer> reachesWorkers = (member, zone) -> true;
 
-    private final int[] presses;
-    private final long[] wantedAt;
+    private final int[] ownerUnreachableCount;
+    private final long[] workerWithoutOwnerAtMs;
     private final long[] seenIncarnation;
-    private final long[] beatVersion;
-    private final long[] beatAt;
-    private long nextBeat;
-    private boolean beating;
-    private final long[][] seenTerm;
+    private final long[] rowHeartbeatVersion;
+    private final long[] rowHeartbeatAtMs;
+    private long nextRowHeartbeatMs;
+    private boolean rowHeartbeatPending;
+    private final long[][] termsSeenByMember;
     /** Per shard the highest term that another controller has told to own it by: higher than ours, we are replaced. */
-    private final long[] heardTerm;
+    private final long[] highestPeerTerm;
 
     private final Staleness staleness;
-    private boolean taking;
+    private boolean takeoverPending;
     public long takeovers;
 
     public Membership(Effects effects, Settings s, Catalog catalog, StoreView view, StoreClient store, Tuning t) {
@@ -98,59 +98,59 @@
         this.view = view;
         this.store = store;
         leaseMs = t.ms("seats.lease-s");
-        suspectMs = t.ms("seats.suspect-s");
+        suspicionTimeoutMs = t.ms("seats.suspect-s");
         settleMs = t.ms("seats.settle-s");
-        perZone = shardsPerZone(s, (int) t.num("seats.shards-per-zone"));
+        shardsPerZone = chooseShardsPerZone(s, (int) t.num("seats.shards-per-zone"));
         members.add(new Settings.Peer(s.member(), s.zone(), s.mesh()));
         members.addAll(s.peers());
-        heardAt = new long[members.size()];
-        aliveSince = new long[members.size()];
-        storeOk = new boolean[members.size()];
-        badStoreSince = new long[members.size()];
-        java.util.Arrays.fill(heardAt, Long.MIN_VALUE / 2);
-        java.util.Arrays.fill(badStoreSince, -1);
-        int n = s.zones().size() * perZone;
+        heartbeatAtMs = new long[members.size()];
+        aliveSinceMs = new long[members.size()];
+        storeHealthy = new boolean[members.size()];
+        storeUnhealthySinceMs = new long[members.size()];
+        java.util.Arrays.fill(heartbeatAtMs, Long.MIN_VALUE / 2);
+        java.util.Arrays.fill(storeUnhealthySinceMs, -1);
+        int n = s.zones().size() * shardsPerZone;
         shardKeys = new String[n];
         for (int shard = 0; shard < n; shard++) {
-            shardKeys[shard] = Keys.SHARD + catalog.zones.name(zoneOf(shard)) + "/" + shard % perZone;
-        }
-        rows = new ShardRow[n];
-        giving = new boolean[n];
-        ownedSince = new long[n];
-        ownedTerm = new long[n];
-        fencedAt = new long[n];
-        lastTake = new long[n];
-        pressedAt = new long[n];
-        presses = new int[n];
-        java.util.Arrays.fill(pressedAt, Long.MIN_VALUE / 2);
-        java.util.Arrays.fill(lastTake, Long.MIN_VALUE / 2);
-        wantedAt = new long[n];
-        java.util.Arrays.fill(wantedAt, Long.MIN_VALUE / 2);
+            shardKeys[shard] = Keys.SHARD + catalog.zones.name(zoneOf(shard)) + "/" + shard % shardsPerZone;
+        }
+        shardRows = new ShardRow[n];
+        handingOver = new boolean[n];
+        ownedSinceMs = new long[n];
+        ownedSinceTerm = new long[n];
+        fencedAtMs = new long[n];
+        lastTakeoverMs = new long[n];
+        ownerUnreachableAtMs = new long[n];
+        ownerUnreachableCount = new int[n];
+        java.util.Arrays.fill(ownerUnreachableAtMs, Long.MIN_VALUE / 2);
+        java.util.Arrays.fill(lastTakeoverMs, Long.MIN_VALUE / 2);
+        workerWithoutOwnerAtMs = new long[n];
+        java.util.Arrays.fill(workerWithoutOwnerAtMs, Long.MIN_VALUE / 2);
         seenIncarnation = new long[members.size()];
-        beatVersion = new long[members.size()];
-        beatAt = new long[members.size()];
-        java.util.Arrays.fill(beatVersion, -1);
-        java.util.Arrays.fill(beatAt, Long.MIN_VALUE / 2);
-        seenTerm = new long[members.size()][n];
-        heardTerm = new long[n];
+        rowHeartbeatVersion = new long[members.size()];
+        rowHeartbeatAtMs = new long[members.size()];
+        java.util.Arrays.fill(rowHeartbeatVersion, -1);
+        java.util.Arrays.fill(rowHeartbeatAtMs, Long.MIN_VALUE / 2);
+        termsSeenByMember = new long[members.size()][n];
+        highestPeerTerm = new long[n];
         staleness = new Staleness(effects, s, view, store);
-        incarnation = effects.wall();
+        incarnation = effects.wallTime();
     }
 
     /**
      * No two lives of a member may share an incarnation, and none may be lower than one before: a controller that is back within a
      * blink, its clock set back or read in the same millisecond, would take the old one's seat and shards for its own.
      */
-    private void outlive() {
-        long last = ofOurs(Keys.MEMBER_LEASE + settings.member(), null);
-        last = Math.max(last, ofOurs(Keys.AUTOSCALER, "m"));
+    private void raiseIncarnation() {
+        long last = recordedIncarnation(Keys.MEMBER_LEASE + settings.member(), null);
+        last = Math.max(last, recordedIncarnation(Keys.AUTOSCALER, "m"));
         for (String key : shardKeys) {
-            last = Math.max(last, ofOurs(key, "m"));
+            last = Math.max(last, recordedIncarnation(key, "m"));
         }
         incarnation = Math.max(incarnation, last + 1);
     }
 
-    private long ofOurs(String key, String owner) {
+    private long recordedIncarnation(String key, String owner) {
         Map<String, Object> row = view.row(key);
         return row == null || owner != null && !settings.member().equals(row.get(owner))
                 ? 0
@@ -158,7 +158,7 @@
     }
 
     /** As many as the fullest zone has controllers, so that all of them can own workers; the same for all controllers. */
-    private static int shardsPerZone(Settings s, int asked) {
+    private static int chooseShardsPerZone(Settings s, int asked) {
         if (asked > 0) {
             return asked;
         }
@@ -174,15 +174,15 @@
     }
 
     public int shardCount() {
-        return giving.length;
+        return handingOver.length;
     }
 
     public int shardOf(String machine, int zone) {
-        return zone * perZone + Math.floorMod(machine.hashCode() * 0x9E3779B1 >>> 7, perZone);
+        return zone * shardsPerZone + Math.floorMod(machine.hashCode() * 0x9E3779B1 >>> 7, shardsPerZone);
     }
 
     public int zoneOf(int shard) {
-        return shard / perZone;
+        return shard / shardsPerZone;
     }
 
     public String shardKey(int shard) {
@@ -190,19 +190,19 @@
     }
 
     /** A shard's row as the view has it. Every report and every picture of a machine asks for it several times. */
-    private ShardRow shard(int shard) {
-        if (rowsAt != view.otherRowChangeCount()) {
-            rowsAt = view.otherRowChangeCount();
-            for (int s = 0; s < rows.length; s++) {
-                rows[s] = ShardRow.of(view.row(shardKeys[s]));
+    private ShardRow shardRow(int shard) {
+        if (shardRowsVersion != view.otherRowChangeCount()) {
+            shardRowsVersion = view.otherRowChangeCount();
+            for (int s = 0; s < shardRows.length; s++) {
+                shardRows[s] = ShardRow.parse(view.row(shardKeys[s]));
             }
         }
-        return rows[shard];
+        return shardRows[shard];
     }
 
     /** Owner, its incarnation and the term; no owner: null. */
     private record ShardRow(String member, long incarnation, long term) {
-        static ShardRow of(Map<String, Object> row) {
+        static ShardRow parse(Map<String, Object> row) {
             return row == null
                     ? new ShardRow(null, 0, 0)
                     : new ShardRow(
@@ -223,8 +223,8 @@
     }
 
     /** Whether our seat certainly still stands in the state service, by our own clock, and we know enough to act. */
-    public boolean holding() {
-        return seated && effects.now() < goodUntil && staleness.informed();
+    public boolean canAct() {
+        return registered && effects.now() < leaseValidUntilMs && staleness.isUpToDate();
     }
 
     public Staleness staleness() {
@@ -232,34 +232,34 @@
     }
 
     public boolean owns(int shard) {
-        return holding()
-                && !giving[shard]
-                && named(shard, settings.member(), incarnation)
-                && heardTerm[shard] <= term(shard);
+        return canAct()
+                && !handingOver[shard]
+                && rowNames(shard, settings.member(), incarnation)
+                && highestPeerTerm[shard] <= term(shard);
     }
 
     /**
      * Whether our view holds everything up to when we took a shard. Before that, a task whose end and whose next place the owner
      * before us has seen may still look as if it was to be started here.
      */
-    public boolean settled(int shard) {
+    public boolean viewCoversTakeover(int shard) {
         return view.appliedRevision() >= view.version(shardKey(shard));
     }
 
     /** Per shard the term under which we own it, 0 where we don't. */
-    public List<Long> termsOwned() {
+    public List<Long> ownedTerms() {
         List<Long> l = new ArrayList<>();
-        for (int s = 0; s < giving.length; s++) {
-            l.add(mine(s) ? term(s) : 0);
+        for (int s = 0; s < handingOver.length; s++) {
+            l.add(isRecordedOwner(s) ? term(s) : 0);
         }
         return l;
     }
 
     /** The shards that we own and under which terms, for log lines: {@code 0@5,3@7}. */
-    public String owned() {
+    public String describeOwnedShards() {
         StringJoiner owned = new StringJoiner(",");
-        for (int shard = 0; shard < giving.length; shard++) {
-            if (mine(shard)) {
+        for (int shard = 0; shard < handingOver.length; shard++) {
+            if (isRecordedOwner(shard)) {
                 owned.add(shard + "@" + term(shard));
             }
         }
@@ -267,52 +267,52 @@
     }
 
     /** Whether the row names this incarnation of ours, even while we may not act on it. */
-    public boolean mine(int shard) {
-        return named(shard, settings.member(), incarnation);
+    public boolean isRecordedOwner(int shard) {
+        return rowNames(shard, settings.member(), incarnation);
     }
 
-    private boolean named(int shard, String member, long inc) {
-        ShardRow row = shard(shard);
+    private boolean rowNames(int shard, String member, long inc) {
+        ShardRow row = shardRow(shard);
         return member.equals(row.member) && row.incarnation == inc;
     }
 
     public long term(int shard) {
-        return shard(shard).term;
+        return shardRow(shard).term;
     }
 
     /** The member a shard's row names, or null. */
-    public String owner(int shard) {
-        return shard(shard).member;
+    public String ownerName(int shard) {
+        return shardRow(shard).member;
     }
 
     /** The index of a shard's owner if that one still sits in its seat and is heard of, else -1. */
-    public int liveOwner(int shard) {
-        String m = owner(shard);
-        int i = m == null ? -1 : index(m);
-        return i >= 0 && validOwner(shard) && live(i) ? i : -1;
+    public int connectedOwner(int shard) {
+        String m = ownerName(shard);
+        int i = m == null ? -1 : memberIndex(m);
+        return i >= 0 && isOwnerMember(shard) && isConnected(i) ? i : -1;
     }
 
     /** The same, but it is enough that the owner is seen to live: workers may reach it though we can't. */
-    public int seenOwner(int shard) {
-        String m = owner(shard);
-        int i = m == null ? -1 : index(m);
-        return i >= 0 && validOwner(shard) && seen(i) ? i : -1;
+    public int aliveOwner(int shard) {
+        String m = ownerName(shard);
+        int i = m == null ? -1 : memberIndex(m);
+        return i >= 0 && isOwnerMember(shard) && isAlive(i) ? i : -1;
     }
 
     /** When we began to own this shard under its present owner row, by the steady clock. */
-    public long ownedSince(int shard) {
-        return ownedSince[shard];
+    public long ownedSinceMs(int shard) {
+        return ownedSinceMs[shard];
     }
 
     /**
      * When it became certain that no earlier owner can answer this shard's workers any more, or -1. A silent worker's
      * lease is counted from there at the earliest.
      */
-    public long fencedAt(int shard) {
-        return fencedAt[shard];
+    public long fencedAtMs(int shard) {
+        return fencedAtMs[shard];
     }
 
-    public int index(String member) {
+    public int memberIndex(String member) {
         for (int i = 0; i < members.size(); i++) {
             if (members.get(i).member().equals(member)) {
                 return i;
@@ -321,57 +321,62 @@
         return -1;
     }
 
-    public boolean live(int i) {
-        return i == 0 || effects.now() - heardAt[i] < suspectMs;
+    public boolean isConnected(int i) {
+        return i == 0 || effects.now() - heartbeatAtMs[i] < suspicionTimeoutMs;
     }
 
     /** Served by the state service and heard in the mesh. */
-    private boolean able(int i) {
-        return i == 0 ? store.healthy() : live(i) && storeOk[i];
+    private boolean isConnectedAndServed(int i) {
+        return i == 0 ? store.healthy() : isConnected(i) && storeHealthy[i];
     }
 
     /**
      * Heard in the mesh, or seen to write to the state service lately. A silent mesh alone once made seven controllers take
      * the same shards from each other twice a second, each time with the autoscaler's row.
      */
-    public boolean seen(int i) {
+    public boolean isAlive(int i) {
         long now = effects.now();
-        return i == 0 || now - heardAt[i] < suspectMs + GRACE_MS || now - beatAt[i] < BEAT_SEEN_MS;
+        return i == 0
+                || now - heartbeatAtMs[i] < suspicionTimeoutMs + FIRST_ROW_HEARTBEAT_GRACE_MS
+                || now - rowHeartbeatAtMs[i] < ROW_HEARTBEAT_TIMEOUT_MS;
     }
 
     /** Heard just now, and in the same life for at least so long. */
-    public boolean steady(int i, long ms) {
-        return effects.now() - heardAt[i] < JUST_MS && effects.now() - aliveSince[i] > ms;
+    public boolean isConnectedFor(int i, long ms) {
+        return effects.now() - heartbeatAtMs[i] < RECENT_HEARTBEAT_MS && effects.now() - aliveSinceMs[i] > ms;
     }
 
-    private boolean seenAble(int i) {
+    private boolean isAliveAndServed(int i) {
         return i == 0
                 ? store.healthy()
-                : live(i) ? storeOk[i] : seen(i) && (storeOk[i] || effects.now() - beatAt[i] < BEAT_SEEN_MS);
+                : isConnected(i)
+                        ? storeHealthy[i]
+                        : isAlive(i)
+                                && (storeHealthy[i] || effects.now() - rowHeartbeatAtMs[i] < ROW_HEARTBEAT_TIMEOUT_MS);
     }
 
     /** Notes whose seat rows have changed. The first look tells nothing: the row may be a dead one's. */
-    private void watchBeats(long now) {
+    private void observeRowHeartbeats(long now) {
         for (int i = 1; i < members.size(); i++) {
             long version = view.version(Keys.MEMBER_LEASE + memberName(i));
-            if (beatVersion[i] >= 0 && version > beatVersion[i]) {
-                beatAt[i] = now;
+            if (rowHeartbeatVersion[i] >= 0 && version > rowHeartbeatVersion[i]) {
+                rowHeartbeatAtMs[i] = now;
             }
-            beatVersion[i] = version;
+            rowHeartbeatVersion[i] = version;
         }
     }
 
-    private void beat(long now) {
+    private void writeRowHeartbeat(long now) {
         boolean missing = false;
         for (int i = 1; i < members.size(); i++) {
-            missing |= !live(i) && view.row(Keys.MEMBER_LEASE + memberName(i)) != null;
+            missing |= !isConnected(i) && view.row(Keys.MEMBER_LEASE + memberName(i)) != null;
         }
-        if (!missing || beating || now < nextBeat) {
+        if (!missing || rowHeartbeatPending || now < nextRowHeartbeatMs) {
             return;
         }
-        beating = true;
-        nextBeat = now + BEAT_MS;
-        long id = lease;
+        rowHeartbeatPending = true;
+        nextRowHeartbeatMs = now + ROW_HEARTBEAT_INTERVAL_MS;
+        long id = leaseId;
         long inc = incarnation;
         store.enqueue(new Change() {
             @Override
@@ -386,12 +391,15 @@
 
             @Override
             public long expiresAtMs() {
-                return now + BEAT_MS;
+                return now + ROW_HEARTBEAT_INTERVAL_MS;
             }
 
             @Override
             public boolean build(Transaction tx) {
-                if (lease != id || incarnation != inc || !seated || tx.writes(Keys.MEMBER_LEASE + settings.member())) {
+                if (leaseId != id
+                        || incarnation != inc
+                        || !registered
+                        || tx.writes(Keys.MEMBER_LEASE + settings.member())) {
                     return false;
                 }
                 tx.putWithLease(Keys.MEMBER_LEASE + settings.member(), Map.of("i", inc, "b", now), id);
@@ -400,12 +408,12 @@
 
             @Override
             public void committed(long revision) {
-                beating = false;
+                rowHeartbeatPending = false;
             }
 
             @Override
             public void dropped() {
-                beating = false;
+                rowHeartbeatPending = false;
             }
         });
     }
@@ -414,28 +422,28 @@
      * A heartbeat. The terms it has seen also settle who may still answer workers: a member that knows of our term does
      * not answer under an older one any more. True if it was not heard of before, or not in this life.
      */
-    public boolean heard(int i, boolean itsStoreOk, long itsIncarnation, List<Long> terms, List<Long> owned) {
-        boolean news = !live(i) || seenIncarnation[i] != itsIncarnation;
+    public boolean handleHeartbeat(int i, boolean itsStoreOk, long itsIncarnation, List<Long> terms, List<Long> owned) {
+        boolean news = !isConnected(i) || seenIncarnation[i] != itsIncarnation;
         seenIncarnation[i] = itsIncarnation;
-        if (terms.size() == giving.length) {
-            for (int s = 0; s < giving.length; s++) {
-                seenTerm[i][s] = terms.get(s);
+        if (terms.size() == handingOver.length) {
+            for (int s = 0; s < handingOver.length; s++) {
+                termsSeenByMember[i][s] = terms.get(s);
             }
         }
-        for (int s = 0; s < Math.min(owned.size(), heardTerm.length); s++) {
-            heardTerm[s] = Math.max(heardTerm[s], owned.get(s));
+        for (int s = 0; s < Math.min(owned.size(), highestPeerTerm.length); s++) {
+            highestPeerTerm[s] = Math.max(highestPeerTerm[s], owned.get(s));
         }
         if (news) {
             // Also one that was back before anybody missed it: shards are handed to what has settled.
-            aliveSince[i] = effects.now();
+            aliveSinceMs[i] = effects.now();
             LOG.info("{} is heard of", memberName(i));
         }
-        heardAt[i] = effects.now();
-        storeOk[i] = itsStoreOk;
+        heartbeatAtMs[i] = effects.now();
+        storeHealthy[i] = itsStoreOk;
         if (itsStoreOk) {
-            badStoreSince[i] = -1;
-        } else if (badStoreSince[i] < 0) {
-            badStoreSince[i] = effects.now();
+            storeUnhealthySinceMs[i] = -1;
+        } else if (storeUnhealthySinceMs[i] < 0) {
+            storeUnhealthySinceMs[i] = effects.now();
         }
         return news;
     }
@@ -444,28 +452,28 @@
      * Whether a record comes from an earlier life of a member than the one that is heard: it may have been long on its way. One that
      * has fallen silent may be back with a clock that was set back.
      */
-    public boolean earlierLife(int i, long itsIncarnation) {
-        return itsIncarnation > 0 && itsIncarnation < seenIncarnation[i] && live(i);
+    public boolean isEarlierIncarnation(int i, long itsIncarnation) {
+        return itsIncarnation > 0 && itsIncarnation < seenIncarnation[i] && isConnected(i);
     }
 
     /** Per shard the highest term we know of, 0 where we may still answer under one of our own. */
-    public List<Long> termsSeen() {
+    public List<Long> highestTerms() {
         List<Long> l = new ArrayList<>();
-        for (int s = 0; s < giving.length; s++) {
-            l.add(mine(s) ? 0 : term(s));
+        for (int s = 0; s < handingOver.length; s++) {
+            l.add(isRecordedOwner(s) ? 0 : term(s));
         }
         return l;
     }
 
     /** A worker of a shard whose owner we don't hear of has come to us. */
-    public void wanted(int shard) {
-        wantedAt[shard] = effects.now();
+    public void workerWithoutOwner(int shard) {
+        workerWithoutOwnerAtMs[shard] = effects.now();
     }
 
     /** Whether another live controller is served by the state service, so that an outage seen here is ours alone. */
-    public boolean othersAreServed() {
+    public boolean anyPeerServed() {
         for (int i = 1; i < members.size(); i++) {
-            if (live(i) && storeOk[i]) {
+            if (isConnected(i) && storeHealthy[i]) {
                 return true;
             }
         }
@@ -473,25 +481,25 @@
     }
 
     /** Whether we hear no other controller at all, though there are some. */
-    public boolean lonely() {
+    public boolean isIsolated() {
         for (int i = 1; i < members.size(); i++) {
-            if (live(i)) {
+            if (isConnected(i)) {
                 return false;
             }
         }
         return members.size() > 1;
     }
 
-    public boolean drives(String job) {
-        return driver(job) == 0;
+    public boolean schedules(String job) {
+        return schedulerOf(job) == 0;
     }
 
     /** The member that drives this job, by rendezvous; disagreement is harmless. */
-    public int driver(String job) {
+    public int schedulerOf(String job) {
         int best = 0;
         int top = Integer.MIN_VALUE;
         for (int i = 0; i < members.size(); i++) {
-            if (i == 0 || able(i)) {
+            if (i == 0 || isConnectedAndServed(i)) {
                 int h = mix(memberName(i).hashCode() * 31 + job.hashCode());
                 if (h > top) {
                     top = h;
@@ -517,86 +525,86 @@
         if (!store.loaded()) {
             return;
         }
-        readAt = readAt < 0 ? now : readAt;
-        if (lease == 0) {
-            if (!leaseBusy && now >= nextLease) {
-                grant();
+        storeReadAtMs = storeReadAtMs < 0 ? now : storeReadAtMs;
+        if (leaseId == 0) {
+            if (!leaseCallPending && now >= nextLeaseCallMs) {
+                requestLease();
             }
             return;
         }
-        if (!leaseBusy && now >= nextLease) {
-            extend();
+        if (!leaseCallPending && now >= nextLeaseCallMs) {
+            renewLease();
         }
-        if (!seated) {
-            if (!seatBusy) {
-                sit();
+        if (!registered) {
+            if (!registrationPending) {
+                register();
             }
             return;
         }
         Map<String, Object> seat = view.row(Keys.MEMBER_LEASE + settings.member());
-        if (seat == null || Fields.countOr(seat, "i", 0) != incarnation || now >= goodUntil) {
+        if (seat == null || Fields.countOr(seat, "i", 0) != incarnation || now >= leaseValidUntilMs) {
             LOG.error("seat lost, taking a new one");
-            lose();
+            loseMembership();
             return;
         }
-        follow(now);
-        watchBeats(now);
+        updateOwnership(now);
+        observeRowHeartbeats(now);
         if (store.healthy()) {
-            beat(now);
-            takeWhatIsOurs(now);
-            giveWhatIsNot(now);
+            writeRowHeartbeat(now);
+            takeOverPreferredShards(now);
+            handOverOtherShards(now);
         }
     }
 
-    private void grant() {
-        leaseBusy = true;
-        outlive();
+    private void requestLease() {
+        leaseCallPending = true;
+        raiseIncarnation();
         long sent = effects.now();
-        nextLease = sent + 1_000;
+        nextLeaseCallMs = sent + 1_000;
         store.callLease("POST", Wire.LEASES, Map.of(Wire.TTL, leaseMs), (status, m) -> {
-            leaseBusy = false;
+            leaseCallPending = false;
             if (status == 200) {
-                lease = Fields.count(m, Wire.LEASE);
-                renewed(sent);
+                leaseId = Fields.count(m, Wire.LEASE);
+                leaseRenewed(sent);
             }
         });
     }
 
-    private void renewed(long sent) {
-        goodUntil = sent + (long) (leaseMs * (1 - 2 * Settings.DRIFT)) - 250;
-        nextLease = sent + Math.max(1_000, leaseMs / 9);
+    private void leaseRenewed(long sent) {
+        leaseValidUntilMs = sent + (long) (leaseMs * (1 - 2 * Settings.DRIFT)) - 250;
+        nextLeaseCallMs = sent + Math.max(1_000, leaseMs / 9);
     }
 
-    private void extend() {
-        leaseBusy = true;
+    private void renewLease() {
+        leaseCallPending = true;
         long sent = effects.now();
-        nextLease = sent + 1_000;
-        long id = lease;
+        nextLeaseCallMs = sent + 1_000;
+        long id = leaseId;
         store.callLease("POST", Wire.LEASES + "/" + id + Wire.EXTEND, Map.of(), (status, m) -> {
-            leaseBusy = false;
-            if (id != lease) {
+            leaseCallPending = false;
+            if (id != leaseId) {
                 return;
             }
             if (status == 200) {
-                renewed(sent);
+                leaseRenewed(sent);
             } else if (status == 404) {
                 LOG.error("seat lease ended");
-                lose();
+                loseMembership();
             }
         });
     }
 
-    private void lose() {
-        lease = 0;
-        seated = false;
-        goodUntil = -1;
+    private void loseMembership() {
+        leaseId = 0;
+        registered = false;
+        leaseValidUntilMs = -1;
         // A new seat is a new incarnation: whoever counted on the old one having ended must stay right.
-        incarnation = Math.max(incarnation + 1, effects.wall());
+        incarnation = Math.max(incarnation + 1, effects.wallTime());
     }
 
-    private void sit() {
-        seatBusy = true;
-        long id = lease;
+    private void register() {
+        registrationPending = true;
+        long id = leaseId;
         long inc = incarnation;
         store.enqueue(new Change() {
             @Override
@@ -611,7 +619,7 @@
 
             @Override
             public boolean build(Transaction tx) {
-                if (lease != id || incarnation != inc) {
+                if (leaseId != id || incarnation != inc) {
                     return false;
                 }
                 tx.putWithLease(Keys.MEMBER_LEASE + settings.member(), Map.of("i", inc), id);
@@ -620,18 +628,18 @@
 
             @Override
             public void committed(long revision) {
-                seatBusy = false;
-                if (lease == id && incarnation == inc) {
-                    seated = true;
+                registrationPending = false;
+                if (leaseId == id && incarnation == inc) {
+                    registered = true;
                     LOG.info("seat taken, incarnation {}", inc);
                 }
             }
 
             @Override
             public void dropped() {
-                seatBusy = false;
-                if (lease == id) {
-                    lose();
+                registrationPending = false;
+                if (leaseId == id) {
+                    loseMembership();
                 }
             }
         });
@@ -640,35 +648,35 @@
     // ---- shards
 
     /** Notes since when we own a shard and when its earlier owners became harmless. */
-    private void follow(long now) {
-        for (int s = 0; s < giving.length; s++) {
+    private void updateOwnership(long now) {
+        for (int s = 0; s < handingOver.length; s++) {
             Map<String, Object> row = view.row(shardKey(s));
-            boolean mine = row != null && named(s, settings.member(), incarnation);
+            boolean mine = row != null && rowNames(s, settings.member(), incarnation);
             if (!mine) {
-                ownedTerm[s] = 0;
-                fencedAt[s] = -1;
-                giving[s] = false;
+                ownedSinceTerm[s] = 0;
+                fencedAtMs[s] = -1;
+                handingOver[s] = false;
                 continue;
             }
             long since = Fields.countOr(row, "o", 0);
-            if (ownedTerm[s] != since) {
-                ownedTerm[s] = since;
-                ownedSince[s] = now;
-                fencedAt[s] = -1;
+            if (ownedSinceTerm[s] != since) {
+                ownedSinceTerm[s] = since;
+                ownedSinceMs[s] = now;
+                fencedAtMs[s] = -1;
             }
-            if (fencedAt[s] < 0 && harmless(priors(row), s, since)) {
-                fencedAt[s] = now;
+            if (fencedAtMs[s] < 0 && arePriorOwnersFenced(priorOwnersStillMembers(row), s, since)) {
+                fencedAtMs[s] = now;
             }
         }
     }
 
     /** Earlier owners whose seats still stand: they might still answer workers. */
-    private List<Object> priors(Map<String, Object> row) {
+    private List<Object> priorOwnersStillMembers(Map<String, Object> row) {
         List<Object> alive = new ArrayList<>();
         if (row != null && row.get("p") instanceof List<?> l) {
             for (Object o : l) {
                 String[] p = String.valueOf(o).split("#");
-                if (p.length == 2 && sits(p[0], p[1])) {
+                if (p.length == 2 && isMember(p[0], p[1])) {
                     alive.add(o);
                 }
             }
@@ -677,12 +685,13 @@
     }
 
     /** Whether none of these earlier owners can answer this shard's workers: each is us, or knows of our term. */
-    private boolean harmless(List<Object> priors, int shard, long since) {
+    private boolean arePriorOwnersFenced(List<Object> priors, int shard, long since) {
         for (Object o : priors) {
             String[] p = String.valueOf(o).split("#");
-            int i = index(p[0]);
+            int i = memberIndex(p[0]);
             boolean us = i == 0 && p[1].equals(String.valueOf(incarnation));
-            boolean knows = i > 0 && p[1].equals(String.valueOf(seenIncarnation[i])) && seenTerm[i][shard] >= since;
+            boolean knows =
+                    i > 0 && p[1].equals(String.valueOf(seenIncarnation[i])) && termsSeenByMember[i][shard] >= since;
             if (!us && !knows) {
                 return false;
             }
@@ -690,24 +699,24 @@
         return true;
     }
 
-    private boolean sits(String member, String inc) {
+    private boolean isMember(String member, String inc) {
         Map<String, Object> seat = view.row(Keys.MEMBER_LEASE + member);
         return seat != null && String.valueOf(seat.get("i")).equals(inc);
     }
 
-    private boolean validOwner(int shard) {
+    private boolean isOwnerMember(int shard) {
         Map<String, Object> row = view.row(shardKey(shard));
-        return row != null && sits(String.valueOf(row.get("m")), String.valueOf(row.get("i")));
+        return row != null && isMember(String.valueOf(row.get("m")), String.valueOf(row.get("i")));
     }
 
     /** The member that should own a shard: one in its zone if any is able, else any. */
-    private int preferred(int shard, boolean hopeful) {
+    private int preferredOwner(int shard, boolean hopeful) {
         String zone = catalog.zones.name(zoneOf(shard));
         List<Integer> near = new ArrayList<>();
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < members.size(); i++) {
             // Young controllers count on the others to be starting as well.
-            boolean maybe = seenAble(i) || hopeful;
+            boolean maybe = isAliveAndServed(i) || hopeful;
             if (maybe) {
                 all.add(i);
                 if (members.get(i).zone().equals(zone)) {
@@ -720,56 +729,56 @@
         return from.isEmpty() ? -1 : from.get(shard % from.size());
     }
 
-    private void takeWhatIsOurs(long now) {
-        if (taking) {
+    private void takeOverPreferredShards(long now) {
+        if (takeoverPending) {
             return;
         }
         // Counted from the reading, not from the start: after a start inside an outage whoever read first once took all
         // shards, 0.1 s
         // before the others, and handed them over six seconds later, in the middle of squaring their workers' reports.
-        boolean hopeful = now - readAt < suspectMs + 500;
+        boolean hopeful = now - storeReadAtMs < suspicionTimeoutMs + 500;
         List<Integer> take = new ArrayList<>();
-        for (int s = 0; s < giving.length; s++) {
-            if (owns(s) || giving[s] || preferred(s, hopeful) != 0) {
+        for (int s = 0; s < handingOver.length; s++) {
+            if (owns(s) || handingOver[s] || preferredOwner(s, hopeful) != 0) {
                 continue;
             }
-            String owner = owner(s);
-            int o = owner == null ? -1 : index(owner);
-            boolean orphan = owner == null || !validOwner(s) || o == 0;
+            String owner = ownerName(s);
+            int o = owner == null ? -1 : memberIndex(owner);
+            boolean orphan = owner == null || !isOwnerMember(s) || o == 0;
             // Without a worker that has lost its owner, the silence may be the mesh's alone: taking would start a
             // fight.
-            boolean silent = o > 0 && !seen(o) && !hopeful && now - wantedAt[s] < 6_000;
-            boolean unserved = o > 0 && badStoreSince[o] >= 0 && now - badStoreSince[o] > 4_000;
+            boolean silent = o > 0 && !isAlive(o) && !hopeful && now - workerWithoutOwnerAtMs[s] < 6_000;
+            boolean unserved = o > 0 && storeUnhealthySinceMs[o] >= 0 && now - storeUnhealthySinceMs[o] > 4_000;
             if (orphan || silent || unserved) {
                 take.add(s);
             }
         }
         if (!take.isEmpty()) {
-            take(take);
+            takeOver(take);
         }
     }
 
     /** Workers of a foreign shard keep coming to us: their owner can't be reached by them. */
-    public void pressed(int shard) {
+    public void ownerUnreachable(int shard) {
         long now = effects.now();
-        if (!taking && store.healthy() && holding() && !owns(shard) && now - lastTake[shard] > 15_000) {
+        if (!takeoverPending && store.healthy() && canAct() && !owns(shard) && now - lastTakeoverMs[shard] > 15_000) {
             LOG.info("workers of shard {} can't reach their owner", shard);
-            lastTake[shard] = now;
-            pressedAt[shard] = now;
-            presses[shard]++;
-            take(List.of(shard));
+            lastTakeoverMs[shard] = now;
+            ownerUnreachableAtMs[shard] = now;
+            ownerUnreachableCount[shard]++;
+            takeOver(List.of(shard));
         }
     }
 
     /** A higher term for a shard of ours fences commands that may still be under way. */
-    public void raise(int shard) {
-        if (!taking && owns(shard) && effects.now() - lastTake[shard] > 2_000) {
-            take(List.of(shard));
+    public void raiseTerm(int shard) {
+        if (!takeoverPending && owns(shard) && effects.now() - lastTakeoverMs[shard] > 2_000) {
+            takeOver(List.of(shard));
         }
     }
 
-    private void take(List<Integer> shards) {
-        taking = true;
+    private void takeOver(List<Integer> shards) {
+        takeoverPending = true;
         long[] versions =
                 shards.stream().mapToLong(s -> view.version(shardKey(s))).toArray();
         store.enqueue(new ShardChange(0) {
@@ -782,7 +791,7 @@
 
             @Override
             boolean write(Transaction tx) {
-                if (!seated) {
+                if (!registered) {
                     return false;
                 }
                 tx.requireUnchanged(Keys.MEMBER_LEASE + settings.member());
@@ -795,24 +804,25 @@
                         continue;
                     }
                     Map<String, Object> old = view.row(shardKey(s));
-                    List<Object> before = priors(old);
-                    boolean ours = named(s, settings.member(), incarnation);
+                    List<Object> before = priorOwnersStillMembers(old);
+                    boolean ours = rowNames(s, settings.member(), incarnation);
                     if (old != null && !ours) {
                         String p = old.get("m") + "#" + old.get("i");
-                        if (sits(String.valueOf(old.get("m")), String.valueOf(old.get("i"))) && !before.contains(p)) {
+                        if (isMember(String.valueOf(old.get("m")), String.valueOf(old.get("i")))
+                                && !before.contains(p)) {
                             before.add(p);
                         }
                     }
                     term++;
                     tx.put(
                             shardKey(s),
-                            row(
+                            encodeShardRow(
                                     settings.member(),
                                     incarnation,
                                     term,
                                     ours ? Fields.countOr(old, "o", term) : term,
                                     before));
-                    lastTake[s] = effects.now();
+                    lastTakeoverMs[s] = effects.now();
                     n++;
                 }
                 if (n == 0) {
@@ -828,25 +838,25 @@
             }
 
             @Override
-            void over(boolean ok) {
-                taking = false;
+            void finished(boolean ok) {
+                takeoverPending = false;
                 // Without an answer, and then seen to be ours: it was carried out.
                 if (ok
                         || unclear
                                 && shards.stream()
-                                        .anyMatch(s ->
-                                                mine(s) && view.version(shardKey(s)) != versions[shards.indexOf(s)])) {
+                                        .anyMatch(s -> isRecordedOwner(s)
+                                                && view.version(shardKey(s)) != versions[shards.indexOf(s)])) {
                     takeovers++;
                     LOG.info("shards {} are ours, term {}", shards, lastTerm());
-                    follow(effects.now());
+                    updateOwnership(effects.now());
                 }
             }
         });
     }
 
-    private void giveWhatIsNot(long now) {
+    private void handOverOtherShards(long now) {
         for (int i = 1; i < members.size(); i++) {
-            if (live(i) && !storeOk[i]) {
+            if (isConnected(i) && !storeHealthy[i]) {
                 // An outage that begins is noticed by one after the other, and preferences follow. Handing over then
                 // left half
                 // of the shards with nobody to answer their workers until the outage was over, and their leases were
@@ -854,24 +864,25 @@
                 return;
             }
         }
-        for (int s = 0; s < giving.length; s++) {
-            if (!owns(s) || taking) {
+        for (int s = 0; s < handingOver.length; s++) {
+            if (!owns(s) || takeoverPending) {
                 continue;
             }
-            int p = preferred(s, false);
+            int p = preferredOwner(s, false);
             Map<String, Object> seat = p <= 0 ? null : view.row(Keys.MEMBER_LEASE + memberName(p));
             // Whom its workers could not reach looks as well as ever from here, unless it was restarted. Given back
             // after six seconds, the shard went round for as
             // long as such a cut lasted, and its workers' leases ended.
-            boolean unreached = aliveSince[p] <= pressedAt[s] && now - pressedAt[s] < holdMs(s, p);
+            boolean unreached =
+                    aliveSinceMs[p] <= ownerUnreachableAtMs[s] && now - ownerUnreachableAtMs[s] < handoverDelayMs(s, p);
             if (seat == null
-                    || !live(p)
+                    || !isConnected(p)
                     || unreached
-                    || now - aliveSince[p] < settleMs
-                    || now - ownedSince[s] < settleMs) {
+                    || now - aliveSinceMs[p] < settleMs
+                    || now - ownedSinceMs[s] < settleMs) {
                 continue;
             }
-            give(s, memberName(p), Fields.countOr(seat, "i", 0));
+            handOver(s, memberName(p), Fields.countOr(seat, "i", 0));
         }
     }
 
@@ -880,21 +891,24 @@
      * shard's zone that hears it, all that can show whether they reach it again is to send them there, at the price of most of a short
      * worker's lease: after 45 s of a longer cut, replicas with leases of 10 s were dropped by it.
      */
-    private long holdMs(int shard, int owner) {
-        boolean heard = hearsWorkers.test(owner, zoneOf(shard));
-        return leaseMs << (heard ? Math.min(MAX_DOUBLINGS, Math.max(0, presses[shard] - 1)) : MAX_DOUBLINGS);
+    private long handoverDelayMs(int shard, int owner) {
+        boolean heard = reachesWorkers.test(owner, zoneOf(shard));
+        return leaseMs
+                << (heard
+                        ? Math.min(MAX_HANDOVER_DELAY_DOUBLINGS, Math.max(0, ownerUnreachableCount[shard] - 1))
+                        : MAX_HANDOVER_DELAY_DOUBLINGS);
     }
 
     /** {@code hears}: whether a member, by its index, tells of a worker in a zone that hears it. */
-    public void hearsWorkers(BiPredicate<Integer, Integer> hears) {
-        hearsWorkers = hears;
+    public void reachesWorkers(BiPredicate<Integer, Integer> hears) {
+        reachesWorkers = hears;
     }
 
     /** We stop answering first and write after: the new owner then has nobody to wait for. */
-    private void give(int shard, String to, long inc) {
-        giving[shard] = true;
+    private void handOver(int shard, String to, long inc) {
+        handingOver[shard] = true;
         LOG.info("handing shard {} to {}", shard, to);
-        long until = effects.now() + GIVE_MS;
+        long until = effects.now() + HANDOVER_TIMEOUT_MS;
         store.enqueue(new ShardChange(1) {
             private boolean unclear;
 
@@ -912,12 +926,12 @@
             @Override
             boolean write(Transaction tx) {
                 Map<String, Object> old = view.row(shardKey(shard));
-                if (!named(shard, settings.member(), incarnation) || !sits(to, String.valueOf(inc))) {
+                if (!rowNames(shard, settings.member(), incarnation) || !isMember(to, String.valueOf(inc))) {
                     return false;
                 }
                 tx.requireUnchanged(Keys.MEMBER_LEASE + to);
                 long term = lastTerm() + 1;
-                tx.put(shardKey(shard), row(to, inc, term, term, priors(old)));
+                tx.put(shardKey(shard), encodeShardRow(to, inc, term, term, priorOwnersStillMembers(old)));
                 tx.put(Keys.TERM, Map.of("t", term));
                 return true;
             }
@@ -928,8 +942,8 @@
             }
 
             @Override
-            void over(boolean ok) {
-                giving[shard] = false;
+            void finished(boolean ok) {
+                handingOver[shard] = false;
             }
         });
     }
@@ -939,7 +953,8 @@
         return row == null ? 0 : Fields.countOr(row, "t", 0);
     }
 
-    private static Map<String, Object> row(String member, long inc, long term, long since, List<Object> priors) {
+    private static Map<String, Object> encodeShardRow(
+            String member, long inc, long term, long since, List<Object> priors) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("m", member);
         m.put("i", inc);
@@ -959,7 +974,7 @@
 
         abstract boolean write(Transaction tx);
 
-        abstract void over(boolean ok);
+        abstract void finished(boolean ok);
 
         @Override
         public int rank() {
@@ -973,12 +988,12 @@
 
         @Override
         public void committed(long revision) {
-            over(true);
+            finished(true);
         }
 
         @Override
         public void dropped() {
-            over(false);
+            finished(false);
         }
     }
 }
--- a/src/main/java/birchusher/membership/Staleness.java
+++ b/src/main/java/birchusher/membership/Staleness.java
@@ -20,57 +20,57 @@
  */
 public final class Staleness {
     /** More cancellations than this are not told, and then the word is none. */
-    private static final int MOST_NEWS = 500;
+    private static final int MAX_CANCELLATIONS_SENT = 500;
 
-    private static final long ASK_FROM_MS = 1_000;
+    private static final long QUERY_PEERS_AFTER_MS = 1_000;
 
     private final Effects effects;
     private final StoreView view;
     private final StoreClient store;
-    private final long boundMs;
+    private final long maxAgeMs;
     /** Per member: what it knew at this moment, by our clock, is known here. */
-    private final long[] toldAt;
+    private final long[] peerCoveredAtMs;
 
     Staleness(Effects effects, Settings s, StoreView view, StoreClient store) {
         this.effects = effects;
         this.view = view;
         this.store = store;
-        boundMs = s.staleMs();
-        toldAt = new long[1 + s.peers().size()];
-        Arrays.fill(toldAt, Long.MIN_VALUE / 2);
+        maxAgeMs = s.staleMs();
+        peerCoveredAtMs = new long[1 + s.peers().size()];
+        Arrays.fill(peerCoveredAtMs, Long.MIN_VALUE / 2);
         // Nobody else tells users anything but what we know when there is nobody else.
-        toldAt[0] = Long.MAX_VALUE;
+        peerCoveredAtMs[0] = Long.MAX_VALUE;
     }
 
     /** Every change that a user was told of before this moment is known here. */
-    long informedUpTo() {
-        long told = Arrays.stream(toldAt).min().getAsLong();
+    long upToDateAtMs() {
+        long told = Arrays.stream(peerCoveredAtMs).min().getAsLong();
         return Math.max(store.upToDateAsOfMs(), Math.min(told, effects.now()));
     }
 
     /** How long ago, in ms, the last moment lies up to which we are informed. */
     public long ageMs() {
-        return effects.now() - informedUpTo();
+        return effects.now() - upToDateAtMs();
     }
 
-    boolean informed() {
-        return effects.now() - informedUpTo() < boundMs;
+    boolean isUpToDate() {
+        return effects.now() - upToDateAtMs() < maxAgeMs;
     }
 
     /** What to ask the other members now; null while the state service proves our view. */
-    public RevisionQuery ask() {
-        return store.loaded() && effects.now() - store.upToDateAsOfMs() > ASK_FROM_MS
+    public RevisionQuery peerQuery() {
+        return store.loaded() && effects.now() - store.upToDateAsOfMs() > QUERY_PEERS_AFTER_MS
                 ? new RevisionQuery(effects.now(), view.appliedRevision())
                 : null;
     }
 
     /** Our word for another member, with the cancellations that its view lacks. */
-    public RevisionReply reply(RevisionQuery q, long itsIncarnation) {
+    public RevisionReply answerQuery(RevisionQuery q, long itsIncarnation) {
         if (!store.loaded()) {
             // In the middle of a reading, what an earlier life of ours told users may not be known here yet.
             return new RevisionReply(q.sentAtMs(), itsIncarnation, false, -1, -1, List.of());
         }
-        List<Cancellation> news = view.cancellations().since(q.appliedRevision(), MOST_NEWS);
+        List<Cancellation> news = view.cancellations().since(q.appliedRevision(), MAX_CANCELLATIONS_SENT);
         return new RevisionReply(
                 q.sentAtMs(),
                 itsIncarnation,
@@ -84,7 +84,7 @@
      * Another member's answer. What it tells of cancellations is always used; it is a word only if it answers this life of ours, is not
      * served, and leaves nothing that it knows unknown here.
      */
-    public void replied(int member, RevisionReply r, long ourIncarnation) {
+    public void handleReply(int member, RevisionReply r, long ourIncarnation) {
         boolean kept = view.addReportedCancellations(r.cancellations());
         boolean covered = r.knownRevision() >= 0
                 && (r.knownRevision() <= view.appliedRevision()
@@ -93,7 +93,7 @@
                 && !r.storeHealthy()
                 && r.querierIncarnation() == ourIncarnation
                 && r.querySentAtMs() <= effects.now()) {
-            toldAt[member] = Math.max(toldAt[member], r.querySentAtMs());
+            peerCoveredAtMs[member] = Math.max(peerCoveredAtMs[member], r.querySentAtMs());
         }
     }
 }
--- a/src/main/java/birchusher/mesh/PeerCodec.java
+++ b/src/main/java/birchusher/mesh/PeerCodec.java
@@ -1,6 +1,6 @@
 package birchusher.mesh;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.mesh.PeerRecord.AttemptOutcome;
 import birchusher.mesh.PeerRecord.AttemptOutcomes;
 import birchusher.mesh.PeerRecord.Cancellation;
@@ -134,7 +134,7 @@
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(record))) {
             int version = in.readByte();
             if (version != VERSION && version != PREVIOUS_VERSION) {
-                throw new Bad("peer record of version " + version);
+                throw new InvalidInputException("peer record of version " + version);
             }
             String member = in.readUTF();
             long incarnation = version == PREVIOUS_VERSION ? 0 : in.readLong();
@@ -175,14 +175,14 @@
                                 in.readLong(),
                                 in.readLong(),
                                 list(in, d -> new Cancellation(d.readUTF(), d.readLong())));
-                        default -> throw new Bad("peer record of unknown kind");
+                        default -> throw new InvalidInputException("peer record of unknown kind");
                     };
             if (in.available() > 0) {
-                throw new Bad("peer record with bytes after its end");
+                throw new InvalidInputException("peer record with bytes after its end");
             }
             return new Envelope(member, incarnation, r);
         } catch (IOException e) {
-            throw new Bad("peer record cut off");
+            throw new InvalidInputException("peer record cut off");
         }
     }
 
@@ -258,7 +258,7 @@
     private static <T> List<T> list(DataInputStream in, Reader<T> r) throws IOException {
         int n = in.readInt();
         if (n < 0 || n > MAX_LIST_LENGTH || n > in.available()) {
-            throw new Bad("peer record with a list of " + n);
+            throw new InvalidInputException("peer record with a list of " + n);
         }
         List<T> l = new ArrayList<>(n);
         for (int i = 0; i < n; i++) {
--- a/src/main/java/birchusher/model/Catalog.java
+++ b/src/main/java/birchusher/model/Catalog.java
@@ -1,6 +1,6 @@
 package birchusher.model;
 
-import birchusher.core.Names;
+import birchusher.core.NameIndex;
 import birchusher.settings.Settings;
 import it.unimi.dsi.fastutil.ints.Int2DoubleOpenHashMap;
 import java.util.ArrayList;
@@ -44,19 +44,19 @@
     /** Amounts are decimal numbers; sums of them need a little play. */
     public static final double EPS = 1e-6;
 
-    public final Names teams = new Names();
-    public final Names zones;
-    public final Names typeNames = new Names();
-    public final Names images = new Names();
-    public final Names classes = new Names();
-    public final Names members = new Names();
+    public final NameIndex teams = new NameIndex();
+    public final NameIndex zones;
+    public final NameIndex typeNames = new NameIndex();
+    public final NameIndex images = new NameIndex();
+    public final NameIndex classes = new NameIndex();
+    public final NameIndex members = new NameIndex();
     private final List<Settings.Team> teamList;
     private Type[] types = new Type[0];
     private boolean known;
     private final Int2DoubleOpenHashMap imageGb = new Int2DoubleOpenHashMap();
 
     public Catalog(Settings s) {
-        zones = new Names(s.zones());
+        zones = new NameIndex(s.zones());
         s.teams().forEach(t -> teams.add(t.name()));
         teamList = s.teams();
         members.add(s.member());
@@ -143,7 +143,7 @@
         return g && c;
     }
 
-    public static Type type(Names typeNames, Names zones, Map<String, Object> m, String[] f) {
+    public static Type type(NameIndex typeNames, NameIndex zones, Map<String, Object> m, String[] f) {
         List<?> zs = birchusher.core.Fields.list(m, f[8]);
         int[] z = new int[zs.size()];
         for (int i = 0; i < z.length; i++) {
--- a/src/main/java/birchusher/placement/Driver.java
+++ b/src/main/java/birchusher/placement/Driver.java
@@ -157,7 +157,7 @@
         this.mesh = mesh;
         this.fleetKnown = fleetKnown;
         this.returning = returning;
-        nextId = effects.wall() << 20;
+        nextId = effects.wallTime() << 20;
         offerMs = t.ms("placement.offer-s");
         preemptDelay = t.num("placement.preempt-delay-s") * 1000;
         planGap = t.ms("placement.plan-gap-s");
@@ -170,7 +170,9 @@
         long now = last.choices().stream().filter(c -> c.slot().real).count();
         return "room_now=" + now + " room_soon=" + (last.choices().size() - now) + " no_room="
                 + last.unplaced().stream().mapToInt(Planner.Unplaced::tasks).sum() + " overdue="
-                + last.choices().stream().filter(c -> c.overdue(effects.wall())).count();
+                + last.choices().stream()
+                        .filter(c -> c.overdue(effects.wallTime()))
+                        .count();
     }
 
     public Planner.Plan last() {
@@ -200,7 +202,7 @@
         }
         List<Slot> slots = slots(pictures);
         slots.addAll(coming.get());
-        Planner.Plan plan = planner.plan(slots, marks, underway(), now, effects.wall());
+        Planner.Plan plan = planner.plan(slots, marks, underway(), now, effects.wallTime());
         last = plan;
         // Large fleets and long queues make plans dear: they are then made less often, not at the cost of the reports.
         // Every claim
@@ -209,7 +211,7 @@
         counters.plans++;
         counters.planned += plan.work();
         counters.speedLimited += plan.speedLimited();
-        if (membership.holding() && store.healthy()) {
+        if (membership.canAct() && store.healthy()) {
             act(plan, pictures, now);
             if (fleetKnown.getAsBoolean()) {
                 preempt(plan, pictures, now);
@@ -400,7 +402,7 @@
                 whole.put(s.id(), false);
                 continue;
             }
-            if (heldCount + groups.size() > MAX_OFFERED || !membership.drives(s.id())) {
+            if (heldCount + groups.size() > MAX_OFFERED || !membership.schedules(s.id())) {
                 continue;
             }
             String key = s.gang() ? s.id() : s.id() + "/" + c.task() / c.job().chunkSize;
@@ -431,7 +433,7 @@
         if (!j.spec.manyGang()) {
             return null;
         }
-        double spareMs = planner.spareMs(j, effects.wall());
+        double spareMs = planner.spareMs(j, effects.wallTime());
         if (choices.stream().noneMatch(c -> c.delayMs() > spareMs)) {
             return null;
         }
@@ -452,7 +454,7 @@
     private void offer(Group g) {
         Map<Integer, List<Planner.Choice>> byOwner = new TreeMap<>();
         for (Planner.Choice c : g.choices) {
-            int owner = membership.owns(c.slot().shard) ? 0 : membership.liveOwner(c.slot().shard);
+            int owner = membership.owns(c.slot().shard) ? 0 : membership.connectedOwner(c.slot().shard);
             if (owner < 0 || owner == 0 && !membership.owns(c.slot().shard)) {
                 g.refused = true;
                 continue;
@@ -526,7 +528,7 @@
     private void callOff(List<Planner.Choice> choices) {
         Map<Integer, List<PeerRecord.OfferedTask>> byOwner = new TreeMap<>();
         for (Planner.Choice c : choices) {
-            int owner = membership.owns(c.slot().shard) ? 0 : membership.liveOwner(c.slot().shard);
+            int owner = membership.owns(c.slot().shard) ? 0 : membership.connectedOwner(c.slot().shard);
             if (owner >= 0) {
                 byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(item(c));
             }
@@ -863,12 +865,12 @@
             }
             boolean guaranteed = plan.guaranteed().contains(s.id());
             boolean gathers = s.manyGang() && !c.slot().real;
-            if (gathers && c.delayMs() > planner.spareMs(c.job(), effects.wall())) {
+            if (gathers && c.delayMs() > planner.spareMs(c.job(), effects.wallTime())) {
                 slow.put(s.id(), new Wish(c.job(), guaranteed, Double.MAX_VALUE));
             } else if (c.delayMs() > preemptDelay && (guaranteed || s.priority() == Priority.PRODUCTION || gathers)) {
                 // A gang's room is "soon" there again and again, and somebody else's then: what it has waited counts as
                 // well.
-                double waited = gathers ? Math.max(0, effects.wall() - c.job().acceptedAtMs) : 0;
+                double waited = gathers ? Math.max(0, effects.wallTime() - c.job().acceptedAtMs) : 0;
                 slow.put(s.id(), new Wish(c.job(), guaranteed, (c.delayMs() + waited) / 1000));
             }
         }
@@ -882,7 +884,7 @@
         int looks = MAX_WISHES;
         for (Wish u : wishes) {
             Job j = u.job();
-            if (!membership.drives(j.spec.id()) || preempting.containsKey(j.spec.id())) {
+            if (!membership.schedules(j.spec.id()) || preempting.containsKey(j.spec.id())) {
                 continue;
             }
             if (budget <= 0 || looks-- <= 0) {
@@ -934,7 +936,7 @@
                             j,
                             u.guaranteed(),
                             u.delayS(),
-                            planner.spareMs(j, effects.wall()),
+                            planner.spareMs(j, effects.wallTime()),
                             plan,
                             slots,
                             catalog.zones.size(),
@@ -956,7 +958,7 @@
         for (Chunk ch : job.chunks) {
             if (ch != null) {
                 for (Claim c : ch.claims.values()) {
-                    int owner = membership.owns(c.shard()) ? 0 : membership.liveOwner(c.shard());
+                    int owner = membership.owns(c.shard()) ? 0 : membership.connectedOwner(c.shard());
                     if (owner == 0) {
                         workerRegistry.wishStop(c, graceS, reason);
                     } else if (owner > 0 && owners.add(owner)) {
--- a/src/main/java/birchusher/placement/Planner.java
+++ b/src/main/java/birchusher/placement/Planner.java
@@ -6,7 +6,7 @@
 import birchusher.model.Catalog;
 import birchusher.model.JobSpec;
 import birchusher.model.Priority;
-import birchusher.recovery.Losses;
+import birchusher.recovery.LostTasks;
 import birchusher.settings.Settings;
 import birchusher.store.Chunk;
 import birchusher.store.Claim;
@@ -121,7 +121,7 @@
     private final StoreView view;
     private final Speeds speeds;
     private final Hazards hazards;
-    private final Losses losses;
+    private final LostTasks losses;
     private final RestorePlanner restores;
     private static final double DEFAULT_DUE_S = 600;
     /** Batch work that slows down fetches mostly holds up several tasks, often replicas. */
@@ -146,7 +146,7 @@
             StoreView view,
             Speeds speeds,
             Hazards hazards,
-            Losses losses,
+            LostTasks losses,
             LeaseTerms terms,
             List<Settings.Objective> objectives,
             double beginByS) {
@@ -283,7 +283,7 @@
                         false,
                         rank(startBy(j, wall), drainMs(j, cpus, gpus), latest(j), wall));
                 ranked.add(r);
-                if (losses.any(j.spec.id())) {
+                if (losses.hasLostTasks(j.spec.id())) {
                     ranked.add(new Ranked(j, r.production, r.guaranteed, true, r.startBy));
                 }
             }
--- a/src/main/java/birchusher/placement/RestorePlanner.java
+++ b/src/main/java/birchusher/placement/RestorePlanner.java
@@ -1,7 +1,7 @@
 package birchusher.placement;
 
 import birchusher.model.JobSpec;
-import birchusher.recovery.Losses;
+import birchusher.recovery.LostTasks;
 import birchusher.store.Job;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
         GANG_INCOMPLETE
     }
 
-    private final Losses losses;
+    private final LostTasks losses;
     /** Machines that can take tasks now, by name; only filled while something was dropped. */
     private final Map<String, Slot> usable = new HashMap<>();
 
@@ -34,7 +34,7 @@
     private Planner.Marks marks;
     private long now;
 
-    RestorePlanner(Losses losses) {
+    RestorePlanner(LostTasks losses) {
         this.losses = losses;
     }
 
@@ -43,7 +43,7 @@
         now = steadyNow;
         usable.clear();
         obstacles.clear();
-        if (losses.count() == 0) {
+        if (losses.size() == 0) {
             return;
         }
         for (Slot slot : all) {
@@ -59,12 +59,12 @@
      * there, one of which then found only rooms that its zone rule forbids.
      */
     boolean awaited(String job, int task) {
-        Losses.Home home = losses.home(job, task);
+        LostTasks.LostRun home = losses.lostRun(job, task);
         if (home == null || usable.containsKey(home.machine())) {
             return false;
         }
-        return losses.awaits(job, task, now) != null
-                || losses.recent(home, now) && marks.returning(home.machine(), home.session());
+        return losses.awaitedMachine(job, task, now) != null
+                || losses.isRecent(home, now) && marks.returning(home.machine(), home.session());
     }
 
     /** What kept a task of this plan from going back; null if it goes back, or was not dropped lately. */
@@ -81,7 +81,7 @@
     List<Planner.Choice> plan(
             Job job, IntPredicate held, Set<String> refused, Map<Integer, Integer> zones, IntPredicate overLimit) {
         JobSpec spec = job.spec;
-        Map<Integer, String> homes = losses.of(spec.id());
+        Map<Integer, String> homes = losses.machinesByTask(spec.id());
         if (spec.gang() && (homes.size() < spec.tasks() || job.placedCount() > 0)) {
             return List.of();
         }
@@ -117,7 +117,7 @@
     }
 
     private Obstacle obstacle(JobSpec spec, int task, Slot slot, Map<Integer, Integer> zones) {
-        if (slot == null || !losses.followedBy(spec.id(), task, slot.session)) {
+        if (slot == null || !losses.isLaterSession(spec.id(), task, slot.session)) {
             return Obstacle.NOT_USABLE;
         }
         if (!slot.fits(spec)) {
--- a/src/main/java/birchusher/pool/Gangs.java
+++ b/src/main/java/birchusher/pool/Gangs.java
@@ -1,7 +1,7 @@
 package birchusher.pool;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.Wire;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -66,12 +66,12 @@
         long index = Fields.count(m, "index");
         long tasks = Fields.count(m, "pieces");
         if (tasks < 1 || tasks > MAX_TASKS || index >= tasks) {
-            throw new Bad("pieces: 1 to " + MAX_TASKS + ", and above the index");
+            throw new InvalidInputException("pieces: 1 to " + MAX_TASKS + ", and above the index");
         }
         Phase phase = phase(Fields.text(m, "phase"));
         String key = job + "#" + attempt;
         if (!gangs.containsKey(key) && gangs.size() >= MAX_GANGS) {
-            throw new Bad("gangs: as many as are kept");
+            throw new InvalidInputException("gangs: as many as are kept");
         }
         Gang g = gangs.computeIfAbsent(key, k -> {
             Gang fresh = new Gang();
@@ -145,7 +145,7 @@
             case "running" -> Phase.RUNNING;
             case "ended" -> Phase.ENDED;
             case "leaving" -> Phase.LEAVING;
-            default -> throw new Bad("phase: unknown");
+            default -> throw new InvalidInputException("phase: unknown");
         };
     }
 }
--- a/src/main/java/birchusher/pool/Pool.java
+++ b/src/main/java/birchusher/pool/Pool.java
@@ -1,7 +1,7 @@
 package birchusher.pool;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.Wire;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -133,8 +133,8 @@
             } else if (key.startsWith(HOST)) {
                 Member m = members.get(key.substring(HOST.length()));
                 if (m == null) {
-                    throw new Bad(key.substring(HOST.length()) + ": is rented as " + row.get("machine")
-                            + " and missing among the hosts; list it until it has been returned");
+                    throw new InvalidInputException(key.substring(HOST.length()) + ": is rented as "
+                            + row.get("machine") + " and missing among the hosts; list it until it has been returned");
                 }
                 m.rental = Rental.of(row);
                 m.boot = m.rental.boot();
@@ -194,7 +194,7 @@
         boolean spot = Fields.flag(body, Wire.SPOT);
         long count = Fields.count(body, Wire.COUNT);
         if (count < 1 || count > MAX_COUNT) {
-            throw new Bad(Wire.COUNT + ": 1 to " + MAX_COUNT);
+            throw new InvalidInputException(Wire.COUNT + ": 1 to " + MAX_COUNT);
         }
         List<String> before = asks.get(ask);
         if (before != null) {
@@ -273,7 +273,7 @@
         now = at;
         List<?> names = Fields.list(body, Wire.MACHINES);
         if (names.size() > MAX_DELETE) {
-            throw new Bad(Wire.MACHINES + ": at most " + MAX_DELETE);
+            throw new InvalidInputException(Wire.MACHINES + ": at most " + MAX_DELETE);
         }
         Set<String> leaving = new HashSet<>();
         for (Object o : names) {
@@ -348,7 +348,7 @@
     /** {@code GET /rentals} */
     public Map<String, Object> list(long wall, String after, long most) {
         if (most < 1 || most > MAX_LIST) {
-            throw new Bad(Wire.LIMIT + ": 1 to " + MAX_LIST);
+            throw new InvalidInputException(Wire.LIMIT + ": 1 to " + MAX_LIST);
         }
         List<Object> l = new ArrayList<>();
         boolean more = false;
--- a/src/main/java/birchusher/pool/Programs.java
+++ b/src/main/java/birchusher/pool/Programs.java
@@ -1,7 +1,7 @@
 package birchusher.pool;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.Json;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -92,7 +92,7 @@
         Map<String, Object> p = new HashMap<>();
         for (String field : body.keySet()) {
             if (!Set.of("command", "env", "save_signal").contains(field)) {
-                throw new Bad(field + ": not a field of a program");
+                throw new InvalidInputException(field + ": not a field of a program");
             }
         }
         List<?> command = Fields.list(body, "command");
@@ -100,29 +100,29 @@
                 || command.size() > MAX_WORDS
                 || command.stream().anyMatch(w -> !(w instanceof String s) || s.indexOf('\0') >= 0)
                 || ((String) command.get(0)).isEmpty()) {
-            throw new Bad("command: 1 to " + MAX_WORDS + " words, the first not empty");
+            throw new InvalidInputException("command: 1 to " + MAX_WORDS + " words, the first not empty");
         }
         p.put("command", command);
         Map<String, Object> env = body.get("env") == null ? Map.of() : Fields.map(body.get("env"), "env");
         if (env.size() > MAX_ENV) {
-            throw new Bad("env: at most " + MAX_ENV);
+            throw new InvalidInputException("env: at most " + MAX_ENV);
         }
         env.forEach((k, v) -> {
             if (!k.matches("[A-Za-z_][A-Za-z0-9_]*")
                     || k.startsWith("BIRCHUSHER_")
                     || !(v instanceof String s)
                     || s.indexOf('\0') >= 0) {
-                throw new Bad("env." + k + ": not a name, one of ours, or not text");
+                throw new InvalidInputException("env." + k + ": not a name, one of ours, or not text");
             }
         });
         p.put("env", env);
         String signal = body.get("save_signal") == null ? "TERM" : Fields.text(body, "save_signal");
         if (!SIGNALS.contains(signal)) {
-            throw new Bad("save_signal: one of TERM, INT, HUP, USR1, USR2");
+            throw new InvalidInputException("save_signal: one of TERM, INT, HUP, USR1, USR2");
         }
         p.put("save_signal", signal);
         if (Json.size(p) > MAX_BYTES) {
-            throw new Bad("program: over " + MAX_BYTES + " bytes as JSON");
+            throw new InvalidInputException("program: over " + MAX_BYTES + " bytes as JSON");
         }
         return p;
     }
--- a/src/main/java/birchusher/recovery/Orders.java
+++ b/src/main/java/birchusher/recovery/ActionCounters.java
@@ -10,35 +10,35 @@
  * The account of what this controller orders, by cause, and of orders that contradict each other: money or work spent on an order
  * that the next one takes back. Counts only; bounded by what is ordered within a boot time.
  */
-public final class Orders {
+public final class ActionCounters {
     /** By the users' rules a start that is stopped sooner does not count. */
     private static final long STOPPED_SOON_MS = 30_000;
 
-    private static final int MAX_KEPT = 20_000;
+    private static final int MAX_ENTRIES = 20_000;
 
-    private record Returned(int kind, long at) {}
+    private record ReturnedMachine(int kind, long returnedAtMs) {}
 
-    private final Map<String, Long> starts = new LinkedHashMap<>();
-    private final ArrayDeque<Returned> returned = new ArrayDeque<>();
-    private final Map<String, Long> counts = new TreeMap<>();
+    private final Map<String, Long> startedAtMs = new LinkedHashMap<>();
+    private final ArrayDeque<ReturnedMachine> returnedMachines = new ArrayDeque<>();
+    private final Map<String, Long> countsByCause = new TreeMap<>();
     private long stoppedSoon;
     private long rentedAgain;
 
     /** @param again whether the task had been started before */
-    public void start(String attempt, boolean again, long now) {
-        for (Iterator<Long> oldest = starts.values().iterator(); oldest.hasNext(); ) {
-            if (now - oldest.next() <= STOPPED_SOON_MS && starts.size() < MAX_KEPT) {
+    public void recordStart(String attempt, boolean again, long now) {
+        for (Iterator<Long> oldest = startedAtMs.values().iterator(); oldest.hasNext(); ) {
+            if (now - oldest.next() <= STOPPED_SOON_MS && startedAtMs.size() < MAX_ENTRIES) {
                 break;
             }
             oldest.remove();
         }
-        starts.put(attempt, now);
+        startedAtMs.put(attempt, now);
         count(again ? "restart" : "start", 1);
     }
 
     /** Notices and cancellations are nobody's contradiction. */
-    public void stop(String attempt, String cause, long now) {
-        Long at = starts.remove(attempt);
+    public void recordStop(String attempt, String cause, long now) {
+        Long at = startedAtMs.remove(attempt);
         if (at != null && now - at <= STOPPED_SOON_MS && !cause.equals("notice")) {
             stoppedSoon++;
         }
@@ -47,19 +47,19 @@
         count("stop " + (name < 0 ? cause : cause.substring(0, name)), 1);
     }
 
-    public void giveBack(int kind, long now) {
-        if (returned.size() >= MAX_KEPT) {
-            returned.poll();
+    public void recordReturn(int kind, long now) {
+        if (returnedMachines.size() >= MAX_ENTRIES) {
+            returnedMachines.poll();
         }
-        returned.add(new Returned(kind, now));
+        returnedMachines.add(new ReturnedMachine(kind, now));
         count("return", 1);
     }
 
     /** Of the machines rented now, as many are contradictions as ones of their kind went within a boot time before. */
-    public void rent(int kind, int n, long bootMs, long now) {
-        returned.removeIf(r -> r.kind == kind && now - r.at > bootMs);
+    public void recordRental(int kind, int n, long bootMs, long now) {
+        returnedMachines.removeIf(r -> r.kind == kind && now - r.returnedAtMs > bootMs);
         int left = n;
-        for (Iterator<Returned> i = returned.iterator(); i.hasNext() && left > 0; ) {
+        for (Iterator<ReturnedMachine> i = returnedMachines.iterator(); i.hasNext() && left > 0; ) {
             if (i.next().kind == kind) {
                 i.remove();
                 left--;
@@ -70,7 +70,7 @@
     }
 
     private void count(String cause, long n) {
-        counts.merge(cause, n, Long::sum);
+        countsByCause.merge(cause, n, Long::sum);
     }
 
     public long stoppedSoon() {
@@ -82,10 +82,10 @@
     }
 
     public long count(String cause) {
-        return counts.getOrDefault(cause, 0L);
+        return countsByCause.getOrDefault(cause, 0L);
     }
 
-    public String line() {
-        return "orders=" + counts + " stopped_within_30s=" + stoppedSoon + " rented_again=" + rentedAgain;
+    public String logText() {
+        return "orders=" + countsByCause + " stopped_within_30s=" + stoppedSoon + " rented_again=" + rentedAgain;
     }
 }
--- a/src/main/java/birchusher/recovery/Inventory.java
+++ b/src/main/java/birchusher/recovery/Inventory.java
@@ -22,17 +22,17 @@
  */
 public final class Inventory {
     private static final Logger LOG = LoggerFactory.getLogger(Inventory.class);
-    private static final int MAX_FIT = 50_000;
+    private static final int MAX_CONFIRMED = 50_000;
     /** One in so many may be open: waiting for single machines held up rentals on days when many are taken back. */
-    private static final int FEW = 50;
+    private static final int TOLERATED_OPEN_ONE_IN = 50;
     /** So old may a plan be: one made before the last machine was heard knows nothing of its room. */
-    private static final long PLAN_MS = 1_000;
+    private static final long MAX_PLAN_AGE_MS = 1_000;
 
     /** What owners tell of a machine: nothing yet, a report whose worker has not shown its owner's term, or all that can be had. */
-    public enum Told {
-        NOTHING,
-        REPORTS,
-        FIT
+    public enum MachineEvidence {
+        NONE,
+        REPORTED,
+        CONFIRMED
     }
 
     /** Of a cluster's return; each ends by evidence, or when nothing more is waited for. */
@@ -47,24 +47,24 @@
     }
 
     private final StoreView view;
-    private final long patienceMs;
+    private final long maxWaitMs;
     /** Expected machines that nobody tells of, since when; those waited for long enough stay, so that they are not begun again. */
     private final Map<String, Long> open = new HashMap<>();
     /** Machines that were fit since they were first told of: what makes one unfit later is not a matter of this. */
-    private final Set<String> fit = new HashSet<>();
+    private final Set<String> confirmed = new HashSet<>();
 
-    private long knownFrom;
-    private boolean returned;
-    private long now;
+    private long fleetKnownFromMs;
+    private boolean wasFleetKnown;
+    private long nowMs;
     private Phase phase = Phase.READING;
-    private int waitedFor;
-    private int expected;
-    private long since;
-    private int most;
+    private int awaitedMachines;
+    private int expectedMachines;
+    private long phaseSinceMs;
+    private int maxAwaitedMachines;
 
     public Inventory(StoreView view, long patienceMs) {
         this.view = view;
-        this.patienceMs = patienceMs;
+        this.maxWaitMs = patienceMs;
     }
 
     /**
@@ -73,7 +73,7 @@
      * @param reportMs the workers' mean report interval; it may be a quarter longer
      * @param controllers how many a worker may have to ask until it finds its owner
      */
-    public static long patience(long reportMs, int controllers) {
+    public static long reconnectTimeMs(long reportMs, int controllers) {
         return reportMs * 5 / 4 + Settings.NO_ANSWER_MS + Settings.NEXT_MS * (controllers + 1);
     }
 
@@ -83,73 +83,81 @@
      * @param gone whether a machine is known to be gone
      * @param listed machines that the cloud's list shows as running though nobody tells of them
      */
-    public void look(
-            long now, boolean read, Function<String, Told> told, Predicate<String> gone, Iterable<String> listed) {
-        this.now = now;
+    public void update(
+            long now,
+            boolean read,
+            Function<String, MachineEvidence> told,
+            Predicate<String> gone,
+            Iterable<String> listed) {
+        this.nowMs = now;
         if (!read) {
-            next(Phase.READING, now);
+            enterPhase(Phase.READING, now);
             return;
         }
         Map<String, Long> before = Map.copyOf(open);
         open.clear();
-        expected = 0;
-        if (fit.size() > MAX_FIT) {
+        expectedMachines = 0;
+        if (confirmed.size() > MAX_CONFIRMED) {
             // Machines long gone: those that are still there are noted again at once.
-            fit.clear();
+            confirmed.clear();
         }
         for (String machine : view.claimedMachines()) {
-            expect(machine, told, gone, before, now);
+            expectMachine(machine, told, gone, before, now);
         }
         for (String machine : listed) {
-            expect(machine, told, gone, before, now);
+            expectMachine(machine, told, gone, before, now);
         }
-        waitedFor = 0;
+        awaitedMachines = 0;
         for (long at : open.values()) {
-            waitedFor += now - at < patienceMs ? 1 : 0;
+            awaitedMachines += now - at < maxWaitMs ? 1 : 0;
         }
-        most = Math.max(most, waitedFor);
-        next(
-                waitedFor * FEW > expected
+        maxAwaitedMachines = Math.max(maxAwaitedMachines, awaitedMachines);
+        enterPhase(
+                awaitedMachines * TOLERATED_OPEN_ONE_IN > expectedMachines
                         ? Phase.HEARING
                         : view.releasedClaimCount() > 0 ? Phase.RESTORING : Phase.ORDINARY,
                 now);
     }
 
-    private void expect(
-            String machine, Function<String, Told> told, Predicate<String> gone, Map<String, Long> before, long now) {
-        expected++;
-        Told t = told.apply(machine);
-        if (t == Told.NOTHING) {
-            fit.remove(machine);
+    private void expectMachine(
+            String machine,
+            Function<String, MachineEvidence> told,
+            Predicate<String> gone,
+            Map<String, Long> before,
+            long now) {
+        expectedMachines++;
+        MachineEvidence t = told.apply(machine);
+        if (t == MachineEvidence.NONE) {
+            confirmed.remove(machine);
         }
-        if (t == Told.FIT) {
-            fit.add(machine);
-        } else if (!fit.contains(machine) && !gone.test(machine)) {
+        if (t == MachineEvidence.CONFIRMED) {
+            confirmed.add(machine);
+        } else if (!confirmed.contains(machine) && !gone.test(machine)) {
             open.put(machine, before.getOrDefault(machine, now));
         }
     }
 
-    private void next(Phase p, long now) {
+    private void enterPhase(Phase p, long now) {
         if (p == phase) {
             return;
         }
         if (phase == Phase.READING || phase == Phase.HEARING) {
-            knownFrom = now + PLAN_MS;
+            fleetKnownFromMs = now + MAX_PLAN_AGE_MS;
         }
-        returned = p != Phase.READING && (returned || p != Phase.HEARING);
-        if (phase == Phase.HEARING && most >= 10) {
+        wasFleetKnown = p != Phase.READING && (wasFleetKnown || p != Phase.HEARING);
+        if (phase == Phase.HEARING && maxAwaitedMachines >= 10) {
             LOG.info(
                     "recovery: {} machines were waited for, {} of them in vain, for {} ms; {} losses to be written",
-                    most,
+                    maxAwaitedMachines,
                     open.size(),
-                    now - since,
+                    now - phaseSinceMs,
                     view.releasedClaimCount());
         }
         if (p == Phase.HEARING) {
-            most = waitedFor;
+            maxAwaitedMachines = awaitedMachines;
         }
         phase = p;
-        since = now;
+        phaseSinceMs = now;
     }
 
     public Phase phase() {
@@ -157,20 +165,20 @@
     }
 
     /** Whether what is known of the fleet is complete enough to rent, return or empty machines by it. */
-    public boolean known() {
-        return now >= knownFrom && (phase == Phase.RESTORING || phase == Phase.ORDINARY);
+    public boolean isFleetKnown() {
+        return nowMs >= fleetKnownFromMs && (phase == Phase.RESTORING || phase == Phase.ORDINARY);
     }
 
     /**
      * Whether the fleet was known once since the rows were read. Work is stopped for want of room from then on: held back as well whenever
      * one of the other controllers restarted, it made gangs late that had always found their room.
      */
-    public boolean returned() {
-        return returned;
+    public boolean wasFleetKnown() {
+        return wasFleetKnown;
     }
 
     /** Expected machines that are still waited for. */
     public int open() {
-        return waitedFor;
+        return awaitedMachines;
     }
 }
--- a/src/main/java/birchusher/recovery/Reconciliation.java
+++ b/src/main/java/birchusher/recovery/Reconciliation.java
@@ -9,7 +9,7 @@
  */
 public final class Reconciliation {
     /** What the rows say of an attempt on this machine. */
-    public enum Row {
+    public enum ClaimState {
         /** It is to run here, in the session that the report is of. */
         CLAIMED,
         /** The same, but nobody wants it any more: its job is over or cancelled, its gang has a gap, it is being stopped. */
@@ -23,7 +23,7 @@
     }
 
     /** What the report shows of it. */
-    public enum Shown {
+    public enum ReportedState {
         ABSENT,
         FETCHING,
         WAITING,
@@ -39,10 +39,10 @@
      * sent straight to the worker has not been answered and may yet arrive; {@code fenced}: the worker has seen our term, so nothing of
      * an earlier owner can reach it any more; {@code told}: the attempt's end is known and on its way into the rows.
      */
-    public record Known(boolean before, boolean loose, boolean fenced, boolean told) {}
+    public record OwnerKnowledge(boolean reportedBefore, boolean startUnanswered, boolean fenced, boolean endKnown) {}
 
     /** What is to be written of a claim. */
-    public enum Write {
+    public enum ClaimOutcome {
         NOTHING,
         DONE,
         ERROR,
@@ -51,7 +51,7 @@
     }
 
     /** {@code FENCE}: an unanswered start has to be kept out by a higher term before anything else may follow. */
-    public enum Order {
+    public enum Command {
         NOTHING,
         START,
         STOP,
@@ -62,40 +62,46 @@
     private Reconciliation() {}
 
     /** What goes into the rows: a claim leaves them only with a proof that the task is not on the machine and can't come to be there. */
-    public static Write write(Row row, Shown shown, Known k) {
+    public static ClaimOutcome claimOutcome(ClaimState row, ReportedState shown, OwnerKnowledge k) {
         return switch (row) {
-            case NONE, LATER -> Write.NOTHING;
+            case NONE, LATER -> ClaimOutcome.NOTHING;
                 // A worker drops all of its tasks between two sessions.
-            case EARLIER -> Write.LOST;
+            case EARLIER -> ClaimOutcome.LOST;
             case CLAIMED, UNWANTED -> switch (shown) {
-                case FETCHING, WAITING, RUNNING, SAVING -> Write.NOTHING;
+                case FETCHING, WAITING, RUNNING, SAVING -> ClaimOutcome.NOTHING;
                     // Work that ended while nobody listened counts, also if nobody wants it any more.
-                case DONE -> Write.DONE;
-                case ERROR -> Write.ERROR;
-                case ENDED -> Write.LOST;
-                case ABSENT -> k.before() && !k.loose()
-                        ? Write.LOST
-                        : row == Row.UNWANTED && !k.before() && !k.loose() && k.fenced()
-                                ? Write.NOT_STARTED
-                                : Write.NOTHING;
+                case DONE -> ClaimOutcome.DONE;
+                case ERROR -> ClaimOutcome.ERROR;
+                case ENDED -> ClaimOutcome.LOST;
+                case ABSENT -> k.reportedBefore() && !k.startUnanswered()
+                        ? ClaimOutcome.LOST
+                        : row == ClaimState.UNWANTED && !k.reportedBefore() && !k.startUnanswered() && k.fenced()
+                                ? ClaimOutcome.NOT_STARTED
+                                : ClaimOutcome.NOTHING;
             };
         };
     }
 
     /** What the worker is told. An exit is reaped only when nothing asks for it any more, as its report is the only proof of it. */
-    public static Order order(Row row, Shown shown, Known k) {
+    public static Command command(ClaimState row, ReportedState shown, OwnerKnowledge k) {
         return switch (row) {
             case NONE, EARLIER, LATER -> switch (shown) {
-                case ABSENT -> Order.NOTHING;
-                case DONE, ERROR, ENDED -> k.loose() ? Order.FENCE : k.told() ? Order.NOTHING : Order.REAP;
+                case ABSENT -> Command.NOTHING;
+                case DONE, ERROR, ENDED -> k.startUnanswered()
+                        ? Command.FENCE
+                        : k.endKnown() ? Command.NOTHING : Command.REAP;
                     // Kept out of a double start: it is stopped whatever it was doing.
-                default -> Order.STOP;
+                default -> Command.STOP;
             };
-            case CLAIMED -> shown == Shown.ABSENT && !k.before() && !k.told() ? Order.START : Order.NOTHING;
+            case CLAIMED -> shown == ReportedState.ABSENT && !k.reportedBefore() && !k.endKnown()
+                    ? Command.START
+                    : Command.NOTHING;
             case UNWANTED -> switch (shown) {
-                case DONE, ERROR, ENDED -> Order.NOTHING;
-                case ABSENT -> k.loose() && !k.before() && !k.told() ? Order.FENCE : Order.NOTHING;
-                default -> Order.STOP;
+                case DONE, ERROR, ENDED -> Command.NOTHING;
+                case ABSENT -> k.startUnanswered() && !k.reportedBefore() && !k.endKnown()
+                        ? Command.FENCE
+                        : Command.NOTHING;
+                default -> Command.STOP;
             };
         };
     }
--- a/src/main/java/birchusher/server/Loop.java
+++ b/src/main/java/birchusher/server/Loop.java
@@ -50,19 +50,19 @@
 
     private void request(long exchange, String method, String target, byte[] body) {
         long from = System.nanoTime();
-        act(core.request(EventLoop.now(), System.currentTimeMillis(), exchange, method, target, body));
+        act(core.handleRequest(EventLoop.now(), System.currentTimeMillis(), exchange, method, target, body));
         spent[0] += System.nanoTime() - from;
     }
 
     private void reply(long id, int status, byte[] body) {
         long from = System.nanoTime();
-        act(core.reply(EventLoop.now(), System.currentTimeMillis(), id, status, body));
+        act(core.handleReply(EventLoop.now(), System.currentTimeMillis(), id, status, body));
         spent[1] += System.nanoTime() - from;
     }
 
     void peer(byte[] record) {
         long from = System.nanoTime();
-        act(core.peer(EventLoop.now(), System.currentTimeMillis(), record));
+        act(core.handlePeerRecord(EventLoop.now(), System.currentTimeMillis(), record));
         spent[2] += System.nanoTime() - from;
     }
 
--- a/src/main/java/birchusher/settings/SettingsReader.java
+++ b/src/main/java/birchusher/settings/SettingsReader.java
@@ -1,7 +1,7 @@
 package birchusher.settings;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.settings.Settings.Address;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -32,7 +32,7 @@
         List<String> zones = new ArrayList<>();
         for (Object o : Fields.list(dep, "zones")) {
             if (!(o instanceof String s)) {
-                throw new Bad("deployment.zones: not text");
+                throw new InvalidInputException("deployment.zones: not text");
             }
             zones.add(s);
         }
@@ -89,7 +89,7 @@
             p.nextToken();
             return value(p);
         } catch (IOException e) {
-            throw new Bad("not JSON: " + e.getClass().getSimpleName());
+            throw new InvalidInputException("not JSON: " + e.getClass().getSimpleName());
         }
     }
 
@@ -100,7 +100,7 @@
     private static double positive(Map<String, Object> m, String key) {
         double d = Fields.amount(m, key);
         if (d <= 0) {
-            throw new Bad(key + ": must be above 0");
+            throw new InvalidInputException(key + ": must be above 0");
         }
         return d;
     }
@@ -119,13 +119,13 @@
         } catch (NumberFormatException e) {
             // falls through to the same complaint
         }
-        throw new Bad(key + ": not host:port");
+        throw new InvalidInputException(key + ": not host:port");
     }
 
     private static Object value(JsonParser p) throws IOException {
         JsonToken t = p.currentToken();
         if (t == null) {
-            throw new Bad("settings: empty");
+            throw new InvalidInputException("settings: empty");
         }
         return switch (t) {
             case START_OBJECT -> {
--- a/src/main/java/birchusher/settings/Tuning.java
+++ b/src/main/java/birchusher/settings/Tuning.java
@@ -1,6 +1,6 @@
 package birchusher.settings;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.Reader;
@@ -24,7 +24,7 @@
         mine.load(file);
         for (String key : mine.stringPropertyNames()) {
             if (!values.containsKey(key)) {
-                throw new Bad(key + ": unknown property");
+                throw new InvalidInputException(key + ": unknown property");
             }
             values.setProperty(key, mine.getProperty(key));
             num(key);
@@ -46,7 +46,7 @@
         } catch (NumberFormatException | NullPointerException e) {
             // falls through to the same complaint
         }
-        throw new Bad(key + ": not a number of 0 or more");
+        throw new InvalidInputException(key + ": not a number of 0 or more");
     }
 
     public long ms(String key) {
--- a/src/main/java/birchusher/statehost/Edge.java
+++ b/src/main/java/birchusher/statehost/Edge.java
@@ -1,7 +1,7 @@
 package birchusher.statehost;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.http.Target;
 import birchusher.kv.Limits;
 import birchusher.kv.Reply;
@@ -53,11 +53,11 @@
             if (t.path().equals(Wire.WATCH)) {
                 only(method, "GET");
                 if (!t.params().containsKey(Wire.AFTER)) {
-                    throw new Bad(Wire.AFTER + ": missing");
+                    throw new InvalidInputException(Wire.AFTER + ": missing");
                 }
                 long wait = t.count("wait_ms", 0);
                 if (wait > Limits.MOST_WAIT_MS) {
-                    throw new Bad("wait_ms: above " + Limits.MOST_WAIT_MS);
+                    throw new InvalidInputException("wait_ms: above " + Limits.MOST_WAIT_MS);
                 }
                 return new Request.Watch(t.text(Wire.PREFIX, ""), t.count(Wire.AFTER, 0), wait);
             }
@@ -75,7 +75,7 @@
                 return new Request.End(lease(id));
             }
         } catch (Target.Bad e) {
-            throw new Bad(e.getMessage());
+            throw new InvalidInputException(e.getMessage());
         }
         throw new NotThere(404, "no such path");
     }
@@ -89,7 +89,7 @@
     private static int most(Target t) throws Target.Bad {
         long n = t.count(Wire.LIMIT, Limits.PAGE);
         if (n < 1 || n > Limits.PAGE) {
-            throw new Bad(Wire.LIMIT + ": 1 to " + Limits.PAGE);
+            throw new InvalidInputException(Wire.LIMIT + ": 1 to " + Limits.PAGE);
         }
         return (int) n;
     }
@@ -117,7 +117,7 @@
                 Map<String, Object> w = Fields.map(o, Wire.THEN);
                 if (w.get(Wire.PUT) != null) {
                     if (!w.containsKey(Wire.VALUE)) {
-                        throw new Bad(Wire.VALUE + ": missing");
+                        throw new InvalidInputException(Wire.VALUE + ": missing");
                     }
                     largest = Math.max(largest, Json.size(w.get(Wire.VALUE)));
                     writes.add(new Write.Set(
@@ -134,7 +134,7 @@
         if (m.get(field) instanceof String s) {
             return s;
         }
-        throw new Bad(field + ": missing or not text");
+        throw new InvalidInputException(field + ": missing or not text");
     }
 
     static Out write(Request asked, Reply r) {
--- a/src/main/java/birchusher/statehost/StateServer.java
+++ b/src/main/java/birchusher/statehost/StateServer.java
@@ -1,6 +1,6 @@
 package birchusher.statehost;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.http.EventLoop;
 import birchusher.http.HttpServer;
 import birchusher.kv.Request;
@@ -45,7 +45,7 @@
         try {
             Request r = Edge.read(method, target, body);
             host.ask(r, reply -> answer(exchange, Edge.write(r, reply)));
-        } catch (Bad e) {
+        } catch (InvalidInputException e) {
             answer(exchange, Edge.error(400, e.getMessage(), 0));
         } catch (Edge.NotThere e) {
             answer(exchange, Edge.error(e.status, e.getMessage(), 0));
--- a/src/main/java/birchusher/store/Chunk.java
+++ b/src/main/java/birchusher/store/Chunk.java
@@ -1,7 +1,7 @@
 package birchusher.store;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import it.unimi.dsi.fastutil.ints.Int2ObjectMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.BitSet;
@@ -108,7 +108,7 @@
                 c.readClaim(s, at, before);
             }
         } catch (RuntimeException e) {
-            throw new Bad("placement row of " + job.spec.id() + ": unreadable");
+            throw new InvalidInputException("placement row of " + job.spec.id() + ": unreadable");
         }
         return c;
     }
--- a/src/main/java/birchusher/store/StoreClient.java
+++ b/src/main/java/birchusher/store/StoreClient.java
@@ -1,9 +1,9 @@
 package birchusher.store;
 
-import birchusher.core.Bucket;
-import birchusher.core.Effect.Target;
+import birchusher.core.Effect.Destination;
 import birchusher.core.Effects;
 import birchusher.core.Fields;
+import birchusher.core.TokenBucket;
 import birchusher.settings.Settings;
 import birchusher.settings.Tuning;
 import birchusher.wire.Wire;
@@ -49,8 +49,8 @@
     private final StoreView view;
     private final String address;
     private final Settings settings;
-    private final Bucket requestLimit;
-    private final Bucket writeLimit;
+    private final TokenBucket requestLimit;
+    private final TokenBucket writeLimit;
     private final PriorityQueue<QueuedChange> queue = new PriorityQueue<>((a, b) -> a.change.rank() != b.change.rank()
             ? Integer.compare(a.change.rank(), b.change.rank())
             : Long.compare(a.sequence, b.sequence));
@@ -106,12 +106,12 @@
         double share = Math.min(1, t.num("store.share"));
         double fair = 1.0 / (1 + s.peers().size());
         double start = Math.min(share, 1.5 * fair);
-        requestLimit = new Bucket(
+        requestLimit = new TokenBucket(
                 s.stateRps() * start,
                 s.stateRps() * Math.min(share, fair * 0.8),
                 s.stateRps() * share,
                 s.stateRps() * start * 0.6);
-        writeLimit = new Bucket(
+        writeLimit = new TokenBucket(
                 s.stateWriteRps() * start,
                 s.stateWriteRps() * Math.min(share, fair * 0.8),
                 s.stateWriteRps() * share,
@@ -161,8 +161,8 @@
     }
 
     /** One plain read; status 0 or 503 when it can't be had now. */
-    public boolean get(String key, Effects.Reply reply) {
-        if (!requestLimit.take(effects.now(), 1)) {
+    public boolean get(String key, Effects.ReplyHandler reply) {
+        if (!requestLimit.tryTake(effects.now(), 1)) {
             return false;
         }
         call("GET", Wire.STORE + "/" + key, null, 2_000, reply);
@@ -170,8 +170,8 @@
     }
 
     /** Rows under a prefix, after a key or from the first one on ({@code ""}); as with {@link #get}. */
-    public boolean readPage(String prefix, String after, int most, Effects.Reply reply) {
-        if (!requestLimit.take(effects.now(), 1)) {
+    public boolean readPage(String prefix, String after, int most, Effects.ReplyHandler reply) {
+        if (!requestLimit.tryTake(effects.now(), 1)) {
             return false;
         }
         call("GET", pagePath(prefix, after, most), null, 2_000, reply);
@@ -184,15 +184,15 @@
     }
 
     /** Lease calls are never held back: everything hangs on them. */
-    public void callLease(String method, String path, Object body, Effects.Reply reply) {
-        requestLimit.force(effects.now(), 1);
+    public void callLease(String method, String path, Object body, Effects.ReplyHandler reply) {
+        requestLimit.overdraw(effects.now(), 1);
         call(method, path, body, 3_000, reply);
     }
 
-    private void call(String method, String path, Object body, int timeout, Effects.Reply reply) {
-        effects.call(Target.STORE, address, method, path, body, timeout, (status, m) -> {
+    private void call(String method, String path, Object body, int timeout, Effects.ReplyHandler reply) {
+        effects.call(Destination.STORE, address, method, path, body, timeout, (status, m) -> {
             recordStatus(status);
-            reply.got(status, m);
+            reply.onReply(status, m);
         });
     }
 
@@ -238,7 +238,7 @@
         long now = effects.now();
         expireWaiting(now);
         boolean behind = !whenUpToDate.isEmpty() || freshnessCheckRequired || view.appliedRevision() < requiredRevision;
-        if (!watchPending && now >= nextWatchMs && requestLimit.take(now, 1)) {
+        if (!watchPending && now >= nextWatchMs && requestLimit.tryTake(now, 1)) {
             // Sent after whoever waits for a fresh view came, an answer at once serves the watch and them.
             watch(behind ? 0 : WATCH_WAIT_MS);
         } else if (watchPending && behind) {
@@ -328,7 +328,7 @@
     }
 
     private void readPage(String after, long firstRevision, long gen) {
-        requestLimit.force(effects.now(), 1);
+        requestLimit.overdraw(effects.now(), 1);
         call("GET", pagePath(Keys.LIVE, after, ROWS_PER_PAGE), null, 3_000, (status, m) -> {
             if (gen != loadGeneration) {
                 return;
@@ -365,19 +365,19 @@
         long sent = effects.now();
         long at = nextRequestSequence++;
         boolean clears = freshnessCheckRequired;
-        Effects.Reply reply = (status, m) -> {
+        Effects.ReplyHandler reply = (status, m) -> {
             watchPending = false;
             // Every change wakes every controller's watch: the gap keeps that within each one's part of the requests.
             nextWatchMs = effects.now()
                     + (status == 200
-                            ? Math.max(watchGapMs, Math.round(1_000 / (0.4 * requestLimit.perSecond())))
+                            ? Math.max(watchGapMs, Math.round(1_000 / (0.4 * requestLimit.tokensPerSecond())))
                             : 500);
             if (gen == loadGeneration) {
                 applyWatchResponse(status, m, sent, at, clears);
             }
         };
         if (wait > 0) {
-            effects.call(Target.WATCH, address, "GET", watchPath(wait), null, (int) wait + 3_000, reply);
+            effects.call(Destination.WATCH, address, "GET", watchPath(wait), null, (int) wait + 3_000, reply);
         } else {
             call("GET", watchPath(0), null, 2_000, reply);
         }
@@ -411,8 +411,8 @@
         }
         if (now - upToDateAsOfMs > 2 * maxUnconfirmedMs) {
             // Our workers' leases hang on it.
-            requestLimit.force(now, 1);
-        } else if (!requestLimit.take(now, 1)) {
+            requestLimit.overdraw(now, 1);
+        } else if (!requestLimit.tryTake(now, 1)) {
             return;
         }
         freshnessCheckPending = true;
@@ -482,15 +482,15 @@
 
     /** How many rows this controller may expect to write within a time, at its present part of the changes. */
     public int expectedRowsWithin(long ms) {
-        return (int) Math.round(writeLimit.perSecond() * ms / 1000);
+        return (int) Math.round(writeLimit.tokensPerSecond() * ms / 1000);
     }
 
     /** How the state service was used: transactions, rows written, conflicts, refusals, queue, present rates. */
     public String logText() {
         return "txns=" + transactions + " rows=" + rowsWritten + " conflicts=" + conflicts + " too_many="
                 + throttledRequests
-                + " queue=" + queue.size() + " rps=" + Math.round(requestLimit.perSecond()) + " write_rps="
-                + Math.round(writeLimit.perSecond());
+                + " queue=" + queue.size() + " rps=" + Math.round(requestLimit.tokensPerSecond()) + " write_rps="
+                + Math.round(writeLimit.tokensPerSecond());
     }
 
     /**
@@ -508,8 +508,8 @@
 
     private void sendTransaction(long now) {
         Change first = queue.peek().change;
-        if (!writeLimit.has(now, Math.min(settings.txnOps(), first.maxWrites()) + rowsKeptForAwaited(first))
-                || !requestLimit.has(now, 1)) {
+        if (!writeLimit.canTake(now, Math.min(settings.txnOps(), first.maxWrites()) + rowsKeptForAwaited(first))
+                || !requestLimit.canTake(now, 1)) {
             return;
         }
         Transaction tx = new Transaction(view);
@@ -524,7 +524,7 @@
                     || !batch.isEmpty()
                             && (writesAfter > settings.txnOps()
                                     || tx.conditionCount() + q.change.maxConditions(tx) > settings.txnOps() * 4
-                                    || !writeLimit.has(now, writesAfter + rowsKeptForAwaited(q.change))
+                                    || !writeLimit.canTake(now, writesAfter + rowsKeptForAwaited(q.change))
                                     || !fitsMaxBytes(tx, q.change.maxWrites())
                                     || batch.size() >= MAX_CHANGES_PER_TXN);
             if (full || dueMs(q) > now) {
@@ -559,8 +559,8 @@
         txnPending = true;
         transactions++;
         rowsWritten += tx.writeCount();
-        writeLimit.force(now, tx.writeCount());
-        requestLimit.force(now, 1);
+        writeLimit.overdraw(now, tx.writeCount());
+        requestLimit.overdraw(now, 1);
         long gen = loadGeneration;
         Map<String, Object> body = tx.toRequestBody();
         call("POST", Wire.MULTI, body, (int) TXN_TIMEOUT_MS, (status, m) -> {
--- a/src/main/java/birchusher/store/StoreView.java
+++ b/src/main/java/birchusher/store/StoreView.java
@@ -301,7 +301,7 @@
                 otherRowChangeCount++;
                 rentalRequestChanges += key.startsWith(Keys.RENTAL_REQUEST) ? 1 : 0;
             }
-        } catch (Fields.Bad | JobCodec.Never | IllegalArgumentException e) {
+        } catch (Fields.InvalidInputException | JobCodec.Never | IllegalArgumentException e) {
             LOG.error("row {} ignored: {}", key, e.getMessage());
             if (job != null && !jobs.containsKey(job)) {
                 unreadable.add(job);
--- a/src/main/java/birchusher/wire/JobCodec.java
+++ b/src/main/java/birchusher/wire/JobCodec.java
@@ -1,8 +1,8 @@
 package birchusher.wire;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
-import birchusher.core.Names;
+import birchusher.core.Fields.InvalidInputException;
+import birchusher.core.NameIndex;
 import birchusher.model.Catalog;
 import birchusher.model.JobSpec;
 import birchusher.model.Priority;
@@ -59,13 +59,13 @@
     private JobSpec read(Map<String, Object> m, ToIntFunction<String> typeIndex) {
         String id = Fields.text(m, Wire.ID);
         if (!isId(id)) {
-            throw new Bad(Wire.ID + ": not a job id");
+            throw new InvalidInputException(Wire.ID + ": not a job id");
         }
         Shape shape = Wire.shape(Fields.text(m, Wire.SHAPE));
         Priority priority = Wire.priority(Fields.text(m, Wire.PRIORITY));
         long tasks = Fields.count(m, Wire.TASKS);
         if (tasks < 1 || tasks > 100_000) {
-            throw new Bad(Wire.TASKS + ": outside 1 to 100000");
+            throw new InvalidInputException(Wire.TASKS + ": outside 1 to 100000");
         }
         double cpus = Fields.amount(m, Wire.CPUS);
         double gpus = Fields.amount(m, Wire.GPUS);
@@ -79,7 +79,7 @@
             types = new ArrayList<>();
             for (Object o : Fields.list(m, Wire.TYPES)) {
                 if (!(o instanceof String s)) {
-                    throw new Bad(Wire.TYPES + ": not text");
+                    throw new InvalidInputException(Wire.TYPES + ": not text");
                 }
                 types.add(s);
             }
@@ -93,13 +93,13 @@
         double save = Fields.amount(m, Wire.SAVE);
         double deadline = Fields.amountOr(m, Wire.DEADLINE, 0);
         int team = catalog.teams.find(teamName);
-        if (team == Names.NONE) {
+        if (team == NameIndex.NONE) {
             throw new Never("unknown team");
         }
-        int zone = Names.NONE;
+        int zone = NameIndex.NONE;
         if (zoneName != null) {
             zone = catalog.zones.find(zoneName);
-            if (zone == Names.NONE) {
+            if (zone == NameIndex.NONE) {
                 throw new Never("unknown zone");
             }
         }
@@ -107,7 +107,7 @@
         if (types != null) {
             typeIdx = types.stream()
                     .mapToInt(typeIndex)
-                    .filter(i -> i != Names.NONE)
+                    .filter(i -> i != NameIndex.NONE)
                     .toArray();
         }
         return new JobSpec(
--- a/src/main/java/birchusher/wire/Pack.java
+++ b/src/main/java/birchusher/wire/Pack.java
@@ -1,6 +1,6 @@
 package birchusher.wire;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,17 +21,17 @@
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
             Object o = read(in, 0, bytes.length);
             if (in.hasNext()) {
-                throw new Bad("body: bytes after its end");
+                throw new InvalidInputException("body: bytes after its end");
             }
             return o;
         } catch (IOException | MessagePackException e) {
-            throw new Bad("body: not MessagePack");
+            throw new InvalidInputException("body: not MessagePack");
         }
     }
 
     private static Object read(MessageUnpacker in, int depth, int size) throws IOException {
         if (depth > MAX_DEPTH) {
-            throw new Bad("body: nested too deep");
+            throw new InvalidInputException("body: nested too deep");
         }
         switch (in.getNextFormat().getValueType()) {
             case NIL -> {
@@ -66,14 +66,14 @@
                 }
                 return map;
             }
-            default -> throw new Bad("body: a type that is not used here");
+            default -> throw new InvalidInputException("body: a type that is not used here");
         }
     }
 
     /** A header may claim more elements than the body has bytes: refuse before reserving memory for them. */
     private static int bounded(int n, int size) {
         if (n < 0 || n > size) {
-            throw new Bad("body: cut off");
+            throw new InvalidInputException("body: cut off");
         }
         return n;
     }
--- a/src/main/java/birchusher/wire/Wire.java
+++ b/src/main/java/birchusher/wire/Wire.java
@@ -1,6 +1,6 @@
 package birchusher.wire;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.model.Priority;
 import birchusher.model.Shape;
 
@@ -112,7 +112,7 @@
             case "sweep" -> Shape.ARRAY;
             case "gang" -> Shape.GANG;
             case "standing" -> Shape.SERVICE;
-            default -> throw new Bad(SHAPE + ": unknown");
+            default -> throw new InvalidInputException(SHAPE + ": unknown");
         };
     }
 
@@ -130,7 +130,7 @@
             case "urgent" -> Priority.HIGH;
             case "standard" -> Priority.NORMAL;
             case "low" -> Priority.LOW;
-            default -> throw new Bad(PRIORITY + ": unknown");
+            default -> throw new InvalidInputException(PRIORITY + ": unknown");
         };
     }
 
--- a/src/main/java/birchusher/workers/Commands.java
+++ b/src/main/java/birchusher/workers/Commands.java
@@ -1,12 +1,12 @@
 package birchusher.workers;
 
-import birchusher.core.Effect.Target;
+import birchusher.core.Effect.Destination;
 import birchusher.core.Effects;
 import birchusher.core.Fields;
 import birchusher.membership.Membership;
 import birchusher.model.Catalog;
 import birchusher.model.JobSpec;
-import birchusher.recovery.Orders;
+import birchusher.recovery.ActionCounters;
 import birchusher.recovery.Reconciliation;
 import birchusher.settings.Settings;
 import birchusher.store.Claim;
@@ -47,7 +47,7 @@
     private final StoreClient store;
     private final Membership membership;
     private final Outcomes outcomes;
-    private final Orders account;
+    private final ActionCounters account;
     private final SafetyChecks checks;
     private final Owner owner;
 
@@ -59,7 +59,7 @@
             StoreClient store,
             Membership membership,
             Outcomes outcomes,
-            Orders account,
+            ActionCounters account,
             SafetyChecks checks,
             Owner owner) {
         this.effects = effects;
@@ -106,7 +106,7 @@
         if (!store.loaded()) {
             return orders;
         }
-        if (!membership.settled(m.shard)) {
+        if (!membership.viewCoversTakeover(m.shard)) {
             // Cancelled is for good, however old the view: without this, a new owner renewed such tasks and could not
             // stop them.
             for (Entry e : m.entries.values()) {
@@ -121,21 +121,22 @@
         for (Entry e : m.entries.values()) {
             Claim c = claims.get(e.key());
             Stop stop = m.stops.get(e.attemptKey());
-            Reconciliation.Row row = c == null || c.attempt() != e.attempt() ? Reconciliation.Row.NONE : row(m, c);
-            if (row == Reconciliation.Row.UNWANTED
+            Reconciliation.ClaimState row =
+                    c == null || c.attempt() != e.attempt() ? Reconciliation.ClaimState.NONE : row(m, c);
+            if (row == Reconciliation.ClaimState.UNWANTED
                     && (stop != null || m.noticeAt >= 0 || c.job().allDone())
                     && !view.isCancelled(c.job().spec.id())) {
                 // A wish to stop has its own grace, and what is done elsewhere ends by itself. What a cancelled task
                 // saves is of no use,
                 // and its grace may be longer than a cancellation has.
-                row = Reconciliation.Row.CLAIMED;
+                row = Reconciliation.ClaimState.CLAIMED;
             }
-            switch (Reconciliation.order(row, shown(e), known(m, e.attemptKey()))) {
+            switch (Reconciliation.command(row, shown(e), known(m, e.attemptKey()))) {
                 case REAP -> orders.add(order(Wire.FORGET, e.key(), e.attempt(), -1));
                 case FENCE -> fence(m, e.attemptKey(), now);
                 case STOP -> orders.add(order(Wire.STOP, e.key(), e.attempt(), 0));
                 default -> {
-                    if (row == Reconciliation.Row.CLAIMED && stop != null && !e.exited()) {
+                    if (row == Reconciliation.ClaimState.CLAIMED && stop != null && !e.exited()) {
                         stop(orders, e, stop, now);
                     }
                 }
@@ -143,15 +144,16 @@
         }
         for (Claim c : claims.values()) {
             String ak = c.attemptKey();
-            Reconciliation.Row row = row(m, c);
-            if (m.entries.containsKey(ak) || row == Reconciliation.Row.EARLIER) {
+            Reconciliation.ClaimState row = row(m, c);
+            if (m.entries.containsKey(ak) || row == Reconciliation.ClaimState.EARLIER) {
                 continue;
             }
-            Reconciliation.Order must = Reconciliation.order(row, Reconciliation.Shown.ABSENT, known(m, ak));
-            if (must == Reconciliation.Order.FENCE) {
+            Reconciliation.Command must =
+                    Reconciliation.command(row, Reconciliation.ReportedState.ABSENT, known(m, ak));
+            if (must == Reconciliation.Command.FENCE) {
                 fence(m, ak, now);
             }
-            if (must != Reconciliation.Order.START
+            if (must != Reconciliation.Command.START
                     || m.session == m.deadSession
                     || straight && m.loose.containsKey(ak)
                     || m.held.containsKey(ak)) {
@@ -159,7 +161,7 @@
             }
             if (!m.runs.containsKey(ak)) {
                 m.runs.put(ak, owner.newRun(m, c.job().spec, now));
-                account.start(ak, c.attempt() > 1, now);
+                account.recordStart(ak, c.attempt() > 1, now);
                 checks.start(c, m);
                 LOG.info(
                         "task {} attempt {} starts on {} session={} term={} heard_ms={}",
@@ -192,30 +194,32 @@
     // ---- what the squaring table asks for
 
     /** What the rows say of a claim on a machine of ours, by its session and by whether anybody wants it any more. */
-    Reconciliation.Row row(Machine m, Claim c) {
+    Reconciliation.ClaimState row(Machine m, Claim c) {
         if (c.session() != m.session) {
-            return c.session() < m.session ? Reconciliation.Row.EARLIER : Reconciliation.Row.LATER;
+            return c.session() < m.session ? Reconciliation.ClaimState.EARLIER : Reconciliation.ClaimState.LATER;
         }
-        return unwanted(m, c) ? Reconciliation.Row.UNWANTED : Reconciliation.Row.CLAIMED;
+        return unwanted(m, c) ? Reconciliation.ClaimState.UNWANTED : Reconciliation.ClaimState.CLAIMED;
     }
 
-    static Reconciliation.Shown shown(Entry e) {
+    static Reconciliation.ReportedState shown(Entry e) {
         return e == null
-                ? Reconciliation.Shown.ABSENT
+                ? Reconciliation.ReportedState.ABSENT
                 : switch (e.phase()) {
-                    case FETCHING -> Reconciliation.Shown.FETCHING;
-                    case WAITING -> Reconciliation.Shown.WAITING;
-                    case RUNNING -> Reconciliation.Shown.RUNNING;
-                    case SAVING -> Reconciliation.Shown.SAVING;
+                    case FETCHING -> Reconciliation.ReportedState.FETCHING;
+                    case WAITING -> Reconciliation.ReportedState.WAITING;
+                    case RUNNING -> Reconciliation.ReportedState.RUNNING;
+                    case SAVING -> Reconciliation.ReportedState.SAVING;
                     case EXITED -> e.why() == Entry.Why.DONE
-                            ? Reconciliation.Shown.DONE
-                            : e.why() == Entry.Why.ERROR ? Reconciliation.Shown.ERROR : Reconciliation.Shown.ENDED;
+                            ? Reconciliation.ReportedState.DONE
+                            : e.why() == Entry.Why.ERROR
+                                    ? Reconciliation.ReportedState.ERROR
+                                    : Reconciliation.ReportedState.ENDED;
                 };
     }
 
-    Reconciliation.Known known(Machine m, String ak) {
+    Reconciliation.OwnerKnowledge known(Machine m, String ak) {
         Run run = m.runs.get(ak);
-        return new Reconciliation.Known(
+        return new Reconciliation.OwnerKnowledge(
                 run != null && run.shown,
                 m.loose.containsKey(ak) || onItsWay(m, ak),
                 m.token >= membership.term(m.shard),
@@ -235,7 +239,7 @@
     private void fence(Machine m, String attemptKey, long now) {
         long[] l = m.loose.get(attemptKey);
         if (l != null && now - l[0] > DO_TIMEOUT_MS + 500 && l[1] >= membership.term(m.shard)) {
-            membership.raise(m.shard);
+            membership.raiseTerm(m.shard);
         }
     }
 
@@ -272,7 +276,7 @@
             }
         }
         effects.call(
-                Target.WORKER,
+                Destination.WORKER,
                 m.address,
                 "POST",
                 Wire.DO,
@@ -306,7 +310,7 @@
                                     push(m);
                                 }
                             }
-                        } catch (Fields.Bad e) {
+                        } catch (Fields.InvalidInputException e) {
                             LOG.info("machine {}: unreadable answer: {}", m.name, e.getMessage());
                         }
                     }
--- a/src/main/java/birchusher/workers/Entry.java
+++ b/src/main/java/birchusher/workers/Entry.java
@@ -1,7 +1,7 @@
 package birchusher.workers;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.Wire;
 import java.util.Map;
 
@@ -45,7 +45,7 @@
                     case "running" -> Phase.RUNNING;
                     case "flushing" -> Phase.SAVING;
                     case "exited" -> Phase.EXITED;
-                    default -> throw new Bad(Wire.STATE + ": unknown");
+                    default -> throw new InvalidInputException(Wire.STATE + ": unknown");
                 };
         Why why = m.get(Wire.WHY) == null
                 ? Why.NONE
--- a/src/main/java/birchusher/workers/MachineStatusExchange.java
+++ b/src/main/java/birchusher/workers/MachineStatusExchange.java
@@ -57,7 +57,7 @@
             Theirs t = it.next();
             if (effects.now() - t.at > FORGET_MS) {
                 it.remove();
-            } else if (membership.live(t.owner) && effects.now() - t.at <= STALE_MS) {
+            } else if (membership.isConnected(t.owner) && effects.now() - t.at <= STALE_MS) {
                 all.putIfAbsent(t.picture.machine(), t.picture);
             }
         }
--- a/src/main/java/birchusher/workers/Outcomes.java
+++ b/src/main/java/birchusher/workers/Outcomes.java
@@ -5,7 +5,7 @@
 import birchusher.mesh.PeerRecord;
 import birchusher.model.Priority;
 import birchusher.model.Shape;
-import birchusher.recovery.Losses;
+import birchusher.recovery.LostTasks;
 import birchusher.store.Change;
 import birchusher.store.Chunk;
 import birchusher.store.Claim;
@@ -74,7 +74,7 @@
     private final Membership membership;
     private final Counters counters;
     private final Mesh mesh;
-    private final Losses losses;
+    private final LostTasks losses;
     private final Map<String, Pending> pending = new LinkedHashMap<>();
     private final Map<Integer, List<PeerRecord.AttemptOutcome>> outbox = new LinkedHashMap<>();
 
@@ -84,7 +84,7 @@
             StoreClient store,
             Membership membership,
             Counters counters,
-            Losses losses,
+            LostTasks losses,
             Mesh mesh) {
         this.effects = effects;
         this.view = view;
@@ -105,7 +105,7 @@
         if (pending.containsKey(c.attemptKey())) {
             return false;
         }
-        int driver = membership.driver(c.job().spec.id());
+        int driver = membership.schedulerOf(c.job().spec.id());
         gone(c, kind, membership.term(c.shard()), true, driver == 0);
         if (driver > 0) {
             pending.put(
@@ -136,9 +136,9 @@
             return;
         }
         if (ours) {
-            losses.dropped(c.job().spec.id(), c.task(), c.machine(), effects.now());
+            losses.recordDropped(c.job().spec.id(), c.task(), c.machine(), effects.now());
         } else {
-            losses.droppedForOther(c.job().spec.id(), c.task(), c.machine(), effects.now());
+            losses.recordDroppedForPeer(c.job().spec.id(), c.task(), c.machine(), effects.now());
         }
     }
 
--- a/src/main/java/birchusher/workers/OwnerRedirect.java
+++ b/src/main/java/birchusher/workers/OwnerRedirect.java
@@ -1,6 +1,6 @@
 package birchusher.workers;
 
-import birchusher.core.Effect.Target;
+import birchusher.core.Effect.Destination;
 import birchusher.core.Effects;
 import birchusher.membership.Membership;
 import birchusher.wire.Wire;
@@ -56,10 +56,10 @@
 
     /** Answers a report of a worker whose shard is another controller's: 421 naming the owner, or 503 while none is known to live. */
     void redirect(long exchange, Report report, int shard) {
-        int owner = membership.seenOwner(shard);
+        int owner = membership.aliveOwner(shard);
         if (owner <= 0) {
-            membership.wanted(shard);
-            effects.later(exchange, 503, 1);
+            membership.workerWithoutOwner(shard);
+            effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
         long now = effects.now();
@@ -94,7 +94,7 @@
         Map<String, Long> here = lost.computeIfAbsent(shard, key -> new HashMap<>());
         here.values().removeIf(at -> now - at > LOST_MS);
         here.putIfAbsent(machine, now);
-        if (here.size() < FEW_LOST || !membership.steady(owner, LOST_MS)) {
+        if (here.size() < FEW_LOST || !membership.isConnectedFor(owner, LOST_MS)) {
             return false;
         }
         long since = Collections.min(here.values());
@@ -113,7 +113,7 @@
             return;
         }
         probing.put(shard, effects.now() + PROBE_MS);
-        effects.call(Target.WORKER, report.address(), "GET", Wire.SHOW, null, PROBE_MS, (status, body) -> {
+        effects.call(Destination.WORKER, report.address(), "GET", Wire.SHOW, null, PROBE_MS, (status, body) -> {
             if (status != 200) {
                 return;
             }
@@ -122,7 +122,7 @@
             if (answer.machine().equals(report.machine())
                     && answer.session() == report.session()
                     && answer.seq() <= report.seq() + 2) {
-                membership.pressed(shard);
+                membership.ownerUnreachable(shard);
             }
         });
     }
--- a/src/main/java/birchusher/workers/Report.java
+++ b/src/main/java/birchusher/workers/Report.java
@@ -25,7 +25,7 @@
             Entry e = Entry.read(Fields.map(o, Wire.TASKS));
             tasks.put(e.attemptKey(), e);
             if (tasks.size() > MAX_TASKS) {
-                throw new Fields.Bad(Wire.TASKS + ": too many");
+                throw new Fields.InvalidInputException(Wire.TASKS + ": too many");
             }
         }
         return new Report(
--- a/src/main/java/birchusher/workers/WorkerRegistry.java
+++ b/src/main/java/birchusher/workers/WorkerRegistry.java
@@ -7,7 +7,7 @@
 import birchusher.membership.Membership;
 import birchusher.model.Catalog;
 import birchusher.model.JobSpec;
-import birchusher.recovery.Orders;
+import birchusher.recovery.ActionCounters;
 import birchusher.recovery.Reconciliation;
 import birchusher.settings.Settings;
 import birchusher.settings.Tuning;
@@ -54,7 +54,7 @@
 
     private final Room room;
     private final Commands commands;
-    private final Orders orders;
+    private final ActionCounters orders;
     private final Reachability reachability;
     private final Tombstones tombstones = new Tombstones();
     private final Faults faults = new Faults();
@@ -82,7 +82,7 @@
             Counters counters,
             Outcomes outcomes,
             MachineStatusExchange book,
-            Orders orders,
+            ActionCounters orders,
             Listener listener,
             Predicate<String> guaranteed) {
         this.effects = effects;
@@ -142,8 +142,8 @@
     public void hello(long exchange, Map<String, Object> body) {
         Report r = Report.read(body);
         int zone = catalog.zones.find(r.zone());
-        if (!store.loaded() || !membership.holding() || zone < 0) {
-            effects.later(exchange, 503, 1);
+        if (!store.loaded() || !membership.canAct() || zone < 0) {
+            effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
         int shard = membership.shardOf(r.machine(), zone);
@@ -154,7 +154,7 @@
         long term = membership.term(shard);
         if (r.token() > term) {
             // Someone holds a higher term than we know of: an answer of ours would be dropped and hold the worker here.
-            effects.later(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
         if (!machines.containsKey(r.machine()) && !tombstones.admits(r)) {
@@ -264,18 +264,19 @@
         for (Claim c : List.copyOf(view.claims(m.name).values())) {
             String ak = c.attemptKey();
             Entry e = m.entries.get(ak);
-            Reconciliation.Row row = commands.row(m, c);
-            Reconciliation.Write write = Reconciliation.write(row, Commands.shown(e), commands.known(m, ak));
-            any |= row != Reconciliation.Row.EARLIER;
-            if (e == null || row == Reconciliation.Row.EARLIER || row == Reconciliation.Row.LATER) {
-                if (write == Reconciliation.Write.LOST) {
-                    boolean dropped = row == Reconciliation.Row.EARLIER;
+            Reconciliation.ClaimState row = commands.row(m, c);
+            Reconciliation.ClaimOutcome write =
+                    Reconciliation.claimOutcome(row, Commands.shown(e), commands.known(m, ak));
+            any |= row != Reconciliation.ClaimState.EARLIER;
+            if (e == null || row == Reconciliation.ClaimState.EARLIER || row == Reconciliation.ClaimState.LATER) {
+                if (write == Reconciliation.ClaimOutcome.LOST) {
+                    boolean dropped = row == Reconciliation.ClaimState.EARLIER;
                     // A worker that hears nobody will not take it back: nothing is to wait for that.
                     release(
                             c,
                             !dropped ? Outcomes.Kind.LOST : m.deafBefore ? Outcomes.Kind.SILENT : Outcomes.Kind.DROPPED,
                             dropped ? "a later session" : "absent from a newer report");
-                } else if (write == Reconciliation.Write.NOT_STARTED) {
+                } else if (write == Reconciliation.ClaimOutcome.NOT_STARTED) {
                     // Never shown, and nothing of ours or of an earlier owner is under way any more.
                     release(c, Outcomes.Kind.NOT_STARTED, "not started");
                 }
@@ -337,7 +338,7 @@
             m.image(c.job().spec.image(), catalog);
         }
         if (running && !before) {
-            counters.started(effects.wall() - c.job().acceptedAtMs);
+            counters.started(effects.wallTime() - c.job().acceptedAtMs);
             LOG.info("task {} attempt {} runs on {}", c.taskKey(), c.attempt(), m.name);
         }
         if (got == TaskLease.Renewal.GRANTED) {
@@ -379,7 +380,7 @@
         }
     }
 
-    private void exited(Machine m, Claim c, Entry e, Run run, Reconciliation.Write write) {
+    private void exited(Machine m, Claim c, Entry e, Run run, Reconciliation.ClaimOutcome write) {
         JobSpec j = c.job().spec;
         long now = effects.now();
         switch (write) {
@@ -472,7 +473,7 @@
         if (old == null || old.graceS > graceS) {
             m.stops.put(ak, new Stop(graceS, reason, effects.now()));
             counters.stops++;
-            orders.stop(ak, reason, effects.now());
+            orders.recordStop(ak, reason, effects.now());
             LOG.info("task {} attempt {} on {} is to stop: {}", c.taskKey(), c.attempt(), m.name, reason);
             touch(m.name);
         }
@@ -619,7 +620,7 @@
             }
         }
         for (Machine m : List.copyOf(machines.values())) {
-            if (!membership.mine(m.shard)) {
+            if (!membership.isRecordedOwner(m.shard)) {
                 machines.remove(m.name);
                 continue;
             }
@@ -699,7 +700,7 @@
                     m.name,
                     m.session,
                     membership.term(m.shard),
-                    now - membership.ownedSince(m.shard),
+                    now - membership.ownedSinceMs(m.shard),
                     m.workerLease.evidence(now));
         }
         for (Claim c : List.copyOf(view.claims(m.name).values())) {
@@ -723,7 +724,7 @@
     private long leaseEnd(Machine m) {
         return m.workerLease.endsBy(
                 membership.term(m.shard),
-                new WorkerLease.Ownership(membership.ownedSince(m.shard), membership.fencedAt(m.shard)));
+                new WorkerLease.Ownership(membership.ownedSinceMs(m.shard), membership.fencedAtMs(m.shard)));
     }
 
     public List<MachineStatus> pictures() {
--- a/src/test/java/birchusher/PackTest.java
+++ b/src/test/java/birchusher/PackTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.wire.Pack;
 import java.util.List;
 import java.util.Map;
@@ -19,15 +19,17 @@
     @Test
     void aHeaderThatClaimsMoreThanTheBodyHoldsReservesNothing() {
         assertThatThrownBy(() -> Pack.decode(new byte[] {(byte) 0xdd, 0x7f, 0x7f, 0x7f, 0x7f}))
-                .isInstanceOf(Bad.class);
+                .isInstanceOf(InvalidInputException.class);
         assertThatThrownBy(() -> Pack.decode(new byte[] {(byte) 0xdf, 0x7f, 0x7f, 0x7f, 0x7f}))
-                .isInstanceOf(Bad.class);
+                .isInstanceOf(InvalidInputException.class);
     }
 
     @Test
     void deepNestingIsRefusedBeforeTheStackEnds() {
         byte[] deep = new byte[5000];
         java.util.Arrays.fill(deep, (byte) 0x91);
-        assertThatThrownBy(() -> Pack.decode(deep)).isInstanceOf(Bad.class).hasMessageContaining("deep");
+        assertThatThrownBy(() -> Pack.decode(deep))
+                .isInstanceOf(InvalidInputException.class)
+                .hasMessageContaining("deep");
     }
 }
--- a/src/test/java/birchusher/PeerCodecTest.java
+++ b/src/test/java/birchusher/PeerCodecTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.mesh.PeerCodec;
 import birchusher.mesh.PeerRecord;
 import java.util.Arrays;
@@ -63,7 +63,7 @@
             byte[] whole = PeerCodec.encode("perch-1", 8, r);
             for (int n = 0; n < whole.length; n++) {
                 byte[] part = Arrays.copyOf(whole, n);
-                assertThatThrownBy(() -> PeerCodec.decode(part)).isInstanceOf(Bad.class);
+                assertThatThrownBy(() -> PeerCodec.decode(part)).isInstanceOf(InvalidInputException.class);
             }
         }
     }
@@ -78,7 +78,7 @@
             b[random.nextInt(b.length)] = (byte) random.nextInt();
             try {
                 PeerCodec.decode(b);
-            } catch (Bad e) {
+            } catch (InvalidInputException e) {
                 refused++;
             }
         }
