--- a/src/test/java/birchusher/PlannerTest.java
+++ b/src/test/java/birchusher/PlannerTest.java
@@ -8,7 +8,7 @@
 import birchusher.model.Catalog;
 import birchusher.placement.Planner;
 import birchusher.placement.Slot;
-import birchusher.recovery.Losses;
+import birchusher.recovery.LostTasks;
 import birchusher.settings.SettingsReader;
 import birchusher.store.Chunk;
 import birchusher.store.Claim;
@@ -36,7 +36,7 @@
             .getBytes(StandardCharsets.UTF_8)));
     private final StoreView view = new StoreView(catalog, new JobCodec(catalog));
     private final Hazards hazards = new Hazards();
-    private final Losses losses = new Losses(10_000, 1);
+    private final LostTasks losses = new LostTasks(10_000, 1);
     private final Planner planner = new Planner(
             catalog, view, new Speeds(), hazards, losses, new LeaseTerms(90_000, 30_000, 4, 5_000), List.of(), 150);
     private final Catalog.Type type =
@@ -250,7 +250,7 @@
 
     private void dropped(Job j, int task) {
         view.markReleased(new Job.ReleasedClaim(j.claim(task), 1, true, true));
-        losses.dropped(j.spec.id(), task, j.claim(task).machine(), 0);
+        losses.recordDropped(j.spec.id(), task, j.claim(task).machine(), 0);
     }
 
     /** Seen on both larger fleets after a crash of all: 10 % came back where they ran, the queue had taken their room. */
@@ -284,7 +284,7 @@
     void whatAnotherControllerBringsBackIsLeftItsOwnRoomAndNoOther() {
         Job proven = placed("wk-proven", Map.of("pieces", 1L), "away");
         view.markReleased(new Job.ReleasedClaim(proven.claim(0), 1, true, true));
-        losses.droppedForOther("wk-proven", 0, "away", 0);
+        losses.recordDroppedForPeer("wk-proven", 0, "away", 0);
         Job ours = placed("wk-ours", Map.of("pieces", 1L, "due_s", 900.0), "home");
         dropped(ours, 0);
         assertThat(plan(NOW, List.of(), slot("home", 0, 1, 1))).containsExactly("wk-ours/0 on home");
@@ -296,19 +296,19 @@
     @Test
     void aClaimThatLeftItsRowGoesBackOnlyToALaterSession() {
         Job job = job("wk-row", Map.of("pieces", 1L));
-        losses.left(new Claim(job, 0, 1, "home", 1, 0), 0);
+        losses.recordReleased(new Claim(job, 0, 1, "home", 1, 0), 0);
         losses.tick(100);
-        assertThat(losses.returning())
+        assertThat(losses.tasksToRestore())
                 .as("only proven losses are expected back")
                 .isZero();
         Slot[] slots = {slot("home", 0, 1, 1), slot("other", 0, 1, 1)};
         assertThat(planner.plan(new ArrayList<>(List.of(slots)), marks(t -> false), List.of(), 0, NOW)
                         .choices())
                 .hasSize(1);
-        assertThat(losses.followedBy("wk-row", 0, 1)).isFalse();
-        assertThat(losses.followedBy("wk-row", 0, 2)).isTrue();
-        losses.back(new Claim(job, 0, 2, "home", 2, 0));
-        assertThat(losses.any("wk-row")).isFalse();
+        assertThat(losses.isLaterSession("wk-row", 0, 1)).isFalse();
+        assertThat(losses.isLaterSession("wk-row", 0, 2)).isTrue();
+        losses.recordPlaced(new Claim(job, 0, 2, "home", 2, 0));
+        assertThat(losses.hasLostTasks("wk-row")).isFalse();
     }
 
     /** It reports, and has still to show its owner's term: up to a report interval, where a fixed 1.5 s sent its tasks elsewhere. */
--- a/src/test/java/birchusher/SettingsTest.java
+++ b/src/test/java/birchusher/SettingsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.settings.SettingsReader;
 import birchusher.settings.Tuning;
 import java.io.IOException;
@@ -25,11 +25,11 @@
     void theFieldAtFaultIsNamed() {
         String good = TestJobs.SETTINGS;
         assertThatThrownBy(() -> read(good.replace("\"lease_s\":10", "\"lease_s\":0")))
-                .isInstanceOf(Bad.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessageContaining("lease_s");
         assertThatThrownBy(() -> read(good.replace("1.1.1.1:4", "nowhere"))).hasMessageContaining("state");
         assertThatThrownBy(() -> read(good.replace("\"member\":\"a\",", ""))).hasMessageContaining("member");
-        assertThatThrownBy(() -> read("{")).isInstanceOf(Bad.class);
+        assertThatThrownBy(() -> read("{")).isInstanceOf(InvalidInputException.class);
     }
 
     @Test
@@ -38,10 +38,10 @@
         assertThat(t.ms("lease.base-s")).isEqualTo(120_000);
         assertThat(t.ms("lease.renew-s")).isEqualTo(30_000);
         assertThatThrownBy(() -> new Tuning().with(new StringReader("lease.bass-s=1\n")))
-                .isInstanceOf(Bad.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessageContaining("lease.bass-s");
         assertThatThrownBy(() -> new Tuning().with(new StringReader("lease.base-s=soon\n")))
-                .isInstanceOf(Bad.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessageContaining("lease.base-s");
     }
 }
--- a/src/test/java/birchusher/agent/WorkerTest.java
+++ b/src/test/java/birchusher/agent/WorkerTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -167,7 +167,7 @@
         act(worker.direct(
                 5_200, 2, "POST", "/do", Map.of("baton", 9L, "tenure", 2L, "orders", List.of(stop("wk-1/0", 0)))));
         assertThatThrownBy(() -> worker.direct(5_200, 3, "POST", "/do", Map.of("baton", 9L)))
-                .isInstanceOf(Bad.class);
+                .isInstanceOf(InvalidInputException.class);
         assertThat(took())
                 .isEqualTo("report n-1 1 [wk-1/0#1 running], report n-1 1 [wk-1/0#1 running], answer 409, answer 409");
         act(worker.assigned(6_000, 5_900, assignment("n-1")));
@@ -296,7 +296,7 @@
                             "/do",
                             Map.of("baton", 5L, "tenure", 1L, "orders", List.of(start(piece, 1)))))
                     .as(piece)
-                    .isInstanceOf(Bad.class);
+                    .isInstanceOf(InvalidInputException.class);
         }
     }
 
--- a/src/test/java/birchusher/cli/ClientTest.java
+++ b/src/test/java/birchusher/cli/ClientTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.daemon.DaemonSettings;
 import birchusher.http.EventLoop;
 import birchusher.http.HttpServer;
@@ -188,7 +188,7 @@
                 "workers.quarantine-s");
         bad.forEach((line, named) -> assertThatThrownBy(() -> read(good + "\n" + line))
                 .as(line)
-                .isInstanceOf(Bad.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessageContaining(named));
         assertThat(read(good + "\npeers=p/here/10.0.0.2:1/10.0.0.2:2").controllers())
                 .containsOnlyKeys("daemon", "p");
--- a/src/test/java/birchusher/pool/GangsTest.java
+++ b/src/test/java/birchusher/pool/GangsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -115,7 +115,7 @@
                 Map.of("command", List.of("x".repeat(50_000))))) {
             assertThatThrownBy(() -> Programs.checked(bad))
                     .as(String.valueOf(bad.keySet()))
-                    .isInstanceOf(Bad.class);
+                    .isInstanceOf(InvalidInputException.class);
         }
     }
 }
--- a/src/test/java/birchusher/pool/PoolTest.java
+++ b/src/test/java/birchusher/pool/PoolTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -201,7 +201,9 @@
         writes = 0;
         assertThat(hosts(rent("r1", 1))).containsExactly("n-000003");
         rows.put("host/gone", rows.get("host/a"));
-        assertThatThrownBy(this::start).isInstanceOf(Bad.class).hasMessageContaining("gone");
+        assertThatThrownBy(this::start)
+                .isInstanceOf(InvalidInputException.class)
+                .hasMessageContaining("gone");
     }
 
     /** What one agent would do: it obeys answers, which may be lost, and ends its machine a lease after the last one. */
--- /dev/null
+++ b/src/test/java/birchusher/recovery/RecoveryStateTest.java
@@ -0,0 +1,117 @@
+package birchusher.recovery;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import birchusher.model.Catalog;
+import birchusher.store.StoreView;
+import birchusher.wire.JobCodec;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** The census, the memory of what was dropped, and the account of orders, each by itself. */
+class RecoveryStateTest {
+    private final Catalog catalog = new Catalog(birchusher.settings.SettingsReader.read(
+            birchusher.TestJobs.SETTINGS.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+    private final Inventory inventory = new Inventory(new StoreView(catalog, new JobCodec(catalog)), 10_000);
+    private final Set<String> confirmed = new HashSet<>();
+    private final Set<String> reported = new HashSet<>();
+    private final Set<String> gone = new HashSet<>();
+    private final List<String> listed = new ArrayList<>(List.of("n-1", "n-2", "n-3"));
+
+    private Inventory.Phase updateInventory(long now, boolean read) {
+        inventory.update(
+                now,
+                read,
+                m -> confirmed.contains(m)
+                        ? Inventory.MachineEvidence.CONFIRMED
+                        : reported.contains(m) ? Inventory.MachineEvidence.REPORTED : Inventory.MachineEvidence.NONE,
+                gone::contains,
+                listed);
+        return inventory.phase();
+    }
+
+    @Test
+    void machinesAreAwaitedUntilConfirmedOrGone() {
+        assertThat(updateInventory(0, false)).isEqualTo(Inventory.Phase.READING);
+        assertThat(updateInventory(1_000, true)).isEqualTo(Inventory.Phase.HEARING);
+        assertThat(inventory.open()).isEqualTo(3);
+        confirmed.add("n-1");
+        gone.add("n-2");
+        assertThat(updateInventory(2_000, true)).isEqualTo(Inventory.Phase.HEARING);
+        assertThat(inventory.isFleetKnown()).isFalse();
+        reported.add("n-3");
+        assertThat(updateInventory(3_000, true)).isEqualTo(Inventory.Phase.HEARING);
+        confirmed.add("n-3");
+        assertThat(updateInventory(4_000, true)).isEqualTo(Inventory.Phase.ORDINARY);
+        // The last plan was made without its room.
+        assertThat(inventory.isFleetKnown()).isFalse();
+        updateInventory(5_000, true);
+        assertThat(inventory.isFleetKnown()).isTrue();
+        // Unfit for reasons of its own, it is not waited for again.
+        confirmed.remove("n-3");
+        assertThat(updateInventory(6_000, true)).isEqualTo(Inventory.Phase.ORDINARY);
+    }
+
+    @Test
+    void silentMachineIsAwaitedOnceButAnewAfterItVanishesAgain() {
+        updateInventory(0, true);
+        confirmed.add("n-1");
+        confirmed.add("n-2");
+        assertThat(updateInventory(9_999, true)).isEqualTo(Inventory.Phase.HEARING);
+        assertThat(updateInventory(10_000, true)).isEqualTo(Inventory.Phase.ORDINARY);
+        assertThat(updateInventory(60_000, true)).isEqualTo(Inventory.Phase.ORDINARY);
+        confirmed.remove("n-1");
+        assertThat(updateInventory(61_000, true)).isEqualTo(Inventory.Phase.HEARING);
+        assertThat(inventory.open()).isEqualTo(1);
+        assertThat(updateInventory(70_999, true)).isEqualTo(Inventory.Phase.HEARING);
+        assertThat(updateInventory(71_000, true)).isEqualTo(Inventory.Phase.ORDINARY);
+    }
+
+    @Test
+    void reconnectTimeFollowsFromReportIntervalAndControllers() {
+        assertThat(Inventory.reconnectTimeMs(4_000, 3)).isEqualTo(13_000);
+        assertThat(Inventory.reconnectTimeMs(4_000, 7)).isEqualTo(17_000);
+    }
+
+    @Test
+    void droppedTasksAreAwaitedForTheReconnectTimeAndForgottenAfterAMinute() {
+        LostTasks losses = new LostTasks(10_000, 3);
+        losses.recordDropped("wk-1", 0, "n-1", 0);
+        losses.recordDropped("wk-1", 4, "n-2", 0);
+        losses.tick(100);
+        losses.handlePeerReport(2, 5, 100);
+        assertThat(losses.tasksToRestoreOfAll(200)).isEqualTo(7);
+        assertThat(losses.awaitedMachine("wk-1", 4, 1_000)).isEqualTo("n-2");
+        assertThat(losses.awaitedMachine("wk-1", 4, 2_000)).isNull();
+        losses.tick(10_500);
+        assertThat(losses.tasksToRestoreOfAll(10_500)).isZero();
+        assertThat(losses.machinesByTask("wk-1")).containsEntry(0, "n-1").containsEntry(4, "n-2");
+        losses.tick(60_200);
+        assertThat(losses.hasLostTasks("wk-1")).isFalse();
+        assertThat(losses.size()).isZero();
+    }
+
+    @Test
+    void contradictingActionsAreCountedOnce() {
+        ActionCounters orders = new ActionCounters();
+        orders.recordStart("wk-1/0#1", false, 0);
+        orders.recordStart("wk-1/1#2", true, 0);
+        orders.recordStart("wk-1/2#1", false, 0);
+        orders.recordStop("wk-1/0#1", "makes room for wk-9", 29_000);
+        orders.recordStop("wk-1/0#1", "makes room for wk-8", 29_500);
+        orders.recordStop("wk-1/1#2", "notice", 29_000);
+        orders.recordStop("wk-1/2#1", "moves", 31_000);
+        assertThat(orders.stoppedSoon()).isEqualTo(1);
+        assertThat(orders.count("stop makes room")).isEqualTo(2);
+        orders.recordReturn(4, 0);
+        orders.recordReturn(4, 50_000);
+        orders.recordReturn(5, 50_000);
+        orders.recordRental(4, 3, 40_000, 60_000);
+        orders.recordRental(4, 3, 40_000, 61_000);
+        assertThat(orders.rentedAgain()).isEqualTo(1);
+        assertThat(orders.count("rent")).isEqualTo(6);
+    }
+}
--- a/src/test/java/birchusher/sim/ProcessWorld.java
+++ b/src/test/java/birchusher/sim/ProcessWorld.java
@@ -69,12 +69,12 @@
             serve(
                     cloud[i],
                     (method, path, body, back) ->
-                            inbound(node, Effect.Target.CLOUD, "cloud:1", method, path, body, back));
+                            inbound(node, Effect.Destination.CLOUD, "cloud:1", method, path, body, back));
             serve(
                     state[i],
                     (method, path, body, back) -> inbound(
                             node,
-                            path.startsWith("/watch") ? Effect.Target.WATCH : Effect.Target.STORE,
+                            path.startsWith("/watch") ? Effect.Destination.WATCH : Effect.Destination.STORE,
                             "state:1",
                             method,
                             path,
@@ -131,7 +131,7 @@
 
     private void inbound(
             int node,
-            Effect.Target target,
+            Effect.Destination target,
             String address,
             String method,
             String path,
@@ -253,7 +253,7 @@
             serve(
                     port,
                     (method, path, body, back) ->
-                            inbound(-1, Effect.Target.WORKER, worker.name + ":1", method, path, body, back));
+                            inbound(-1, Effect.Destination.WORKER, worker.name + ":1", method, path, body, back));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/birchusher/sim/World.java
+++ b/src/test/java/birchusher/sim/World.java
@@ -510,7 +510,7 @@
 
     private void deliver(int to, byte[] record) {
         if (nodes[to].core != null) {
-            act(to, nodes[to].core.peer(now, wall(to), record));
+            act(to, nodes[to].core.handlePeerRecord(now, wall(to), record));
         }
     }
 
@@ -534,7 +534,10 @@
             if (!answered[0] && nodes[i].life == life && nodes[i].core != null) {
                 answered[0] = true;
                 keepsSeat(i, c, status, sentAt);
-                act(i, nodes[i].core.reply(now, wall(i), c.id(), status, m.isEmpty() ? new byte[0] : Pack.encode(m)));
+                act(
+                        i,
+                        nodes[i].core.handleReply(
+                                now, wall(i), c.id(), status, m.isEmpty() ? new byte[0] : Pack.encode(m)));
             }
         };
         at(now + c.timeoutMs(), () -> whenAwake(i, () -> back.accept(0, Map.of())));
@@ -560,15 +563,15 @@
         if (lost()) {
             return;
         }
-        if (c.target() == Effect.Target.WORKER && i >= 0 && fromWorkers[i]) {
+        if (c.destination() == Effect.Destination.WORKER && i >= 0 && fromWorkers[i]) {
             return;
         }
-        if (c.target() == Effect.Target.WORKER
+        if (c.destination() == Effect.Destination.WORKER
                 && i != island
                 && marooned.contains(c.address().split(":")[0])) {
             return;
         }
-        boolean store = c.target() == Effect.Target.STORE || c.target() == Effect.Target.WATCH;
+        boolean store = c.destination() == Effect.Destination.STORE || c.destination() == Effect.Destination.WATCH;
         if (store && refused[i]) {
             at(now + 2, () -> back.accept(503, Map.of()));
             return;
@@ -581,13 +584,13 @@
             at(now + 1, () -> serve(c, body, (status, m) -> {}));
             return;
         }
-        long held = c.target() == Effect.Target.WORKER ? straightMs + commandsHeldMs(c.address()) : 0;
+        long held = c.destination() == Effect.Destination.WORKER ? straightMs + commandsHeldMs(c.address()) : 0;
         held += store && storeSlowMs > 0 ? random.nextInt(storeSlowMs) : 0;
-        int answerMs = c.target() == Effect.Target.CLOUD && cloudSlowMs > 0 ? random.nextInt(cloudSlowMs) : 0;
+        int answerMs = c.destination() == Effect.Destination.CLOUD && cloudSlowMs > 0 ? random.nextInt(cloudSlowMs) : 0;
         at(
                 now + delay() + held,
                 () -> serve(c, body, (status, m) -> {
-                    if (!lost() && (c.target() == Effect.Target.WATCH || !(store && refused[i]))) {
+                    if (!lost() && (c.destination() == Effect.Destination.WATCH || !(store && refused[i]))) {
                         Map<String, Object> copy = plain(m);
                         boolean watch = c.path().startsWith("/watch");
                         at(
@@ -612,7 +615,7 @@
             Effect.Call c,
             Map<String, Object> body,
             java.util.function.BiConsumer<Integer, Map<String, Object>> reply) {
-        switch (c.target()) {
+        switch (c.destination()) {
             case STORE, WATCH -> store.handle(now, c.method(), c.path(), body, reply);
             case CLOUD -> cloud(c.path(), body, reply);
             default -> straight(c.address(), c.path(), body, reply);
@@ -823,7 +826,7 @@
         } else if (nodes[node].core != null) {
             long x = nextExchange++;
             exchanges.put(x, reply);
-            act(node, nodes[node].core.request(now, wall(node), x, method, path, body));
+            act(node, nodes[node].core.handleRequest(now, wall(node), x, method, path, body));
         }
     }
 
--- a/src/test/java/birchusher/statehost/EdgeTest.java
+++ b/src/test/java/birchusher/statehost/EdgeTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.kv.Engine;
 import birchusher.kv.Limits;
 import birchusher.kv.Request;
@@ -42,7 +42,7 @@
             return out[0] == null ? "waits" : out[0].status() + " " + Json.text(out[0].body(), false);
         } catch (Edge.NotThere e) {
             return e.status + "";
-        } catch (Bad e) {
+        } catch (InvalidInputException e) {
             return "400 " + e.getMessage();
         }
     }
--- a/src/test/java/birchusher/store/StoreClientTest.java
+++ b/src/test/java/birchusher/store/StoreClientTest.java
@@ -28,7 +28,7 @@
     private long now = 1_000;
 
     StoreClientTest() {
-        effects.time(now, now);
+        effects.setTime(now, now);
         store.tick();
         replyTo("/store?", 200, Map.of("rows", List.of(), "has_next", false, "epoch", 1L));
         replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
@@ -42,7 +42,7 @@
     }
 
     private void replyTo(String path, int status, Map<String, Object> body) {
-        calls(path).forEach(c -> effects.reply(c.id(), status, body));
+        calls(path).forEach(c -> effects.completeCall(c.id(), status, body));
     }
 
     private void enqueue(String key, int rank, int bytes) {
@@ -74,7 +74,7 @@
 
     private void advance(long ms) {
         now += ms;
-        effects.time(now, now);
+        effects.setTime(now, now);
         store.tick();
     }
 
@@ -86,7 +86,7 @@
         for (int i = 0; i < 11; i++) {
             enqueue("row" + i, 4, 8_000);
         }
-        effects.reply(first.id(), 200, Map.of("epoch", 2L));
+        effects.completeCall(first.id(), 200, Map.of("epoch", 2L));
         advance(3_000);
         Effect.Call all = calls("/multi").get(0);
         assertThat(Json.size(all.body())).isBetween(30_000, 64 * 1024);
@@ -116,11 +116,11 @@
     @Test
     void changeWithUnknownOutcomeSurvivesRejectedTransaction() {
         enqueue("handover", 1, 10);
-        effects.reply(calls("/multi").get(0).id(), 0, Map.of());
+        effects.completeCall(calls("/multi").get(0).id(), 0, Map.of());
         advance(500);
         replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
         advance(300);
-        effects.reply(calls("/multi").get(0).id(), 400, Map.of("error", "no such lease"));
+        effects.completeCall(calls("/multi").get(0).id(), 400, Map.of("error", "no such lease"));
         builtChanges.clear();
         advance(1_000);
         replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
@@ -139,7 +139,7 @@
         List<Effect.Call> reads = calls("/watch");
         assertThat(reads).isNotEmpty();
         store.whenUpToDate(ok -> fresh.add("second " + ok));
-        effects.reply(reads.get(reads.size() - 1).id(), 200, Map.of("events", List.of(), "epoch", 1L));
+        effects.completeCall(reads.get(reads.size() - 1).id(), 200, Map.of("events", List.of(), "epoch", 1L));
         assertThat(fresh).isNotEmpty().doesNotContain("second true");
         for (int i = 0; i < 10; i++) {
             advance(100);
--- a/src/test/java/birchusher/workers/GrantsTest.java
+++ b/src/test/java/birchusher/workers/GrantsTest.java
@@ -104,7 +104,7 @@
                 return machine.workerLease.endsBy(TERM, OWNED);
             }
         });
-        effects.time(20_000, 0);
+        effects.setTime(20_000, 0);
         Entry running = new Entry("wk-1/0", 1, Entry.Phase.RUNNING, Entry.Why.NONE, false);
         Report report = report(1, 10, TERM, Map.of(running.attemptKey(), running));
         first.workerLease.heard(report, TERM, 20_000);
@@ -125,11 +125,11 @@
                 .hasMessageContaining("release_before_lease_end");
         assertThat(counters.unsafe).isEqualTo(2);
         checks.start(next, first);
-        effects.time(20_000 + DURATION_MS, 0);
+        effects.setTime(20_000 + DURATION_MS, 0);
         checks.start(next, second);
         checks.releaseOfSilent(next, first);
         owned.remove("n-1");
-        effects.time(25_000, 0);
+        effects.setTime(25_000, 0);
         checks.start(next, second);
         assertThat(counters.unsafe).isEqualTo(2);
     }
