--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -10,9 +10,9 @@
 import birchusher.jobs.Events;
 import birchusher.jobs.JobApi;
 import birchusher.jobs.Listing;
-import birchusher.lease.Hazards;
-import birchusher.lease.LeaseTerms;
-import birchusher.lease.Speeds;
+import birchusher.lease.EstimateBias;
+import birchusher.lease.LeaseSettings;
+import birchusher.lease.LossRates;
 import birchusher.membership.Membership;
 import birchusher.mesh.PeerCodec;
 import birchusher.mesh.PeerRecord;
@@ -34,7 +34,7 @@
 import birchusher.workers.Counters;
 import birchusher.workers.MachineStatus;
 import birchusher.workers.MachineStatusExchange;
-import birchusher.workers.Outcomes;
+import birchusher.workers.OutcomeRecorder;
 import birchusher.workers.WorkerRegistry;
 import java.util.List;
 import java.util.Map;
@@ -55,7 +55,7 @@
     private final StoreView view;
     private final StoreClient store;
     private final Membership membership;
-    private final Outcomes outcomes;
+    private final OutcomeRecorder outcomes;
     private final WorkerRegistry workerRegistry;
     private final JobApi jobApi;
     private final Listing listing;
@@ -85,14 +85,14 @@
         view.steadyClock(effects::now);
         store = new StoreClient(effects, view, s, t);
         membership = new Membership(effects, s, catalog, view, store, t);
-        Speeds speeds = new Speeds();
+        EstimateBias speeds = new EstimateBias();
         Driver[] later = new Driver[1];
         statusExchange = new MachineStatusExchange(effects, catalog, membership);
-        membership.reachesWorkers(statusExchange::hears);
+        membership.reachesWorkers(statusExchange::ownerReachesZone);
         long patience = Inventory.reconnectTimeMs(
                 Math.round(s.reportS() * 1000), 1 + s.peers().size());
         lostTasks = new LostTasks(patience, 1 + s.peers().size());
-        outcomes = new Outcomes(effects, view, store, membership, counters, lostTasks, this::send);
+        outcomes = new OutcomeRecorder(effects, view, store, membership, counters, lostTasks, this::send);
         workerRegistry = new WorkerRegistry(
                 effects,
                 s,
@@ -108,10 +108,10 @@
                 actionCounters,
                 (job, grace, reason) -> later[0].stopGang(job, grace, reason),
                 id -> later[0].last().guaranteed().contains(id));
-        Hazards hazards = new Hazards();
+        LossRates hazards = new LossRates();
         Events events = new Events();
         view.setClaimListeners(
-                statusExchange::kind,
+                statusExchange::machineKind,
                 c -> {
                     events.placed(effects.now(), c);
                     lostTasks.recordPlaced(c);
@@ -131,7 +131,7 @@
                 speeds,
                 hazards,
                 lostTasks,
-                LeaseTerms.from(t),
+                LeaseSettings.from(t),
                 s.objectives(),
                 t.num("placement.begin-by-s"));
         inventory = new Inventory(view, patience);
@@ -166,7 +166,7 @@
                 () -> lostTasks.tasksToRestoreOfAll(effects.now()),
                 t,
                 this::requestReturn,
-                workerRegistry::gone,
+                workerRegistry::onMachineDeleted,
                 jobScheduler::slots,
                 jobScheduler::runningFor);
     }
@@ -237,14 +237,14 @@
         boolean plan = jobScheduler.due();
         if (plan || now >= nextStatusUpdateMs) {
             nextStatusUpdateMs = now + 250;
-            ownStatuses = workerRegistry.pictures();
-            statusExchange.draw(ownStatuses);
+            ownStatuses = workerRegistry.statuses();
+            statusExchange.mergeStatuses(ownStatuses);
             inventory.update(now, store.loaded(), this::machineEvidence, autoscaler::leaves, autoscaler.strangers());
         }
         if (plan) {
-            jobScheduler.tick(statusExchange.pictures(), this::upcomingSlots);
+            jobScheduler.tick(statusExchange.statuses(), this::upcomingSlots);
         }
-        autoscaler.tick(statusExchange.pictures(), jobScheduler.last());
+        autoscaler.tick(statusExchange.statuses(), jobScheduler.last());
         if (now >= nextHeartbeatMs) {
             nextHeartbeatMs = now + HEARTBEAT_INTERVAL_MS;
             sendHeartbeat();
@@ -258,8 +258,8 @@
                     view.appliedRevision(),
                     store.loaded() ? membership.staleness().ageMs() : -1,
                     view.jobs().size(),
-                    statusExchange.pictures().size(),
-                    counters.line(),
+                    statusExchange.statuses().size(),
+                    counters.logText(),
                     store.logText(),
                     jobScheduler.line(),
                     inventory.phase(),
@@ -271,7 +271,7 @@
     }
 
     private List<Effect> finishStep() {
-        workerRegistry.flush();
+        workerRegistry.flushCommands();
         return effects.drain();
     }
 
@@ -282,7 +282,7 @@
         String path = q < 0 ? target : target.substring(0, q);
         if (path.equals(Wire.HELLO)) {
             if (requireMethod(exchange, method, "POST")) {
-                workerRegistry.hello(exchange, Fields.map(Pack.decode(body), "body"));
+                workerRegistry.onReport(exchange, Fields.map(Pack.decode(body), "body"));
             }
         } else if (path.equals(Wire.READY)) {
             if (requireMethod(exchange, method, "GET")) {
@@ -350,14 +350,14 @@
     }
 
     private void sendHeartbeat() {
-        List<PeerRecord.Machine> news = statusExchange.news(ownStatuses);
+        List<PeerRecord.Machine> news = statusExchange.changedStatuses(ownStatuses);
         PeerRecord.Heartbeat h = new PeerRecord.Heartbeat(
                 membership.incarnation(),
                 store.healthy(),
                 membership.highestTerms(),
                 membership.ownedTerms(),
                 news,
-                statusExchange.left(),
+                statusExchange.removedMachines(),
                 autoscaler.recentlyGone());
         byte[] record = encode(h);
         byte[] restoring = lostTasks.tasksToRestore() > 0 || restoringAnnounced
@@ -380,10 +380,10 @@
     private void dispatchPeerRecord(int from, long incarnation, PeerRecord r) {
         if (r instanceof PeerRecord.Heartbeat h) {
             if (membership.handleHeartbeat(from, h.storeHealthy(), h.incarnation(), h.seenTerms(), h.ownedTerms())) {
-                statusExchange.tellEverything();
+                statusExchange.publishAllNext();
             }
-            statusExchange.heard(from, h);
-            h.deletedMachines().forEach(workerRegistry::gone);
+            statusExchange.onHeartbeat(from, h);
+            h.deletedMachines().forEach(workerRegistry::onMachineDeleted);
         } else if (r instanceof PeerRecord.Offer o) {
             send(from, jobScheduler.judge(o));
         } else if (r instanceof PeerRecord.WithdrawnOffer o) {
@@ -393,9 +393,11 @@
         } else if (r instanceof PeerRecord.StopRequest s) {
             jobScheduler.stopAsked(s);
         } else if (r instanceof PeerRecord.ReturnRequest x) {
-            send(from, new PeerRecord.ReturnReply(x.machine(), workerRegistry.retire(x.machine(), x.withTasks())));
+            send(
+                    from,
+                    new PeerRecord.ReturnReply(x.machine(), workerRegistry.prepareReturn(x.machine(), x.withTasks())));
         } else if (r instanceof PeerRecord.AttemptOutcomes o) {
-            outcomes.told(o);
+            outcomes.onPeerOutcomes(o);
         } else if (r instanceof PeerRecord.ReturnReply x) {
             autoscaler.retired(x.machine(), x.agreed());
         } else if (r instanceof PeerRecord.DroppedTasks x) {
@@ -408,22 +410,22 @@
     }
 
     private Inventory.MachineEvidence machineEvidence(String machine) {
-        MachineStatus p = statusExchange.pictures().get(machine);
+        MachineStatus p = statusExchange.statuses().get(machine);
         if (p == null) {
             return Inventory.MachineEvidence.NONE;
         }
-        return p.usable() || p.condemned() || p.leaving() || p.silentMs() > 0
+        return p.usable() || p.faulty() || p.beingReturned() || p.silentMs() > 0
                 ? Inventory.MachineEvidence.CONFIRMED
                 : Inventory.MachineEvidence.REPORTED;
     }
 
     private void requestReturn(String machine, boolean withTasks) {
-        MachineStatus p = statusExchange.pictures().get(machine);
+        MachineStatus p = statusExchange.statuses().get(machine);
         if (p == null) {
             return;
         }
         if (membership.owns(p.shard())) {
-            autoscaler.retired(machine, workerRegistry.retire(machine, withTasks));
+            autoscaler.retired(machine, workerRegistry.prepareReturn(machine, withTasks));
         } else if (membership.connectedOwner(p.shard()) > 0) {
             send(membership.connectedOwner(p.shard()), new PeerRecord.ReturnRequest(machine, withTasks));
         }
@@ -431,11 +433,11 @@
 
     /** Room that will be there before a machine bought now could be up. */
     private List<Slot> upcomingSlots() {
-        List<Slot> l = autoscaler.coming(statusExchange.pictures());
+        List<Slot> l = autoscaler.coming(statusExchange.statuses());
         long now = effects.now();
-        for (MachineStatus p : statusExchange.pictures().values()) {
+        for (MachineStatus p : statusExchange.statuses().values()) {
             Catalog.Type t = catalog.type(p.type());
-            if (p.arriving() && t != null) {
+            if (p.pendingConfirmation() && t != null) {
                 l.add(Slot.arriving(p, t, view.capacityUsedOn(p.machine())));
             }
             if (!p.usable() || t == null) {
--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -684,8 +684,8 @@
                 continue;
             }
             boolean idle = !reserve.keeps(p.machine())
-                    && p.idleSince() >= 0
-                    && now - p.idleSince() > linger(p)
+                    && p.idleSinceMs() >= 0
+                    && now - p.idleSinceMs() > linger(p)
                     && view.claims(p.machine()).isEmpty();
             // Cut off ourselves, we would delete machines that are well: others hear them.
             boolean silent = store.healthy() && silent(p) && !unheard.contains(p.shard());
@@ -693,8 +693,8 @@
                 LOG.info("machine {} silent for {} ms, deleted to free its tasks", p.machine(), p.silentMs());
                 delete(p.machine());
             } else if (idle
-                    || p.condemned()
-                    || p.leaving() && view.claims(p.machine()).isEmpty()) {
+                    || p.faulty()
+                    || p.beingReturned() && view.claims(p.machine()).isEmpty()) {
                 retiring.put(p.machine(), now + 5_000);
                 retire.accept(p.machine(), false);
             }
--- a/src/main/java/birchusher/fleet/Consolidation.java
+++ b/src/main/java/birchusher/fleet/Consolidation.java
@@ -73,8 +73,8 @@
         List<MachineStatus> ripe = new ArrayList<>();
         int leaving = 0;
         for (MachineStatus p : pictures.values()) {
-            leaving += p.leaving() ? 1 : 0;
-            if (p.leaving()
+            leaving += p.beingReturned() ? 1 : 0;
+            if (p.beingReturned()
                     || !p.usable()
                     || catalog.type(p.type()) == null
                     || !restless(p)
--- a/src/main/java/birchusher/lease/TaskLease.java
+++ b/src/main/java/birchusher/lease/TaskLease.java
@@ -12,53 +12,55 @@
 
     private final long renewMs;
     private final long capMs;
-    private long end;
-    private long runningSince = -1;
+    private long endMs;
+    private long runningSinceMs = -1;
     private boolean atCap;
 
-    public TaskLease(LeaseTerms terms, long startedAt, long fetchMs, long capMs) {
+    public TaskLease(LeaseSettings terms, long startedAt, long fetchMs, long capMs) {
         this.renewMs = terms.renewMs();
         this.capMs = capMs;
-        this.end = startedAt + terms.base(fetchMs);
+        this.endMs = startedAt + terms.initialMs(fetchMs);
     }
 
     /** A fresh report lists the task. A lapsed lease gets nothing, and nothing goes beyond the cap. */
-    public Renewal report(long now, boolean running) {
-        if (lapsed(now)) {
+    public Renewal renew(long now, boolean running) {
+        if (expired(now)) {
             return Renewal.LAPSED;
         }
-        if (running && runningSince < 0) {
-            runningSince = now;
+        if (running && runningSinceMs < 0) {
+            runningSinceMs = now;
         }
         long wanted = now + renewMs;
-        if (runningSince >= 0 && capMs != Long.MAX_VALUE && wanted > runningSince + capMs) {
-            wanted = runningSince + capMs;
-            if (now >= runningSince + capMs) {
+        if (runningSinceMs >= 0 && capMs != Long.MAX_VALUE && wanted > runningSinceMs + capMs) {
+            wanted = runningSinceMs + capMs;
+            if (now >= runningSinceMs + capMs) {
                 atCap = true;
                 return Renewal.AT_CAP;
             }
         }
-        if (wanted <= end) {
+        if (wanted <= endMs) {
             return Renewal.NOTHING_NEW;
         }
-        end = wanted;
+        endMs = wanted;
         return Renewal.GRANTED;
     }
 
     /** Past its end without having reached the cap: nobody has heard of the task for too long. */
-    public boolean lapsed(long now) {
-        return !atCap && now >= end && !(runningSince >= 0 && capMs != Long.MAX_VALUE && end >= runningSince + capMs);
+    public boolean expired(long now) {
+        return !atCap
+                && now >= endMs
+                && !(runningSinceMs >= 0 && capMs != Long.MAX_VALUE && endMs >= runningSinceMs + capMs);
     }
 
     public boolean atCap(long now) {
-        return atCap || runningSince >= 0 && capMs != Long.MAX_VALUE && now >= runningSince + capMs;
+        return atCap || runningSinceMs >= 0 && capMs != Long.MAX_VALUE && now >= runningSinceMs + capMs;
     }
 
-    public long runningSince() {
-        return runningSince;
+    public long runningSinceMs() {
+        return runningSinceMs;
     }
 
-    public long end() {
-        return end;
+    public long endMs() {
+        return endMs;
     }
 }
--- a/src/main/java/birchusher/placement/Driver.java
+++ b/src/main/java/birchusher/placement/Driver.java
@@ -209,7 +209,7 @@
         // is looked at too, for the room that it will leave.
         nextPlan = now + Math.max(planGap, Math.round((plan.work() + view.claimCount()) / slotsPerMs));
         counters.plans++;
-        counters.planned += plan.work();
+        counters.slotsLookedAt += plan.work();
         counters.speedLimited += plan.speedLimited();
         if (membership.canAct() && store.healthy()) {
             act(plan, pictures, now);
@@ -286,7 +286,7 @@
         @Override
         public boolean returning(String machine, long session) {
             MachineStatus status = statuses.get(machine);
-            return status != null && status.session() > session && status.arriving();
+            return status != null && status.session() > session && status.pendingConfirmation();
         }
     };
 
@@ -343,9 +343,9 @@
             }
             double[] used = view.capacityUsedOn(p.machine());
             double[] f = {
-                t.cpus() - p.strayUse()[0] - used[0],
-                t.gpus() - p.strayUse()[1] - used[1],
-                t.mem() - p.strayUse()[2] - used[2]
+                t.cpus() - p.unclaimedUse()[0] - used[0],
+                t.gpus() - p.unclaimedUse()[1] - used[1],
+                t.mem() - p.unclaimedUse()[2] - used[2]
             };
             for (Planner.Choice c : underway.getOrDefault(p.machine(), List.of())) {
                 Claim stands = c.job().isPlaced(c.task()) ? c.job().claim(c.task()) : null;
@@ -353,7 +353,7 @@
                     minus(f, c.job().spec);
                 }
             }
-            for (String key : p.reserved()) {
+            for (String key : p.reservedTasks()) {
                 int slash = key.lastIndexOf('/');
                 Job j = view.job(key.substring(0, Math.max(0, slash)));
                 if (j != null && !asked(j, key.substring(slash + 1), p.machine(), underway)) {
@@ -521,7 +521,7 @@
 
     /** As owner: frees the room kept for offers that come to nothing. */
     public void calledOff(PeerRecord.WithdrawnOffer o) {
-        o.tasks().forEach(i -> workerRegistry.unreserve(i.machine(), i.job() + "/" + i.task()));
+        o.tasks().forEach(i -> workerRegistry.cancelReservation(i.machine(), i.job() + "/" + i.task()));
     }
 
     /** As driver: tells the owners that what they accepted will not be claimed. */
@@ -960,7 +960,7 @@
                 for (Claim c : ch.claims.values()) {
                     int owner = membership.owns(c.shard()) ? 0 : membership.connectedOwner(c.shard());
                     if (owner == 0) {
-                        workerRegistry.wishStop(c, graceS, reason);
+                        workerRegistry.requestStop(c, graceS, reason);
                     } else if (owner > 0 && owners.add(owner)) {
                         mesh.send(owner, new PeerRecord.StopRequest(job.spec.id(), -1, c.attempt(), graceS, reason));
                     }
@@ -981,7 +981,7 @@
                     if (c.attempt() == s.attempt()
                             && (s.task() < 0 || s.task() == c.task())
                             && membership.owns(c.shard())) {
-                        workerRegistry.wishStop(c, s.graceS(), s.reason());
+                        workerRegistry.requestStop(c, s.graceS(), s.reason());
                     }
                 }
             }
--- a/src/main/java/birchusher/placement/Planner.java
+++ b/src/main/java/birchusher/placement/Planner.java
@@ -1,8 +1,8 @@
 package birchusher.placement;
 
-import birchusher.lease.Hazards;
-import birchusher.lease.LeaseTerms;
-import birchusher.lease.Speeds;
+import birchusher.lease.EstimateBias;
+import birchusher.lease.LeaseSettings;
+import birchusher.lease.LossRates;
 import birchusher.model.Catalog;
 import birchusher.model.JobSpec;
 import birchusher.model.Priority;
@@ -119,8 +119,8 @@
 
     private final Catalog catalog;
     private final StoreView view;
-    private final Speeds speeds;
-    private final Hazards hazards;
+    private final EstimateBias speeds;
+    private final LossRates hazards;
     private final LostTasks losses;
     private final RestorePlanner restores;
     private static final double DEFAULT_DUE_S = 600;
@@ -133,7 +133,7 @@
     /** So many tasks of a job are given places in one plan: more than are offered before the next. Tens of thousands cost more than all others. */
     private static final int MAX_CHOSEN = 1_000;
 
-    private final LeaseTerms terms;
+    private final LeaseSettings terms;
     /** By when, in s, a job is to begin whatever its size, where no aim of its class says so. */
     private final double beginByS;
     /** What a class's jobs should keep: to have started, or to be complete, so long after their submission. */
@@ -144,10 +144,10 @@
     public Planner(
             Catalog catalog,
             StoreView view,
-            Speeds speeds,
-            Hazards hazards,
+            EstimateBias speeds,
+            LossRates hazards,
             LostTasks losses,
-            LeaseTerms terms,
+            LeaseSettings terms,
             List<Settings.Objective> objectives,
             double beginByS) {
         this.beginByS = beginByS;
@@ -437,7 +437,7 @@
                 chosen++;
                 use[s.team()][0] += s.cpus();
                 use[s.team()][1] += s.gpus();
-                if (!terms.fits(s, expectedS(s), slot.speed)) {
+                if (!terms.fitsCap(s, expectedS(s), slot.speed)) {
                     limited++;
                 }
                 double delay = slot.startDelay(s);
@@ -744,11 +744,11 @@
     private void risks(long now) {
         int n = 0;
         for (Catalog.Type t : catalog.types()) {
-            n = Math.max(n, Hazards.kind(t.index(), true) + 1);
+            n = Math.max(n, LossRates.kind(t.index(), true) + 1);
         }
         rates = rates.length == n ? rates : new double[n];
         for (int i = 0; i < n; i++) {
-            rates[i] = hazards.rate(i, now);
+            rates[i] = hazards.lossesPerS(i, now);
         }
     }
 
@@ -765,9 +765,10 @@
         score += (run - expected) * 1000;
         if (!spec.service()) {
             // Long tasks keep off machines that are often taken back, or emptied for work of higher priority.
-            score += Hazards.delayS(rates[Hazards.kind(s.type.index(), s.spot)], run, spec.checkpointS()) * 1000;
+            score += LossRates.expectedDelayS(rates[LossRates.kind(s.type.index(), s.spot)], run, spec.checkpointS())
+                    * 1000;
         }
-        if (!terms.fits(spec, expected, s.speed)) {
+        if (!terms.fitsCap(spec, expected, s.speed)) {
             // The gate: such a machine is taken only when no capable one has room.
             score += 3_600_000;
         }
--- a/src/main/java/birchusher/placement/Slot.java
+++ b/src/main/java/birchusher/placement/Slot.java
@@ -71,7 +71,7 @@
      * @param used cpus, gpus and memory of the claims on it
      */
     public static Slot arriving(MachineStatus status, Catalog.Type type, double[] used) {
-        double[] stray = status.strayUse();
+        double[] stray = status.unclaimedUse();
         double[] free = {
             type.cpus() - used[0] - stray[0], type.gpus() - used[1] - stray[1], type.mem() - used[2] - stray[2]
         };
@@ -92,8 +92,8 @@
                 status.session(),
                 shard,
                 status.speed(),
-                status.fetching(),
-                status.images(),
+                status.fetchingImages(),
+                status.cachedImages(),
                 etaMs,
                 real,
                 free[0],
--- a/src/main/java/birchusher/workers/Counters.java
+++ b/src/main/java/birchusher/workers/Counters.java
@@ -10,7 +10,7 @@
     public long speedLimited;
     public long refused;
     public long stops;
-    public long errors;
+    public long taskErrors;
     public long condemned;
     public long notices;
     public long done;
@@ -21,21 +21,21 @@
     /** Plans made, and slots looked at for them. */
     public long plans;
 
-    public long planned;
+    public long slotsLookedAt;
     /** Reports that nobody waits for any more: copies, and what their workers gave up. */
-    public long copies;
+    public long staleReports;
     /** Reports that the answer to a direct command has overtaken; they are answered and renew the worker's lease. */
-    public long overtaken;
+    public long overtakenReports;
     /** Safety rules found broken ({@link SafetyChecks}); anything but 0 is a fault of ours. */
-    public long unsafe;
+    public long safetyViolations;
 
-    private final Histogram waits = new Histogram(3_600_000L, 2);
+    private final Histogram startWaitsMs = new Histogram(3_600_000L, 2);
 
-    public void started(long waitMs) {
-        waits.recordValue(Math.max(0, Math.min(3_600_000L, waitMs)));
+    public void recordStartWait(long waitMs) {
+        startWaitsMs.recordValue(Math.max(0, Math.min(3_600_000L, waitMs)));
     }
 
-    public void outcome(boolean finished) {
+    public void recordOutcome(boolean finished) {
         if (finished) {
             done++;
         } else {
@@ -43,13 +43,15 @@
         }
     }
 
-    public String line() {
+    public String logText() {
         return "renewed=" + renewed + " at_cap=" + atCap + " lapsed=" + lapsed + " speed_limited=" + speedLimited
-                + " refused=" + refused + " stops=" + stops + " errors=" + errors + " condemned=" + condemned
-                + " notices=" + notices + " copies=" + copies + " overtaken=" + overtaken + " unsafe=" + unsafe
+                + " refused=" + refused + " stops=" + stops + " errors=" + taskErrors + " condemned=" + condemned
+                + " notices=" + notices + " copies=" + staleReports + " overtaken=" + overtakenReports + " unsafe="
+                + safetyViolations
                 + " done=" + done + " restarts=" + restarts + " claims=" + claims + " rentals="
-                + rentals + " returns=" + returns + " plans=" + plans + " slots_looked_at=" + planned + " wait_p50_ms="
-                + waits.getValueAtPercentile(50) + " wait_p95_ms="
-                + waits.getValueAtPercentile(95);
+                + rentals + " returns=" + returns + " plans=" + plans + " slots_looked_at=" + slotsLookedAt
+                + " wait_p50_ms="
+                + startWaitsMs.getValueAtPercentile(50) + " wait_p95_ms="
+                + startWaitsMs.getValueAtPercentile(95);
     }
 }
--- a/src/main/java/birchusher/workers/Machine.java
+++ b/src/main/java/birchusher/workers/Machine.java
@@ -11,29 +11,29 @@
 /** What an owner knows about one of its machines. All of it can be learnt again from reports and the store. */
 public final class Machine {
     /** One attempt here, as far as this owner has followed it. */
-    static final class Run {
+    static final class AttemptState {
         TaskLease lease;
-        boolean shown;
-        long fetchUntil = -1;
-        long startedAt;
+        boolean reported;
+        long fetchEndMs = -1;
+        long startedAtMs;
         boolean countedAtCap;
-        boolean ended;
+        boolean expiryHandled;
     }
 
     /** A wish to stop an attempt. */
-    static final class Stop {
+    static final class StopRequest {
         final double graceS;
         final String reason;
-        final long since;
+        final long requestedAtMs;
 
-        Stop(double graceS, String reason, long since) {
+        StopRequest(double graceS, String reason, long since) {
             this.graceS = graceS;
             this.reason = reason;
-            this.since = since;
+            this.requestedAtMs = since;
         }
     }
 
-    record Reservation(String key, double cpus, double gpus, double mem, long until) {}
+    record Reservation(String taskKey, double cpus, double gpus, double memoryGb, long expiresAtMs) {}
 
     private static final int MAX_IMAGES = 64;
 
@@ -44,46 +44,46 @@
     boolean spot;
     String address;
     long session;
-    long seq;
+    long lastSeq;
     /** Highest token the worker has shown to us. */
-    long token;
+    long fencingToken;
     /** What we have granted its worker by our answers. */
     final WorkerLease workerLease;
 
-    long heardAt = -1;
+    long lastMessageAtMs = -1;
     /** See {@link Reachability}: whether the worker hears us, when that was last shown, and whether it did as its session before ended. */
-    boolean hears;
+    boolean receivesResponses;
 
-    long hearsAt = -1;
-    boolean deafBefore;
-    long noticeAt = -1;
-    Map<String, Entry> entries = new LinkedHashMap<>();
-    final Map<String, Run> runs = new HashMap<>();
-    final Map<String, Stop> stops = new HashMap<>();
+    long receiptConfirmedAtMs = -1;
+    boolean noResponsesInPreviousSession;
+    long interruptionAtMs = -1;
+    Map<String, ReportedTask> reportedTasks = new LinkedHashMap<>();
+    final Map<String, AttemptState> attempts = new HashMap<>();
+    final Map<String, StopRequest> stopRequests = new HashMap<>();
     /** Starts sent straight to the worker and not answered: they may still arrive. Value: token they carried. */
-    final Map<String, long[]> loose = new HashMap<>();
+    final Map<String, long[]> unansweredStarts = new HashMap<>();
     /** Starts in answers to reports, and when: held up on its way, an answer may be carried out for as long as a worker waits for one. */
-    final Map<String, Long> answered = new HashMap<>();
+    final Map<String, Long> startsInResponses = new HashMap<>();
     /** By task: room kept for an accepted offer until its claim stands, it is called off or the time is over. */
-    final Map<String, Reservation> reserved = new HashMap<>();
+    final Map<String, Reservation> reservations = new HashMap<>();
     /** Attempts whose start waits until work that makes room for them has left, and since when. */
-    final Map<String, Long> held = new HashMap<>();
+    final Map<String, Long> heldStarts = new HashMap<>();
     /** Jobs that failed here since one last ended well, each with its errors. */
-    final Map<String, Integer> errorJobs = new HashMap<>();
+    final Map<String, Integer> errorsByJob = new HashMap<>();
 
-    final ArrayDeque<Integer> images = new ArrayDeque<>();
+    final ArrayDeque<Integer> cachedImages = new ArrayDeque<>();
     MachineSpeed speed = new MachineSpeed();
-    boolean calling;
-    boolean dirty;
-    boolean condemned;
-    boolean leaving;
-    boolean gone;
-    long quarantineUntil;
+    boolean commandInFlight;
+    boolean changed;
+    boolean faulty;
+    boolean beingReturned;
+    boolean deleted;
+    long quarantineUntilMs;
     /** When errors of several jobs are to be judged; -1: none are. */
-    long judgeAt = -1;
+    long faultCheckAtMs = -1;
 
-    long idleSince = -1;
-    long deadSession = -1;
+    long idleSinceMs = -1;
+    long expiredSession = -1;
 
     /** @param leaseS the lease of its worker, in seconds */
     Machine(String name, int shard, double leaseS) {
@@ -93,21 +93,21 @@
     }
 
     /** An image was used; the least recently used ones beyond the cache's size are forgotten, as the worker does. */
-    void image(int i, Catalog catalog) {
-        images.remove((Integer) i);
-        images.addFirst(i);
+    void recordImageUse(int i, Catalog catalog) {
+        cachedImages.remove((Integer) i);
+        cachedImages.addFirst(i);
         Catalog.Type t = catalog.type(type);
         double room = t == null ? Double.MAX_VALUE : t.cacheGb();
         int kept = 0;
-        for (int x : images) {
+        for (int x : cachedImages) {
             room -= catalog.imageGb(x);
             if (room < 0 && kept > 0) {
                 break;
             }
             kept++;
         }
-        while (images.size() > Math.min(kept, MAX_IMAGES)) {
-            images.removeLast();
+        while (cachedImages.size() > Math.min(kept, MAX_IMAGES)) {
+            cachedImages.removeLast();
         }
     }
 }
--- a/src/main/java/birchusher/workers/Room.java
+++ b/src/main/java/birchusher/workers/MachineCapacity.java
@@ -14,26 +14,26 @@
 import java.util.function.Predicate;
 
 /** The room on a machine of ours by the truth known here: records, reports, reservations, and what yields to a claim. */
-final class Room {
+final class MachineCapacity {
     /** Asks for an attempt to be stopped. */
-    interface Stops {
+    interface TaskStopper {
         void stop(Claim c, double graceS, String reason);
     }
 
     private final Effects effects;
     private final Catalog catalog;
     private final StoreView view;
-    private final Outcomes outcomes;
+    private final OutcomeRecorder outcomes;
     /** Whether a job, by its id, lies within its team's guarantee. */
     private final Predicate<String> guaranteed;
 
     private final long reserveMs;
 
-    Room(
+    MachineCapacity(
             Effects effects,
             Catalog catalog,
             StoreView view,
-            Outcomes outcomes,
+            OutcomeRecorder outcomes,
             Predicate<String> guaranteed,
             long reserveMs) {
         this.effects = effects;
@@ -48,14 +48,14 @@
      * A claim may stand before its room is there: then work that yields to it is stopped, and its start is held. One sent too
      * early would be refused by the worker, and a whole gang would end with it.
      */
-    void make(Machine m, Stops stops) {
+    void preemptForClaims(Machine m, TaskStopper stops) {
         Catalog.Type t = catalog.type(m.type);
         double[] used = view.capacityUsedOn(m.name);
         if (t == null
                 || used[0] <= t.cpus() + Catalog.EPS
                         && used[1] <= t.gpus() + Catalog.EPS
                         && used[2] <= t.mem() + Catalog.EPS) {
-            m.held.clear();
+            m.heldStarts.clear();
             return;
         }
         double[] planned = {t.cpus() - used[0], t.gpus() - used[1], t.mem() - used[2]};
@@ -67,14 +67,14 @@
             if (c.job().released(c.task()) != null) {
                 continue;
             }
-            Entry e = m.entries.get(ak);
+            ReportedTask e = m.reportedTasks.get(ak);
             boolean over = outcomes.pending(ak);
-            boolean ordered = e != null || m.runs.containsKey(ak);
+            boolean ordered = e != null || m.attempts.containsKey(ak);
             if (!over && ordered && (e == null || !e.exited())) {
-                minus(present, c.job().spec);
+                subtract(present, c.job().spec);
             }
-            if (over || m.stops.containsKey(ak)) {
-                plus(planned, c.job().spec);
+            if (over || m.stopRequests.containsKey(ak)) {
+                add(planned, c.job().spec);
                 continue;
             }
             stand.add(c);
@@ -85,7 +85,7 @@
         // The youngest lose least.
         stand.sort(Comparator.comparingLong(c -> -c.seenAtMs()));
         for (Claim v : stand) {
-            if (enough(planned)) {
+            if (coversDemand(planned)) {
                 break;
             }
             for (Claim u : unstarted) {
@@ -98,25 +98,25 @@
                             v,
                             j.resumes() ? j.saveS() + 1 : 0,
                             "makes room for " + u.job().spec.id());
-                    plus(planned, j);
+                    add(planned, j);
                     break;
                 }
             }
         }
-        unstarted.removeIf(c -> m.stops.containsKey(c.attemptKey()));
+        unstarted.removeIf(c -> m.stopRequests.containsKey(c.attemptKey()));
         unstarted.sort(Comparator.comparing(c -> c.job().spec.priority()));
         Map<String, Long> held = new HashMap<>();
         for (Claim c : unstarted) {
             if (!fits(present, c.job().spec)) {
-                held.put(c.attemptKey(), m.held.getOrDefault(c.attemptKey(), effects.now()));
+                held.put(c.attemptKey(), m.heldStarts.getOrDefault(c.attemptKey(), effects.now()));
             }
-            minus(present, c.job().spec);
+            subtract(present, c.job().spec);
         }
-        m.held.clear();
-        m.held.putAll(held);
+        m.heldStarts.clear();
+        m.heldStarts.putAll(held);
     }
 
-    private static boolean enough(double[] room) {
+    private static boolean coversDemand(double[] room) {
         return room[0] >= -Catalog.EPS && room[1] >= -Catalog.EPS && room[2] >= -Catalog.EPS;
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** Free room by the truth known here: records, reports and reservations. */
-    private double[] free(Machine m) {
+    private double[] freeCapacity(Machine m) {
         Catalog.Type t = catalog.type(m.type);
         if (t == null) {
             return new double[3];
@@ -136,39 +136,40 @@
         Map<String, Claim> claims = view.claims(m.name);
         for (Claim c : claims.values()) {
             if (c.job().released(c.task()) == null) {
-                minus(f, c.job().spec);
+                subtract(f, c.job().spec);
             }
         }
-        double[] stray = stray(m);
+        double[] stray = unclaimedUse(m);
         for (int i = 0; i < 3; i++) {
             f[i] -= stray[i];
         }
-        forgetReservations(m);
-        for (Machine.Reservation r : m.reserved.values()) {
+        pruneReservations(m);
+        for (Machine.Reservation r : m.reservations.values()) {
             f[0] -= r.cpus();
             f[1] -= r.gpus();
-            f[2] -= r.mem();
+            f[2] -= r.memoryGb();
         }
         return f;
     }
 
     /** Reservations end by time, or when the claim that they were made for stands. */
-    void forgetReservations(Machine m) {
+    void pruneReservations(Machine m) {
         long now = effects.now();
         Map<String, Claim> claims = view.claims(m.name);
-        m.reserved.values().removeIf(r -> {
-            Claim c = claims.get(r.key());
-            return now > r.until() || c != null && c.job().released(c.task()) == null;
+        m.reservations.values().removeIf(r -> {
+            Claim c = claims.get(r.taskKey());
+            return now > r.expiresAtMs() || c != null && c.job().released(c.task()) == null;
         });
     }
 
     /** Room held by tasks that no record covers, such as those being stopped after a late command. */
-    double[] stray(Machine m) {
+    double[] unclaimedUse(Machine m) {
         double[] f = new double[3];
         Map<String, Claim> claims = view.claims(m.name);
-        for (Entry e : m.entries.values()) {
-            if (!e.exited() && !claims.containsKey(e.key())) {
-                Job j = view.job(e.key().substring(0, Math.max(0, e.key().lastIndexOf('/'))));
+        for (ReportedTask e : m.reportedTasks.values()) {
+            if (!e.exited() && !claims.containsKey(e.taskKey())) {
+                Job j = view.job(
+                        e.taskKey().substring(0, Math.max(0, e.taskKey().lastIndexOf('/'))));
                 Catalog.Type t = catalog.type(m.type);
                 if (j != null) {
                     f[0] += j.spec.cpus();
@@ -184,13 +185,13 @@
         return f;
     }
 
-    private static void plus(double[] f, JobSpec j) {
+    private static void add(double[] f, JobSpec j) {
         f[0] += j.cpus();
         f[1] += j.gpus();
         f[2] += j.mem();
     }
 
-    private static void minus(double[] f, JobSpec j) {
+    private static void subtract(double[] f, JobSpec j) {
         f[0] -= j.cpus();
         f[1] -= j.gpus();
         f[2] -= j.mem();
@@ -198,19 +199,19 @@
 
     /** Whether a task fits, and if it is offered so, also into room that lower work leaves. */
     boolean fits(Machine m, JobSpec j, boolean makesRoom) {
-        double[] f = free(m);
+        double[] f = freeCapacity(m);
         if (makesRoom) {
             for (Claim c : view.claims(m.name).values()) {
                 if (c.job().released(c.task()) == null
                         && c.job().spec.yieldsTo(j, guaranteed.test(c.job().spec.id()), guaranteed.test(j.id()))) {
-                    plus(f, c.job().spec);
+                    add(f, c.job().spec);
                 }
             }
         }
         return fits(f, j);
     }
 
-    void keep(Machine m, String key, JobSpec j) {
-        m.reserved.put(key, new Machine.Reservation(key, j.cpus(), j.gpus(), j.mem(), effects.now() + reserveMs));
+    void reserve(Machine m, String key, JobSpec j) {
+        m.reservations.put(key, new Machine.Reservation(key, j.cpus(), j.gpus(), j.mem(), effects.now() + reserveMs));
     }
 }
--- a/src/main/java/birchusher/workers/MachineStatusExchange.java
+++ b/src/main/java/birchusher/workers/MachineStatusExchange.java
@@ -1,7 +1,7 @@
 package birchusher.workers;
 
 import birchusher.core.Effects;
-import birchusher.lease.Hazards;
+import birchusher.lease.LossRates;
 import birchusher.membership.Membership;
 import birchusher.mesh.PeerRecord;
 import birchusher.model.Catalog;
@@ -18,24 +18,24 @@
  */
 public final class MachineStatusExchange {
     /** Each machine is told again after this long, in case that a record was lost. */
-    private static final long AGAIN_MS = 4_000;
+    private static final long REPUBLISH_MS = 4_000;
     /** What is not told again for this long is not counted on any more. */
     private static final long STALE_MS = 11_000;
     /** For so long it is remembered, for an owner to come. */
     private static final long FORGET_MS = 60_000;
 
-    private record Told(PeerRecord.Machine machine, long at) {}
+    private record Published(PeerRecord.Machine machine, long publishedAtMs) {}
 
-    private record Theirs(MachineStatus picture, int owner, long at) {}
+    private record Received(MachineStatus status, int owner, long receivedAtMs) {}
 
     private final Effects effects;
     private final Catalog catalog;
     private final Membership membership;
-    private final Map<String, Told> told = new HashMap<>();
-    private final Map<String, Theirs> theirs = new HashMap<>();
-    private final List<String> left = new ArrayList<>();
-    private Map<String, MachineStatus> pictures = Map.of();
-    private boolean everything;
+    private final Map<String, Published> statusFromOwner = new HashMap<>();
+    private final Map<String, Received> received = new HashMap<>();
+    private final List<String> removedMachines = new ArrayList<>();
+    private Map<String, MachineStatus> statuses = Map.of();
+    private boolean publishAll;
 
     public MachineStatusExchange(Effects effects, Catalog catalog, Membership membership) {
         this.effects = effects;
@@ -44,40 +44,40 @@
     }
 
     /** The present picture of the fleet; ours first, as we know our own machines best. */
-    public Map<String, MachineStatus> pictures() {
-        return pictures;
+    public Map<String, MachineStatus> statuses() {
+        return statuses;
     }
 
-    public void draw(List<MachineStatus> own) {
+    public void mergeStatuses(List<MachineStatus> own) {
         Map<String, MachineStatus> all = new LinkedHashMap<>();
         for (MachineStatus p : own) {
             all.put(p.machine(), p);
         }
-        for (var it = theirs.values().iterator(); it.hasNext(); ) {
-            Theirs t = it.next();
-            if (effects.now() - t.at > FORGET_MS) {
+        for (var it = received.values().iterator(); it.hasNext(); ) {
+            Received t = it.next();
+            if (effects.now() - t.receivedAtMs > FORGET_MS) {
                 it.remove();
-            } else if (membership.isConnected(t.owner) && effects.now() - t.at <= STALE_MS) {
-                all.putIfAbsent(t.picture.machine(), t.picture);
+            } else if (membership.isConnected(t.owner) && effects.now() - t.receivedAtMs <= STALE_MS) {
+                all.putIfAbsent(t.status.machine(), t.status);
             }
         }
-        pictures = all;
+        statuses = all;
     }
 
     /** What another owner has last told of a machine, or null. */
-    public MachineStatus told(String machine) {
-        Theirs t = theirs.get(machine);
-        return t == null ? null : t.picture;
+    public MachineStatus statusFromOwner(String machine) {
+        Received t = received.get(machine);
+        return t == null ? null : t.status;
     }
 
     /** Whether another controller lately told of a worker in a zone that it hears and that hears it. */
-    public boolean hears(int owner, int zone) {
-        for (Theirs t : theirs.values()) {
+    public boolean ownerReachesZone(int owner, int zone) {
+        for (Received t : received.values()) {
             if (t.owner == owner
-                    && t.picture.zone() == zone
-                    && t.picture.usable()
-                    && t.picture.silentMs() == 0
-                    && effects.now() - t.at <= STALE_MS) {
+                    && t.status.zone() == zone
+                    && t.status.usable()
+                    && t.status.silentMs() == 0
+                    && effects.now() - t.receivedAtMs <= STALE_MS) {
                 return true;
             }
         }
@@ -85,57 +85,60 @@
     }
 
     /** The kind of a machine that is in the picture, else -1. */
-    public int kind(String machine) {
-        MachineStatus p = pictures.get(machine);
-        return p == null ? -1 : Hazards.kind(p.type(), p.spot());
+    public int machineKind(String machine) {
+        MachineStatus p = statuses.get(machine);
+        return p == null ? -1 : LossRates.kind(p.type(), p.spot());
     }
 
     /** Somebody new listens: the next news is everything. */
-    public void tellEverything() {
-        everything = true;
+    public void publishAllNext() {
+        publishAll = true;
     }
 
     /** What the others don't know yet of our machines; {@link #left} belongs to it. */
-    public List<PeerRecord.Machine> news(List<MachineStatus> own) {
+    public List<PeerRecord.Machine> changedStatuses(List<MachineStatus> own) {
         long now = effects.now();
         List<PeerRecord.Machine> news = new ArrayList<>();
         Map<String, MachineStatus> present = new HashMap<>();
         for (MachineStatus p : own) {
             present.put(p.machine(), p);
-            PeerRecord.Machine m = machine(p);
-            Told before = told.get(p.machine());
-            if (everything || before == null || now - before.at >= AGAIN_MS || !before.machine.sameStatus(m)) {
+            PeerRecord.Machine m = toRecord(p);
+            Published before = statusFromOwner.get(p.machine());
+            if (publishAll
+                    || before == null
+                    || now - before.publishedAtMs >= REPUBLISH_MS
+                    || !before.machine.sameStatus(m)) {
                 news.add(m);
-                told.put(p.machine(), new Told(m, now));
+                statusFromOwner.put(p.machine(), new Published(m, now));
             }
         }
-        left.clear();
-        told.keySet().removeIf(name -> !present.containsKey(name) && left.add(name));
-        everything = false;
+        removedMachines.clear();
+        statusFromOwner.keySet().removeIf(name -> !present.containsKey(name) && removedMachines.add(name));
+        publishAll = false;
         return news;
     }
 
     /** Machines that the last news does not speak of any more: returned, or somebody else's now. */
-    public List<String> left() {
-        return List.copyOf(left);
+    public List<String> removedMachines() {
+        return List.copyOf(removedMachines);
     }
 
-    private PeerRecord.Machine machine(MachineStatus p) {
-        List<String> images = new ArrayList<>(p.images().length);
-        for (int i : p.images()) {
+    private PeerRecord.Machine toRecord(MachineStatus p) {
+        List<String> images = new ArrayList<>(p.cachedImages().length);
+        for (int i : p.cachedImages()) {
             images.add(catalog.images.name(i));
         }
-        List<String> fetching = new ArrayList<>(p.fetching().length / 2);
-        List<Integer> fetchMs = new ArrayList<>(p.fetching().length / 2);
-        for (int i = 0; i < p.fetching().length; i += 2) {
-            fetching.add(catalog.images.name(p.fetching()[i]));
-            fetchMs.add(p.fetching()[i + 1]);
+        List<String> fetching = new ArrayList<>(p.fetchingImages().length / 2);
+        List<Integer> fetchMs = new ArrayList<>(p.fetchingImages().length / 2);
+        for (int i = 0; i < p.fetchingImages().length; i += 2) {
+            fetching.add(catalog.images.name(p.fetchingImages()[i]));
+            fetchMs.add(p.fetchingImages()[i + 1]);
         }
         int flags = (p.usable() ? PeerRecord.Machine.USABLE : 0)
-                | (p.arriving() ? PeerRecord.Machine.ARRIVING : 0)
-                | (p.condemned() ? PeerRecord.Machine.FAULTY : 0)
-                | (p.leaving() ? PeerRecord.Machine.LEAVING : 0);
-        int idle = p.idleSince() < 0 ? -1 : (int) (effects.now() - p.idleSince());
+                | (p.pendingConfirmation() ? PeerRecord.Machine.ARRIVING : 0)
+                | (p.faulty() ? PeerRecord.Machine.FAULTY : 0)
+                | (p.beingReturned() ? PeerRecord.Machine.LEAVING : 0);
+        int idle = p.idleSinceMs() < 0 ? -1 : (int) (effects.now() - p.idleSinceMs());
         return new PeerRecord.Machine(
                 p.machine(),
                 catalog.typeNames.name(p.type()),
@@ -147,24 +150,24 @@
                 p.silentMs() / 1_000 * 1_000,
                 idle,
                 p.speed(),
-                p.strayUse()[0],
-                p.strayUse()[1],
-                p.strayUse()[2],
+                p.unclaimedUse()[0],
+                p.unclaimedUse()[1],
+                p.unclaimedUse()[2],
                 fetching,
                 fetchMs,
                 images,
-                p.reserved());
+                p.reservedTasks());
     }
 
-    public void heard(int from, PeerRecord.Heartbeat h) {
+    public void onHeartbeat(int from, PeerRecord.Heartbeat h) {
         long now = effects.now();
         for (String name : h.withdrawnMachines()) {
-            Theirs t = theirs.get(name);
+            Received t = received.get(name);
             if (t != null && t.owner == from) {
-                theirs.remove(name);
+                received.remove(name);
             }
         }
-        h.deletedMachines().forEach(theirs::remove);
+        h.deletedMachines().forEach(received::remove);
         for (PeerRecord.Machine m : h.machines()) {
             int zone = catalog.zones.find(m.zone());
             if (zone < 0 || m.shard() < 0 || m.shard() >= membership.shardCount()) {
@@ -177,9 +180,9 @@
                 fetching[2 * i] = catalog.images.add(m.fetchingImages().get(i));
                 fetching[2 * i + 1] = m.fetchRemainingMs().get(i);
             }
-            theirs.put(
+            received.put(
                     m.name(),
-                    new Theirs(
+                    new Received(
                             new MachineStatus(
                                     m.name(),
                                     catalog.typeNames.add(m.type()),
@@ -198,7 +201,7 @@
                                     fetching,
                                     images,
                                     m.reservedTasks().stream()
-                                            .filter(MachineStatusExchange::isTask)
+                                            .filter(MachineStatusExchange::isTaskKey)
                                             .toList()),
                             from,
                             now));
@@ -206,7 +209,7 @@
     }
 
     /** A job's id, a slash and a number: what comes from outside is checked once, here. */
-    private static boolean isTask(String key) {
+    private static boolean isTaskKey(String key) {
         int slash = key.lastIndexOf('/');
         return slash > 0
                 && key.length() - slash - 1 <= 6
--- a/src/main/java/birchusher/workers/Outcomes.java
+++ b/src/main/java/birchusher/workers/OutcomeRecorder.java
@@ -23,12 +23,12 @@
  * writes it, so that one writer gathers what happens to a job and its rows are not fought over. When that one does not
  * get it done in time, the owner writes by itself: both conditions are the same, so it can happen only once.
  */
-public final class Outcomes {
+public final class OutcomeRecorder {
     /**
      * {@code DROPPED}, {@code SILENT}: lost together with all that was on the machine, as its worker's lease ended; the first by a worker that
      * is back with a later session, the second by one that says nothing.
      */
-    public enum Kind {
+    public enum Outcome {
         DONE,
         LOST,
         ERROR,
@@ -37,34 +37,34 @@
         SILENT;
 
         boolean isLoss() {
-            return this == LOST || ofMany();
+            return this == LOST || isDroppedWithMachine();
         }
 
-        boolean ofMany() {
+        boolean isDroppedWithMachine() {
             return this == DROPPED || this == SILENT;
         }
     }
 
-    private static final long DRIVER_MS = 4_000;
+    private static final long SCHEDULER_TIMEOUT_MS = 4_000;
     /** A thousand tasks dropped at once need longer: written by their owners meanwhile, each loss once cost a row of its own. */
-    private static final long MANY_MS = 12_000;
+    private static final long BULK_TIMEOUT_MS = 12_000;
 
-    private static final int MAX_ITEMS = 400;
+    private static final int MAX_ITEMS_PER_RECORD = 400;
     /** Claims have ranks up to 4 and the last priority. */
-    private static final int AFTER_CLAIMS = 4 + Priority.values().length;
+    private static final int RANK_AFTER_CLAIMS = 4 + Priority.values().length;
     /**
      * A task of an array that is done is in no hurry: its worker keeps the result, and others of its job end as well. One that
      * was dropped is placed anew meanwhile, and leaves its row with the same writing. Any other loss is written soon: its room is free to
      * other drivers only then.
      */
-    private static final long PATIENCE_MS = 2_000;
+    private static final long MAX_WRITE_DELAY_MS = 2_000;
 
-    private static final long SHORT_PATIENCE_MS = 300;
+    private static final long SHORT_WRITE_DELAY_MS = 300;
 
-    private record Pending(Claim claim, Kind kind, long writeBy, boolean queued) {}
+    private record Pending(Claim claim, Outcome outcome, long writeByMs, boolean queued) {}
 
     /** Sends a record to a member. */
-    public interface Mesh {
+    public interface PeerSender {
         void send(int member, PeerRecord r);
     }
 
@@ -73,26 +73,26 @@
     private final StoreClient store;
     private final Membership membership;
     private final Counters counters;
-    private final Mesh mesh;
+    private final PeerSender peers;
     private final LostTasks losses;
     private final Map<String, Pending> pending = new LinkedHashMap<>();
     private final Map<Integer, List<PeerRecord.AttemptOutcome>> outbox = new LinkedHashMap<>();
 
-    public Outcomes(
+    public OutcomeRecorder(
             Effects effects,
             StoreView view,
             StoreClient store,
             Membership membership,
             Counters counters,
             LostTasks losses,
-            Mesh mesh) {
+            PeerSender mesh) {
         this.effects = effects;
         this.view = view;
         this.store = store;
         this.membership = membership;
         this.counters = counters;
         this.losses = losses;
-        this.mesh = mesh;
+        this.peers = mesh;
     }
 
     /** Whether the end of this attempt is known here and not yet seen in the store: until then it must not be reaped. */
@@ -101,15 +101,20 @@
     }
 
     /** The caller has the proof that the attempt is over. False if that was said before. */
-    boolean add(Claim c, Kind kind) {
+    boolean recordEnd(Claim c, Outcome kind) {
         if (pending.containsKey(c.attemptKey())) {
             return false;
         }
         int driver = membership.schedulerOf(c.job().spec.id());
-        gone(c, kind, membership.term(c.shard()), true, driver == 0);
+        markReleased(c, kind, membership.term(c.shard()), true, driver == 0);
         if (driver > 0) {
             pending.put(
-                    c.attemptKey(), new Pending(c, kind, effects.now() + (kind.ofMany() ? MANY_MS : DRIVER_MS), false));
+                    c.attemptKey(),
+                    new Pending(
+                            c,
+                            kind,
+                            effects.now() + (kind.isDroppedWithMachine() ? BULK_TIMEOUT_MS : SCHEDULER_TIMEOUT_MS),
+                            false));
             outbox.computeIfAbsent(driver, k -> new ArrayList<>())
                     .add(new PeerRecord.AttemptOutcome(
                             c.job().spec.id(),
@@ -126,11 +131,11 @@
     }
 
     /** The task may be placed anew before its row is written; errors first count against its machine and its job. */
-    private void gone(Claim c, Kind kind, long term, boolean own, boolean ours) {
-        if (kind.isLoss() || kind == Kind.NOT_STARTED) {
+    private void markReleased(Claim c, Outcome kind, long term, boolean own, boolean ours) {
+        if (kind.isLoss() || kind == Outcome.NOT_STARTED) {
             view.markReleased(new Job.ReleasedClaim(c, term, own, kind.isLoss()));
         }
-        if (kind != Kind.DROPPED) {
+        if (kind != Outcome.DROPPED) {
             // Only a machine that lives has their room and images: nothing was rented for the losses of dead ones while
             // they counted here.
             return;
@@ -142,9 +147,9 @@
         }
     }
 
-    private void write(Claim c, Kind kind) {
+    private void write(Claim c, Outcome kind) {
         pending.put(c.attemptKey(), new Pending(c, kind, Long.MAX_VALUE, true));
-        boolean queued = store.enqueue(new Settle(
+        boolean queued = store.enqueue(new ReleaseClaim(
                 c.job().spec.id(),
                 c.task(),
                 c.attempt(),
@@ -160,11 +165,11 @@
     }
 
     /** The record of an attempt has left the view, by whoever's hand. */
-    private void over(Pending p) {
-        counters.outcome(p.kind == Kind.DONE);
+    private void countOutcome(Pending p) {
+        counters.recordOutcome(p.outcome == Outcome.DONE);
     }
 
-    private boolean stands(Claim c) {
+    private boolean isStillClaimed(Claim c) {
         Job j = view.job(c.job().spec.id());
         Claim now = j == null ? null : j.claim(c.task());
         return now != null && now.attempt() == c.attempt() && now.machine().equals(c.machine());
@@ -173,43 +178,44 @@
     /** Sends what has gathered, and writes what drivers did not. */
     public void tick() {
         outbox.forEach((driver, items) -> {
-            for (int i = 0; i < items.size(); i += MAX_ITEMS) {
-                mesh.send(
+            for (int i = 0; i < items.size(); i += MAX_ITEMS_PER_RECORD) {
+                peers.send(
                         driver,
-                        new PeerRecord.AttemptOutcomes(items.subList(i, Math.min(items.size(), i + MAX_ITEMS))));
+                        new PeerRecord.AttemptOutcomes(
+                                items.subList(i, Math.min(items.size(), i + MAX_ITEMS_PER_RECORD))));
             }
         });
         outbox.clear();
         List<Pending> late = null;
         for (var it = pending.values().iterator(); it.hasNext(); ) {
             Pending p = it.next();
-            if (!stands(p.claim)) {
+            if (!isStillClaimed(p.claim)) {
                 it.remove();
-                over(p);
+                countOutcome(p);
             } else if (!membership.owns(p.claim.shard())) {
                 // Not ours to say any more; the new owner finds its own proof.
                 view.unmarkReleased(p.claim);
                 it.remove();
-            } else if (!p.queued && effects.now() > p.writeBy) {
+            } else if (!p.queued && effects.now() > p.writeByMs) {
                 late = late == null ? new ArrayList<>() : late;
                 late.add(p);
             }
         }
         if (late != null) {
-            late.forEach(p -> write(p.claim, p.kind));
+            late.forEach(p -> write(p.claim, p.outcome));
         }
     }
 
     /** As driver: writes what an owner has proof of, as long as that owner's term stands. */
-    public void told(PeerRecord.AttemptOutcomes r) {
+    public void onPeerOutcomes(PeerRecord.AttemptOutcomes r) {
         for (PeerRecord.AttemptOutcome e : r.outcomes()) {
             if (e.shard() >= 0
                     && e.shard() < membership.shardCount()
                     && e.kindOrdinal() >= 0
-                    && e.kindOrdinal() < Kind.values().length) {
-                Kind kind = Kind.values()[e.kindOrdinal()];
-                boolean queued = store.enqueue(
-                        new Settle(e.job(), e.task(), e.attempt(), e.machine(), e.shard(), e.term(), kind, false));
+                    && e.kindOrdinal() < Outcome.values().length) {
+                Outcome kind = Outcome.values()[e.kindOrdinal()];
+                boolean queued = store.enqueue(new ReleaseClaim(
+                        e.job(), e.task(), e.attempt(), e.machine(), e.shard(), e.term(), kind, false));
                 Job j = view.job(e.job());
                 Claim c = j == null || e.task() >= j.spec.tasks() ? null : j.claim(e.task());
                 if (queued
@@ -217,47 +223,48 @@
                         && c.attempt() == e.attempt()
                         && c.machine().equals(e.machine())
                         && c.shard() == e.shard()) {
-                    gone(c, kind, e.term(), false, true);
+                    markReleased(c, kind, e.term(), false, true);
                 }
             }
         }
     }
 
     /** Takes one claim out of its row, on condition that the term under which its end was proven still stands. */
-    private final class Settle implements Change {
-        private final String id;
+    private final class ReleaseClaim implements Change {
+        private final String jobId;
         private final int task;
         private final long attempt;
         private final String machine;
         private final int shard;
         private final long term;
-        private final Kind kind;
-        private final boolean own;
-        private final boolean array;
-        private final boolean lasts;
-        private final long until;
+        private final Outcome outcome;
+        private final boolean ownProof;
+        private final boolean isArray;
+        private final boolean endsJob;
+        private final long expiresAtMs;
 
-        Settle(String id, int task, long attempt, String machine, int shard, long term, Kind kind, boolean own) {
-            this.id = id;
+        ReleaseClaim(
+                String id, int task, long attempt, String machine, int shard, long term, Outcome kind, boolean own) {
+            this.jobId = id;
             this.task = task;
             this.attempt = attempt;
             this.machine = machine;
             this.shard = shard;
             this.term = term;
-            this.kind = kind;
-            this.own = own;
-            until = effects.now() + (kind.ofMany() ? MANY_MS : 10_000);
+            this.outcome = kind;
+            this.ownProof = own;
+            expiresAtMs = effects.now() + (kind.isDroppedWithMachine() ? BULK_TIMEOUT_MS : 10_000);
             Job j = view.job(id);
-            array = j != null && j.spec.shape() == Shape.ARRAY;
+            isArray = j != null && j.spec.shape() == Shape.ARRAY;
             // With the last ones the job is over, and its user waits for that.
-            lasts = j != null && kind == Kind.DONE && j.spec.tasks() - j.doneCount() <= 1 + j.spec.tasks() / 50;
+            endsJob = j != null && kind == Outcome.DONE && j.spec.tasks() - j.doneCount() <= 1 + j.spec.tasks() / 50;
         }
 
         @Override
         public int rank() {
             // What was dropped leaves its row with the claim that brings it back: going first, it took the changes
             // those need.
-            return kind.ofMany() ? AFTER_CLAIMS : 3;
+            return outcome.isDroppedWithMachine() ? RANK_AFTER_CLAIMS : 3;
         }
 
         @Override
@@ -267,27 +274,31 @@
 
         @Override
         public long maxDelayMs() {
-            return lasts ? 0 : kind == Kind.DONE && array || kind.ofMany() ? PATIENCE_MS : SHORT_PATIENCE_MS;
+            return endsJob
+                    ? 0
+                    : outcome == Outcome.DONE && isArray || outcome.isDroppedWithMachine()
+                            ? MAX_WRITE_DELAY_MS
+                            : SHORT_WRITE_DELAY_MS;
         }
 
         @Override
         public boolean addsNoWrites(Transaction tx) {
-            Job j = view.job(id);
-            return j != null && tx.editsChunk(id, task / j.chunkSize);
+            Job j = view.job(jobId);
+            return j != null && tx.editsChunk(jobId, task / j.chunkSize);
         }
 
         @Override
         public long expiresAtMs() {
-            return own ? Long.MAX_VALUE : until;
+            return ownProof ? Long.MAX_VALUE : expiresAtMs;
         }
 
         @Override
         public boolean build(Transaction tx) {
-            Job j = view.job(id);
+            Job j = view.job(jobId);
             // The owner may raise its own term and stays entitled; a driver knows only the term it was told.
             if (j == null
                     || task >= j.spec.tasks()
-                    || (own ? !membership.owns(shard) : membership.term(shard) != term)) {
+                    || (ownProof ? !membership.owns(shard) : membership.term(shard) != term)) {
                 return false;
             }
             Claim now = j.claim(task);
@@ -302,7 +313,7 @@
             }
             tx.requireUnchanged(membership.shardKey(shard));
             chunk.claims.remove(task);
-            if (kind == Kind.DONE) {
+            if (outcome == Outcome.DONE) {
                 if (j.spec.gang()) {
                     // One done means all done: the rest exit by themselves.
                     chunk.done.set(0, chunk.size());
@@ -310,10 +321,10 @@
                     chunk.done.set(task - chunk.index * j.chunkSize);
                 }
                 chunk.consecutiveErrors = 0;
-            } else if (kind == Kind.ERROR) {
+            } else if (outcome == Outcome.ERROR) {
                 chunk.consecutiveErrors++;
             }
-            if (kind.isLoss() || kind == Kind.ERROR) {
+            if (outcome.isLoss() || outcome == Outcome.ERROR) {
                 chunk.restarts++;
             }
             return true;
@@ -326,14 +337,14 @@
 
         @Override
         public void dropped() {
-            Job j = view.job(id);
+            Job j = view.job(jobId);
             Claim now = j == null || task >= j.spec.tasks() ? null : j.claim(task);
             if (now == null || now.attempt() != attempt) {
                 // It has left the view, perhaps by this very change, whose answer was lost: see tick, which counts it.
                 return;
             }
-            if (own) {
-                pending.remove(Claim.attemptKey(id, task, attempt));
+            if (ownProof) {
+                pending.remove(Claim.attemptKey(jobId, task, attempt));
             }
             if (!pending.containsKey(now.attemptKey())) {
                 // It can't be written: whoever plans must see the place taken again.
--- a/src/main/java/birchusher/workers/OwnerRedirect.java
+++ b/src/main/java/birchusher/workers/OwnerRedirect.java
@@ -17,33 +17,33 @@
     /** How long a worker may take to show that it hears us; within this a shard's workers are asked once. */
     private static final int PROBE_MS = 3_000;
     /** So many workers of a shard within this time, and at least one in ten, have lost their owner together. */
-    private static final long LOST_MS = 8_000;
+    private static final long LOST_OWNER_WINDOW_MS = 8_000;
     /** Three heartbeats: an owner that has died is no longer heard by then, and its shards are taken as always. */
-    private static final long OUTLIVED_MS = 1_500;
+    private static final long OWNER_DEATH_DETECTION_MS = 1_500;
 
-    private static final int FEW_LOST = 3;
-    private static final int ONE_IN = 10;
+    private static final int MIN_LOST_WORKERS = 3;
+    private static final int LOST_WORKERS_DIVISOR = 10;
     /** A worker that was sent to the same owner again within this is still on its way there. */
-    private static final long AGAIN_MS = 15_000;
+    private static final long REDIRECT_MEMORY_MS = 15_000;
 
     private static final int MAX_REDIRECTED = 5_000;
 
     /** Since when, and when last, a worker has been sent to one owner; in ms of the steady clock. */
-    private record Redirected(long first, long last) {}
+    private record Redirect(long firstAtMs, long lastAtMs) {}
 
     private final Effects effects;
     private final Membership membership;
-    private final MachineStatusExchange book;
+    private final MachineStatusExchange statusExchange;
     /** Per shard: until when a worker that was sent away and is back is being asked whether it hears anybody. */
-    private final Map<Integer, Long> probing = new HashMap<>();
+    private final Map<Integer, Long> probeUntilMs = new HashMap<>();
     /** Per shard: machines that its owner tells of and that lately came here all the same, and when they first did. */
-    private final Map<Integer, Map<String, Long>> lost = new HashMap<>();
+    private final Map<Integer, Map<String, Long>> workersThatLostOwner = new HashMap<>();
 
-    private final Map<String, Redirected> redirected = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<String, Redirect> redirects = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Redirected> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, Redirect> eldest) {
             return size() > MAX_REDIRECTED;
         }
     };
@@ -51,7 +51,7 @@
     OwnerRedirect(Effects effects, Membership membership, MachineStatusExchange book) {
         this.effects = effects;
         this.membership = membership;
-        this.book = book;
+        this.statusExchange = book;
     }
 
     /** Answers a report of a worker whose shard is another controller's: 421 naming the owner, or 503 while none is known to live. */
@@ -64,11 +64,12 @@
         }
         long now = effects.now();
         // Per owner: having been sent to one that died since says nothing about the one that took its place.
-        Redirected sent = redirected.compute(
+        Redirect sent = redirects.compute(
                 report.machine() + "@" + owner,
-                (key, old) -> new Redirected(old == null || now - old.last > AGAIN_MS ? now : old.first, now));
-        if (severalLost(shard, owner, report.machine(), now)
-                || now - sent.first > PROBE_MS && silent(report.machine())) {
+                (key, old) -> new Redirect(
+                        old == null || now - old.lastAtMs > REDIRECT_MEMORY_MS ? now : old.firstAtMs, now));
+        if (severalLostOwner(shard, owner, report.machine(), now)
+                || now - sent.firstAtMs > PROBE_MS && isSilent(report.machine())) {
             // Sent away, it could not report there, and is back; where connections are refused at once, after a second
             // each time.
             probe(shard, report);
@@ -77,8 +78,8 @@
     }
 
     /** Whether no owner that lives tells of a machine as one that it hears. */
-    private boolean silent(String machine) {
-        MachineStatus picture = book.pictures().get(machine);
+    private boolean isSilent(String machine) {
+        MachineStatus picture = statusExchange.statuses().get(machine);
         return picture == null || picture.silentMs() > 0;
     }
 
@@ -87,21 +88,21 @@
      * owner is heard of and has not just been restarted, need not be sent back and wait for their second failure: where leases are
      * short, that was too late for all of them.
      */
-    private boolean severalLost(int shard, int owner, String machine, long now) {
-        if (book.pictures().get(machine) == null) {
+    private boolean severalLostOwner(int shard, int owner, String machine, long now) {
+        if (statusExchange.statuses().get(machine) == null) {
             return false;
         }
-        Map<String, Long> here = lost.computeIfAbsent(shard, key -> new HashMap<>());
-        here.values().removeIf(at -> now - at > LOST_MS);
+        Map<String, Long> here = workersThatLostOwner.computeIfAbsent(shard, key -> new HashMap<>());
+        here.values().removeIf(at -> now - at > LOST_OWNER_WINDOW_MS);
         here.putIfAbsent(machine, now);
-        if (here.size() < FEW_LOST || !membership.isConnectedFor(owner, LOST_MS)) {
+        if (here.size() < MIN_LOST_WORKERS || !membership.isConnectedFor(owner, LOST_OWNER_WINDOW_MS)) {
             return false;
         }
         long since = Collections.min(here.values());
-        long known = book.pictures().values().stream()
+        long known = statusExchange.statuses().values().stream()
                 .filter(picture -> picture.shard() == shard)
                 .count();
-        return now - since >= OUTLIVED_MS && here.size() * ONE_IN >= known;
+        return now - since >= OWNER_DEATH_DETECTION_MS && here.size() * LOST_WORKERS_DIVISOR >= known;
     }
 
     /**
@@ -109,10 +110,10 @@
      * shard, with all its workers, to us. Whoever lives and hears us answers when asked.
      */
     private void probe(int shard, Report report) {
-        if (effects.now() < probing.getOrDefault(shard, 0L)) {
+        if (effects.now() < probeUntilMs.getOrDefault(shard, 0L)) {
             return;
         }
-        probing.put(shard, effects.now() + PROBE_MS);
+        probeUntilMs.put(shard, effects.now() + PROBE_MS);
         effects.call(Destination.WORKER, report.address(), "GET", Wire.SHOW, null, PROBE_MS, (status, body) -> {
             if (status != 200) {
                 return;
--- a/src/main/java/birchusher/workers/Reachability.java
+++ b/src/main/java/birchusher/workers/Reachability.java
@@ -13,37 +13,37 @@
 final class Reachability {
     private static final long MARGIN_MS = 500;
 
-    private final long nextMs;
+    private final long maxNextReportMs;
 
     Reachability(long reportingMs, int controllers) {
-        nextMs = Math.min(reportingMs, Settings.NO_ANSWER_MS + Settings.NEXT_MS * controllers - MARGIN_MS);
+        maxNextReportMs = Math.min(reportingMs, Settings.NO_ANSWER_MS + Settings.NEXT_MS * controllers - MARGIN_MS);
     }
 
     /** Notes what a newer report shows, before it is taken over. {@code direct}: it came as the answer to a command of ours. */
-    void reported(Machine m, Report r, long term, boolean direct, long now) {
-        boolean followed = m.heardAt >= 0;
+    void onMessage(Machine m, Report r, long term, boolean direct, long now) {
+        boolean followed = m.lastMessageAtMs >= 0;
         boolean later = r.session() > m.session;
         if (later) {
-            m.deafBefore = followed && !m.hears;
+            m.noResponsesInPreviousSession = followed && !m.receivesResponses;
         }
-        boolean showsTerm = followed && m.token < term && r.token() >= term;
-        boolean next = followed && !later && r.token() >= term && now - m.heardAt < nextMs;
-        m.hears = direct || showsTerm || next;
-        if (m.hears || !followed) {
-            m.hearsAt = now;
+        boolean showsTerm = followed && m.fencingToken < term && r.fencingToken() >= term;
+        boolean next = followed && !later && r.fencingToken() >= term && now - m.lastMessageAtMs < maxNextReportMs;
+        m.receivesResponses = direct || showsTerm || next;
+        if (m.receivesResponses || !followed) {
+            m.receiptConfirmedAtMs = now;
         }
     }
 
     /** Whether to ask it by a command: it has seen our term once, so that the term will not show it any more. */
-    boolean doubtful(Machine m, long term) {
-        return !m.hears && m.token >= term;
+    boolean needsProbe(Machine m, long term) {
+        return !m.receivesResponses && m.fencingToken >= term;
     }
 
     /** For how long nothing has shown that all is well with it, 0 while reports and evidence come as they should. */
     int silentMs(Machine m, boolean reporting, long now) {
-        if (m.hears) {
-            return reporting ? 0 : (int) (now - m.heardAt);
+        if (m.receivesResponses) {
+            return reporting ? 0 : (int) (now - m.lastMessageAtMs);
         }
-        return reporting && now - m.hearsAt < nextMs ? 0 : (int) (now - m.hearsAt);
+        return reporting && now - m.receiptConfirmedAtMs < maxNextReportMs ? 0 : (int) (now - m.receiptConfirmedAtMs);
     }
 }
--- a/src/main/java/birchusher/workers/Report.java
+++ b/src/main/java/birchusher/workers/Report.java
@@ -14,15 +14,15 @@
         boolean spot,
         long session,
         long seq,
-        long token,
+        long fencingToken,
         double noticeS,
-        Map<String, Entry> tasks) {
+        Map<String, ReportedTask> tasks) {
     private static final int MAX_TASKS = 2_000;
 
     public static Report read(Map<String, Object> m) {
-        Map<String, Entry> tasks = new LinkedHashMap<>();
+        Map<String, ReportedTask> tasks = new LinkedHashMap<>();
         for (Object o : Fields.list(m, Wire.TASKS)) {
-            Entry e = Entry.read(Fields.map(o, Wire.TASKS));
+            ReportedTask e = ReportedTask.read(Fields.map(o, Wire.TASKS));
             tasks.put(e.attemptKey(), e);
             if (tasks.size() > MAX_TASKS) {
                 throw new Fields.InvalidInputException(Wire.TASKS + ": too many");
--- a/src/main/java/birchusher/workers/Entry.java
+++ b/src/main/java/birchusher/workers/ReportedTask.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** One task as a worker reports it. */
-public record Entry(String key, long attempt, Phase phase, Why why, boolean saved) {
+public record ReportedTask(String taskKey, long attempt, Phase phase, ExitReason exitReason, boolean saved) {
     /** Where a task stands on its machine. */
     public enum Phase {
         FETCHING,
@@ -17,7 +17,7 @@
     }
 
     /** Why a task exited; {@link #NONE} before it has. */
-    public enum Why {
+    public enum ExitReason {
         NONE,
         DONE,
         STOPPED,
@@ -34,10 +34,10 @@
     }
 
     public String attemptKey() {
-        return key + "#" + attempt;
+        return taskKey + "#" + attempt;
     }
 
-    public static Entry read(Map<String, Object> m) {
+    public static ReportedTask read(Map<String, Object> m) {
         Phase phase =
                 switch (Fields.text(m, Wire.STATE)) {
                     case "fetching" -> Phase.FETCHING;
@@ -47,19 +47,19 @@
                     case "exited" -> Phase.EXITED;
                     default -> throw new InvalidInputException(Wire.STATE + ": unknown");
                 };
-        Why why = m.get(Wire.WHY) == null
-                ? Why.NONE
+        ExitReason why = m.get(Wire.WHY) == null
+                ? ExitReason.NONE
                 : switch (Fields.text(m, Wire.WHY)) {
-                    case "done" -> Why.DONE;
-                    case "halted" -> Why.STOPPED;
-                    case "mates_gone" -> Why.PEERS;
-                    case "incomplete" -> Why.ALONE;
-                    case "full" -> Why.NO_ROOM;
-                    case "in_use" -> Why.BUSY;
-                    case "no_such" -> Why.UNKNOWN;
-                    default -> Why.ERROR;
+                    case "done" -> ExitReason.DONE;
+                    case "halted" -> ExitReason.STOPPED;
+                    case "mates_gone" -> ExitReason.PEERS;
+                    case "incomplete" -> ExitReason.ALONE;
+                    case "full" -> ExitReason.NO_ROOM;
+                    case "in_use" -> ExitReason.BUSY;
+                    case "no_such" -> ExitReason.UNKNOWN;
+                    default -> ExitReason.ERROR;
                 };
-        return new Entry(
+        return new ReportedTask(
                 Fields.text(m, Wire.TASK),
                 Fields.count(m, Wire.ATTEMPT),
                 phase,
--- a/src/main/java/birchusher/workers/Tombstones.java
+++ b/src/main/java/birchusher/workers/Tombstones.java
@@ -9,33 +9,33 @@
  * Bounded; the longest departed are forgotten first, when copies of theirs are long over.
  */
 final class Tombstones {
-    private static final int MAX_KEPT = 20_000;
+    private static final int MAX_MACHINES = 20_000;
 
-    private record Last(long session, long seq, boolean gone) {}
+    private record LastMessage(long session, long seq, boolean deleted) {}
 
-    private final Map<String, Last> machines = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<String, LastMessage> lastMessages = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Last> e) {
-            return size() > MAX_KEPT;
+        protected boolean removeEldestEntry(Map.Entry<String, LastMessage> e) {
+            return size() > MAX_MACHINES;
         }
     };
 
-    void leaves(Machine m) {
-        Last old = machines.get(m.name);
-        machines.put(m.name, new Last(m.session, m.seq, m.gone || old != null && old.gone));
+    void recordRemoval(Machine m) {
+        LastMessage old = lastMessages.get(m.name);
+        lastMessages.put(m.name, new LastMessage(m.session, m.lastSeq, m.deleted || old != null && old.deleted));
     }
 
     /** The cloud confirmed the deletion. Names are never given again, so that is for good. */
-    void gone(String machine) {
-        Last old = machines.get(machine);
-        machines.put(machine, new Last(old == null ? 0 : old.session, old == null ? 0 : old.seq, true));
+    void recordDeletion(String machine) {
+        LastMessage old = lastMessages.get(machine);
+        lastMessages.put(machine, new LastMessage(old == null ? 0 : old.session, old == null ? 0 : old.seq, true));
     }
 
     /** Whether a report may begin a machine's following: it is not gone, and this is newer than all that was heard of it. */
     boolean admits(Report r) {
-        Last l = machines.get(r.machine());
-        return l == null || !l.gone && (r.session() > l.session || r.session() == l.session && r.seq() > l.seq);
+        LastMessage l = lastMessages.get(r.machine());
+        return l == null || !l.deleted && (r.session() > l.session || r.session() == l.session && r.seq() > l.seq);
     }
 }
--- a/src/main/java/birchusher/workers/WorkerLease.java
+++ b/src/main/java/birchusher/workers/WorkerLease.java
@@ -19,26 +19,26 @@
  */
 final class WorkerLease {
     /** {@link #endsBy}: no moment is known at which the lease is certainly over. */
-    static final long NEVER = Long.MAX_VALUE;
+    static final long NO_KNOWN_END = Long.MAX_VALUE;
 
     /** On top of a worker's lease and the clocks' drift, before a silent worker counts as having dropped its tasks. */
     private static final long MARGIN_MS = 1_000;
 
     /** Since when this controller owns the worker's shard, and when its earlier owners became unable to answer; below 0: not yet. */
-    record Ownership(long since, long fencedAt) {}
+    record Ownership(long sinceMs, long fencedAtMs) {}
 
     private final long durationMs;
     private long session;
     /** The highest tick of a report that was answered in this session. A worker has one report in flight, so it waits for none below. */
-    private long lastReport;
+    private long lastAnsweredSeq;
 
-    private long lastMessageAt = -1;
+    private long lastMessageAtMs = -1;
     /** No report that was answered can have been sent later; -1: none was answered. */
-    private long grantedAt = -1;
+    private long grantedAtMs = -1;
 
     private long shownTerm;
     /** When a message first showed {@link #shownTerm}: until then an earlier owner may have been the one that it heard. */
-    private long shownAt = -1;
+    private long shownAtMs = -1;
 
     /** @param leaseS the worker's lease, in seconds */
     WorkerLease(double leaseS) {
@@ -46,15 +46,15 @@
     }
 
     /** Notes a message newer than all before, a report or the answer to a direct command; {@code term} is ours. */
-    void heard(Report message, long term, long now) {
+    void onMessage(Report message, long term, long now) {
         if (message.session() > session) {
             session = message.session();
-            lastReport = 0;
+            lastAnsweredSeq = 0;
         }
-        lastMessageAt = now;
-        if (message.token() >= term && shownTerm < term) {
+        lastMessageAtMs = now;
+        if (message.fencingToken() >= term && shownTerm < term) {
             shownTerm = term;
-            shownAt = now;
+            shownAtMs = now;
         }
     }
 
@@ -62,42 +62,43 @@
      * Whether the worker may be waiting for the answer to a report that is not the newest message any more: the answer to a direct command
      * overtook it. Any other report that is not the newest is a copy, or was given up by its worker.
      */
-    boolean overtaken(Report report) {
-        return report.session() == session && report.seq() > lastReport;
+    boolean isOvertaken(Report report) {
+        return report.session() == session && report.seq() > lastAnsweredSeq;
     }
 
     /** The answer that renews the lease of a worker whose report is the newest message, or was {@link #overtaken}. */
-    Map<String, Object> renewal(Report report, long term, List<Object> orders) {
-        lastReport = report.seq();
-        grantedAt = Math.max(grantedAt, lastMessageAt);
+    Map<String, Object> renewalResponse(Report report, long term, List<Object> orders) {
+        lastAnsweredSeq = report.seq();
+        grantedAtMs = Math.max(grantedAtMs, lastMessageAtMs);
         return Map.of(Wire.TOKEN, term, Wire.COMMANDS, orders);
     }
 
     /** The answer to a report that nobody waits for. It has no token, so a worker that got it would drop it. */
-    static Map<String, Object> noRenewal() {
+    static Map<String, Object> responseWithoutRenewal() {
         return Map.of(Wire.COMMANDS, List.of());
     }
 
     /** The first moment at which the worker has certainly dropped all tasks of its session, or {@link #NEVER}. */
-    long endsBy(long term, Ownership ownership) {
-        long from = Math.max(grantedAt, ownership.since);
-        if (shownTerm >= term && lastMessageAt >= 0) {
-            from = Math.max(from, shownAt);
-        } else if (ownership.fencedAt >= 0) {
-            from = Math.max(from, ownership.fencedAt);
+    long certainEndMs(long term, Ownership ownership) {
+        long from = Math.max(grantedAtMs, ownership.sinceMs);
+        if (shownTerm >= term && lastMessageAtMs >= 0) {
+            from = Math.max(from, shownAtMs);
+        } else if (ownership.fencedAtMs >= 0) {
+            from = Math.max(from, ownership.fencedAtMs);
         } else {
-            return NEVER;
+            return NO_KNOWN_END;
         }
         return from + durationMs;
     }
 
     /** How long ago a report was answered last, and anything heard, for log lines; -1: never. */
-    String evidence(long now) {
-        return "tick=" + lastReport + " granted_ms=" + ago(grantedAt, now) + " heard_ms=" + ago(lastMessageAt, now)
-                + " shown_term=" + shownTerm + " shown_ms=" + ago(shownAt, now);
+    String logFields(long now) {
+        return "tick=" + lastAnsweredSeq + " granted_ms=" + elapsedMs(grantedAtMs, now) + " heard_ms="
+                + elapsedMs(lastMessageAtMs, now) + " shown_term=" + shownTerm + " shown_ms="
+                + elapsedMs(shownAtMs, now);
     }
 
-    private static long ago(long at, long now) {
+    private static long elapsedMs(long at, long now) {
         return at < 0 ? -1 : now - at;
     }
 }
--- a/src/main/java/birchusher/workers/WorkerRegistry.java
+++ b/src/main/java/birchusher/workers/WorkerRegistry.java
@@ -1,8 +1,8 @@
 package birchusher.workers;
 
 import birchusher.core.Effects;
-import birchusher.lease.LeaseTerms;
-import birchusher.lease.Speeds;
+import birchusher.lease.EstimateBias;
+import birchusher.lease.LeaseSettings;
 import birchusher.lease.TaskLease;
 import birchusher.membership.Membership;
 import birchusher.model.Catalog;
@@ -15,8 +15,8 @@
 import birchusher.store.Job;
 import birchusher.store.StoreClient;
 import birchusher.store.StoreView;
-import birchusher.workers.Machine.Run;
-import birchusher.workers.Machine.Stop;
+import birchusher.workers.Machine.AttemptState;
+import birchusher.workers.Machine.StopRequest;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -32,9 +32,9 @@
 public final class WorkerRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerRegistry.class);
     /** Steps come many times a second; after such a pause we stood still. */
-    private static final long STILL_MS = 2_000;
+    private static final long PAUSE_THRESHOLD_MS = 2_000;
     /** Events that other slices want to hear of. */
-    public interface Listener {
+    public interface GangStopper {
         void stopGang(Job job, double graceS, String reason);
     }
 
@@ -44,31 +44,31 @@
     private final StoreView view;
     private final StoreClient store;
     private final Membership membership;
-    private final LeaseTerms terms;
-    private final Speeds speeds;
+    private final LeaseSettings leaseSettings;
+    private final EstimateBias estimateBias;
     private final Counters counters;
-    private final Listener listener;
-    private final Outcomes outcomes;
+    private final GangStopper gangStopper;
+    private final OutcomeRecorder outcomes;
     /** What the owners before us told of their machines, so that a new owner starts from what the old one knew. */
-    private final MachineStatusExchange book;
+    private final MachineStatusExchange statusExchange;
 
-    private final Room room;
+    private final MachineCapacity capacity;
     private final Commands commands;
-    private final ActionCounters orders;
+    private final ActionCounters actionCounters;
     private final Reachability reachability;
     private final Tombstones tombstones = new Tombstones();
-    private final Faults faults = new Faults();
-    private final OwnerRedirect redirects;
-    private final SafetyChecks checks;
+    private final ErrorAttribution errorAttribution = new ErrorAttribution();
+    private final OwnerRedirect ownerRedirect;
+    private final SafetyChecks safetyChecks;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final List<Machine> dirty = new ArrayList<>();
+    private final List<Machine> changedMachines = new ArrayList<>();
     private final long quarantineMs;
     /** Since when we have listened without a break: whoever stood still has heard nobody, which tells nothing of the machines. */
-    private long listeningFrom = -1;
+    private long listeningSinceMs = -1;
 
-    private long lastTick = Long.MIN_VALUE / 2;
-    private long nextSweep;
-    private long nextLeaseSweep;
+    private long lastTickMs = Long.MIN_VALUE / 2;
+    private long nextSweepMs;
+    private long nextLeaseSweepMs;
 
     public WorkerRegistry(
             Effects effects,
@@ -77,13 +77,13 @@
             StoreView view,
             StoreClient store,
             Membership membership,
-            Speeds speeds,
+            EstimateBias speeds,
             Tuning t,
             Counters counters,
-            Outcomes outcomes,
+            OutcomeRecorder outcomes,
             MachineStatusExchange book,
             ActionCounters orders,
-            Listener listener,
+            GangStopper listener,
             Predicate<String> guaranteed) {
         this.effects = effects;
         this.settings = s;
@@ -91,55 +91,65 @@
         this.view = view;
         this.store = store;
         this.membership = membership;
-        this.speeds = speeds;
+        this.estimateBias = speeds;
         this.counters = counters;
-        this.listener = listener;
+        this.gangStopper = listener;
         this.outcomes = outcomes;
-        this.book = book;
-        this.orders = orders;
-        terms = LeaseTerms.from(t);
+        this.statusExchange = book;
+        this.actionCounters = orders;
+        leaseSettings = LeaseSettings.from(t);
         quarantineMs = t.ms("workers.quarantine-s");
-        room = new Room(effects, catalog, view, outcomes, guaranteed, t.ms("placement.reserve-s"));
-        checks = new SafetyChecks(effects, counters, new SafetyChecks.Machines() {
+        capacity = new MachineCapacity(effects, catalog, view, outcomes, guaranteed, t.ms("placement.reserve-s"));
+        safetyChecks = new SafetyChecks(effects, counters, new SafetyChecks.OwnedMachines() {
             @Override
-            public Machine owned(String name) {
+            public Machine ownedAndCurrent(String name) {
                 Machine machine = machines.get(name);
-                return machine != null && membership.owns(machine.shard) && tells(machine) ? machine : null;
+                return machine != null && membership.owns(machine.shard) && isCurrent(machine) ? machine : null;
             }
 
             @Override
-            public long leaseEnd(Machine machine) {
-                return WorkerRegistry.this.leaseEnd(machine);
+            public long leaseEndMs(Machine machine) {
+                return WorkerRegistry.this.leaseEndMs(machine);
             }
         });
         commands = new Commands(
-                effects, s, catalog, view, store, membership, outcomes, orders, checks, new Commands.Owner() {
+                effects,
+                s,
+                catalog,
+                view,
+                store,
+                membership,
+                outcomes,
+                orders,
+                safetyChecks,
+                new Commands.AttemptTracker() {
                     @Override
-                    public Run newRun(Machine m, JobSpec j, long now) {
-                        return WorkerRegistry.this.newRun(m, j, now);
+                    public AttemptState newAttempt(Machine m, JobSpec j, long now) {
+                        return WorkerRegistry.this.newAttempt(m, j, now);
                     }
 
                     @Override
-                    public boolean take(Machine m, Report r, int zone) {
-                        return WorkerRegistry.this.take(m, r, zone, true);
+                    public boolean acceptReport(Machine m, Report r, int zone) {
+                        return WorkerRegistry.this.acceptReport(m, r, zone, true);
                     }
                 });
-        reachability = new Reachability(commands.reportingMs(), 1 + s.peers().size());
-        redirects = new OwnerRedirect(effects, membership, book);
-        view.onMachineChange(this::touch);
+        reachability =
+                new Reachability(commands.reportTimeoutMs(), 1 + s.peers().size());
+        ownerRedirect = new OwnerRedirect(effects, membership, book);
+        view.onMachineChange(this::markChanged);
     }
 
-    private void touch(String machine) {
+    private void markChanged(String machine) {
         Machine m = machines.get(machine);
-        if (m != null && !m.dirty) {
-            m.dirty = true;
-            dirty.add(m);
+        if (m != null && !m.changed) {
+            m.changed = true;
+            changedMachines.add(m);
         }
     }
 
     // ---- reports
 
-    public void hello(long exchange, Map<String, Object> body) {
+    public void onReport(long exchange, Map<String, Object> body) {
         Report r = Report.read(body);
         int zone = catalog.zones.find(r.zone());
         if (!store.loaded() || !membership.canAct() || zone < 0) {
@@ -148,66 +158,66 @@
         }
         int shard = membership.shardOf(r.machine(), zone);
         if (!membership.owns(shard)) {
-            redirects.redirect(exchange, r, shard);
+            ownerRedirect.redirect(exchange, r, shard);
             return;
         }
         long term = membership.term(shard);
-        if (r.token() > term) {
+        if (r.fencingToken() > term) {
             // Someone holds a higher term than we know of: an answer of ours would be dropped and hold the worker here.
             effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
         if (!machines.containsKey(r.machine()) && !tombstones.admits(r)) {
             // A late copy, or a machine that is gone: nothing of it may be used, and nobody waits for this answer.
-            counters.copies++;
-            effects.answer(exchange, 200, WorkerLease.noRenewal());
+            counters.staleReports++;
+            effects.answer(exchange, 200, WorkerLease.responseWithoutRenewal());
             return;
         }
-        Machine m = machine(r.machine(), shard);
-        if (take(m, r, zone, false)) {
-            effects.answer(exchange, 200, m.workerLease.renewal(r, term, commands.orders(m, false)));
-            if (reachability.doubtful(m, term)) {
-                commands.push(m);
+        Machine m = findOrCreate(r.machine(), shard);
+        if (acceptReport(m, r, zone, false)) {
+            effects.answer(exchange, 200, m.workerLease.renewalResponse(r, term, commands.commandsFor(m, false)));
+            if (reachability.needsProbe(m, term)) {
+                commands.sendCommands(m);
             }
-        } else if (m.workerLease.overtaken(r)) {
-            counters.overtaken++;
-            effects.answer(exchange, 200, m.workerLease.renewal(r, term, List.of()));
+        } else if (m.workerLease.isOvertaken(r)) {
+            counters.overtakenReports++;
+            effects.answer(exchange, 200, m.workerLease.renewalResponse(r, term, List.of()));
         } else {
-            counters.copies++;
-            effects.answer(exchange, 200, WorkerLease.noRenewal());
+            counters.staleReports++;
+            effects.answer(exchange, 200, WorkerLease.responseWithoutRenewal());
         }
     }
 
-    private Machine machine(String name, int shard) {
+    private Machine findOrCreate(String name, int shard) {
         return machines.computeIfAbsent(name, n -> {
             Machine m = new Machine(n, shard, settings.leaseS());
-            MachineStatus p = book.told(n);
+            MachineStatus p = statusExchange.statusFromOwner(n);
             if (p != null) {
                 m.speed = new birchusher.lease.MachineSpeed(p.speed());
-                for (int i = p.images().length - 1; i >= 0; i--) {
-                    m.image(p.images()[i], catalog);
+                for (int i = p.cachedImages().length - 1; i >= 0; i--) {
+                    m.recordImageUse(p.cachedImages()[i], catalog);
                 }
-                m.condemned = p.condemned();
+                m.faulty = p.faulty();
             }
             return m;
         });
     }
 
     /** Takes a report if it is newer than the last one. */
-    private boolean take(Machine m, Report r, int zone, boolean direct) {
-        if (r.session() < m.session || r.session() == m.session && r.seq() <= m.seq) {
+    private boolean acceptReport(Machine m, Report r, int zone, boolean direct) {
+        if (r.session() < m.session || r.session() == m.session && r.seq() <= m.lastSeq) {
             return false;
         }
         if (r.session() > m.session && m.session > 0) {
             LOG.info("machine {} session {} follows {}", m.name, r.session(), m.session);
-            m.runs.clear();
-            m.stops.clear();
-            m.loose.clear();
-            m.answered.clear();
+            m.attempts.clear();
+            m.stopRequests.clear();
+            m.unansweredStarts.clear();
+            m.startsInResponses.clear();
         }
-        reachability.reported(m, r, membership.term(m.shard), direct, effects.now());
+        reachability.onMessage(m, r, membership.term(m.shard), direct, effects.now());
         boolean later = r.session() > m.session;
-        boolean followed = m.heardAt >= 0;
+        boolean followed = m.lastMessageAtMs >= 0;
         if (!followed) {
             LOG.info(
                     "machine {} reports: {} in {}, session {}, {} tasks",
@@ -218,29 +228,29 @@
                     r.tasks().size());
         }
         m.session = r.session();
-        m.seq = r.seq();
-        m.token = Math.max(m.token, r.token());
+        m.lastSeq = r.seq();
+        m.fencingToken = Math.max(m.fencingToken, r.fencingToken());
         m.address = r.address();
         m.zone = zone;
         m.type = catalog.typeNames.add(r.type());
         m.spot = r.spot();
-        m.heardAt = effects.now();
-        m.workerLease.heard(r, membership.term(m.shard), effects.now());
-        long tokenNow = m.token;
-        m.loose.values().removeIf(l -> l[1] < tokenNow);
+        m.lastMessageAtMs = effects.now();
+        m.workerLease.onMessage(r, membership.term(m.shard), effects.now());
+        long tokenNow = m.fencingToken;
+        m.unansweredStarts.values().removeIf(l -> l[1] < tokenNow);
         if (r.noticeS() >= 0) {
             long at = effects.now() + Math.round(r.noticeS() * 1000);
-            if (m.noticeAt < 0) {
+            if (m.interruptionAtMs < 0) {
                 counters.notices++;
                 LOG.info("machine {} will be taken back in {} s", m.name, r.noticeS());
             }
             // The first report that we take may be a copy: counted from its arrival, the end would be later than it is.
-            m.noticeAt = m.noticeAt < 0 ? at : Math.min(m.noticeAt, at);
+            m.interruptionAtMs = m.interruptionAtMs < 0 ? at : Math.min(m.interruptionAtMs, at);
         }
         if (later) {
-            view.claims(m.name).values().forEach(c -> remember(m, c, followed));
+            view.claims(m.name).values().forEach(c -> rememberImage(m, c, followed));
         }
-        m.entries = r.tasks();
+        m.reportedTasks = r.tasks();
         reconcile(m);
         return true;
     }
@@ -249,10 +259,10 @@
      * A worker keeps its images though its lease is over, and nothing but the records of what ran there tells a new owner of them.
      * Without this, a fleet full of warm caches fetched everything anew after a crash of all controllers.
      */
-    private void remember(Machine m, Claim c, boolean followed) {
-        Entry e = m.entries.get(c.attemptKey());
-        if (e == null ? !followed : e.phase() != Entry.Phase.FETCHING) {
-            m.image(c.job().spec.image(), catalog);
+    private void rememberImage(Machine m, Claim c, boolean followed) {
+        ReportedTask e = m.reportedTasks.get(c.attemptKey());
+        if (e == null ? !followed : e.phase() != ReportedTask.Phase.FETCHING) {
+            m.recordImageUse(c.job().spec.image(), catalog);
         }
     }
 
@@ -263,82 +273,86 @@
         boolean any = false;
         for (Claim c : List.copyOf(view.claims(m.name).values())) {
             String ak = c.attemptKey();
-            Entry e = m.entries.get(ak);
-            Reconciliation.ClaimState row = commands.row(m, c);
+            ReportedTask e = m.reportedTasks.get(ak);
+            Reconciliation.ClaimState row = commands.recordedState(m, c);
             Reconciliation.ClaimOutcome write =
-                    Reconciliation.claimOutcome(row, Commands.shown(e), commands.known(m, ak));
+                    Reconciliation.claimOutcome(row, Commands.reportedState(e), commands.ownerKnowledge(m, ak));
             any |= row != Reconciliation.ClaimState.EARLIER;
             if (e == null || row == Reconciliation.ClaimState.EARLIER || row == Reconciliation.ClaimState.LATER) {
                 if (write == Reconciliation.ClaimOutcome.LOST) {
                     boolean dropped = row == Reconciliation.ClaimState.EARLIER;
                     // A worker that hears nobody will not take it back: nothing is to wait for that.
-                    release(
+                    releaseClaim(
                             c,
-                            !dropped ? Outcomes.Kind.LOST : m.deafBefore ? Outcomes.Kind.SILENT : Outcomes.Kind.DROPPED,
+                            !dropped
+                                    ? OutcomeRecorder.Outcome.LOST
+                                    : m.noResponsesInPreviousSession
+                                            ? OutcomeRecorder.Outcome.SILENT
+                                            : OutcomeRecorder.Outcome.DROPPED,
                             dropped ? "a later session" : "absent from a newer report");
                 } else if (write == Reconciliation.ClaimOutcome.NOT_STARTED) {
                     // Never shown, and nothing of ours or of an earlier owner is under way any more.
-                    release(c, Outcomes.Kind.NOT_STARTED, "not started");
+                    releaseClaim(c, OutcomeRecorder.Outcome.NOT_STARTED, "not started");
                 }
                 continue;
             }
-            Run run = m.runs.computeIfAbsent(ak, k -> newRun(m, c.job().spec, now));
-            run.shown = true;
+            AttemptState run = m.attempts.computeIfAbsent(ak, k -> newAttempt(m, c.job().spec, now));
+            run.reported = true;
             if (e.exited()) {
-                exited(m, c, e, run, write);
+                onExited(m, c, e, run, write);
             } else {
-                checks.shown(c.taskKey(), m);
-                follow(m, c, e, run, now);
+                safetyChecks.recordReported(c.taskKey(), m);
+                updateAttempt(m, c, e, run, now);
             }
         }
         // A stop also waits for a start that is still under way to show itself.
-        m.stops.keySet().removeIf(ak -> !m.entries.containsKey(ak) && !claimed(m, ak));
-        m.answered.values().removeIf(at -> now - at > Settings.NO_ANSWER_MS * 2);
-        if (m.runs.size() > 8 + m.entries.size()) {
+        m.stopRequests.keySet().removeIf(ak -> !m.reportedTasks.containsKey(ak) && !isClaimed(m, ak));
+        m.startsInResponses.values().removeIf(at -> now - at > Settings.NO_ANSWER_MS * 2);
+        if (m.attempts.size() > 8 + m.reportedTasks.size()) {
             // Attempts whose records are gone: theirs is all told.
-            m.runs.keySet().removeIf(ak -> !m.entries.containsKey(ak) && !claimed(m, ak));
+            m.attempts.keySet().removeIf(ak -> !m.reportedTasks.containsKey(ak) && !isClaimed(m, ak));
         }
-        for (Entry e : m.entries.values()) {
+        for (ReportedTask e : m.reportedTasks.values()) {
             any |= !e.exited();
         }
-        m.idleSince = any ? -1 : m.idleSince < 0 ? now : m.idleSince;
-        room.make(m, this::wishStop);
-        if (m.noticeAt >= 0) {
+        m.idleSinceMs = any ? -1 : m.idleSinceMs < 0 ? now : m.idleSinceMs;
+        capacity.preemptForClaims(m, this::requestStop);
+        if (m.interruptionAtMs >= 0) {
             drain(m, now);
         }
     }
 
-    private boolean claimed(Machine m, String attemptKey) {
+    private boolean isClaimed(Machine m, String attemptKey) {
         Claim c = view.claims(m.name).get(attemptKey.substring(0, attemptKey.lastIndexOf('#')));
         return c != null && c.attemptKey().equals(attemptKey);
     }
 
-    private Run newRun(Machine m, JobSpec j, long now) {
-        Run run = new Run();
-        long fetch = fetchMs(m, j);
-        run.startedAt = now;
-        run.lease = new TaskLease(terms, now, fetch, terms.cap(j, fetch));
+    private AttemptState newAttempt(Machine m, JobSpec j, long now) {
+        AttemptState run = new AttemptState();
+        long fetch = expectedFetchMs(m, j);
+        run.startedAtMs = now;
+        run.lease = new TaskLease(leaseSettings, now, fetch, leaseSettings.capMs(j, fetch));
         return run;
     }
 
     /** Expected ms of fetching a job's image on a machine, none if it is there. */
-    private long fetchMs(Machine m, JobSpec j) {
+    private long expectedFetchMs(Machine m, JobSpec j) {
         Catalog.Type t = catalog.type(m.type);
-        return t == null || m.images.contains(j.image()) ? 0 : Math.round(j.imageGb() / t.fetchGbPerS() * 1000);
+        return t == null || m.cachedImages.contains(j.image()) ? 0 : Math.round(j.imageGb() / t.fetchGbPerS() * 1000);
     }
 
-    private void follow(Machine m, Claim c, Entry e, Run run, long now) {
-        if (e.phase() == Entry.Phase.FETCHING && run.fetchUntil < 0) {
-            run.fetchUntil = now + fetchMs(m, c.job().spec);
+    private void updateAttempt(Machine m, Claim c, ReportedTask e, AttemptState run, long now) {
+        if (e.phase() == ReportedTask.Phase.FETCHING && run.fetchEndMs < 0) {
+            run.fetchEndMs = now + expectedFetchMs(m, c.job().spec);
         }
-        boolean running = e.phase() == Entry.Phase.RUNNING || e.phase() == Entry.Phase.SAVING;
-        boolean before = run.lease.runningSince() >= 0;
-        TaskLease.Renewal got = run.lease.report(now, running);
-        if (e.phase() != Entry.Phase.FETCHING) {
-            m.image(c.job().spec.image(), catalog);
+        boolean running = e.phase() == ReportedTask.Phase.RUNNING || e.phase() == ReportedTask.Phase.SAVING;
+        boolean before = run.lease.runningSinceMs() >= 0;
+        TaskLease.Renewal got = run.lease.renew(now, running);
+        if (e.phase() != ReportedTask.Phase.FETCHING) {
+            m.recordImageUse(c.job().spec.image(), catalog);
         }
         if (running && !before) {
-            counters.started(effects.wallTime() - c.job().acceptedAtMs);
+            counters.recordStartWait(effects.wallTime() - c.job().acceptedAtMs);
             LOG.info("task {} attempt {} runs on {}", c.taskKey(), c.attempt(), m.name);
         }
         if (got == TaskLease.Renewal.GRANTED) {
@@ -346,81 +360,81 @@
         } else if (got == TaskLease.Renewal.AT_CAP && !run.countedAtCap) {
             run.countedAtCap = true;
             counters.atCap++;
-            atCap(m, c, run, now);
+            onCapReached(m, c, run, now);
         } else if (got == TaskLease.Renewal.LAPSED) {
-            lapsed(m, c, run);
+            onLeaseExpired(m, c, run);
         }
     }
 
     /** At its cap a task is moved only if it loses nothing by it; else it runs on and the machine counts as slower. */
-    private void atCap(Machine m, Claim c, Run run, long now) {
+    private void onCapReached(Machine m, Claim c, AttemptState run, long now) {
         JobSpec j = c.job().spec;
         LOG.info("task {} attempt {} on {} is at its cap", c.taskKey(), c.attempt(), m.name);
-        m.speed.observe(j.estimateS() * speeds.bias(j.cls()), (now - run.lease.runningSince()) / 1000.0);
+        m.speed.observe(j.estimateS() * estimateBias.bias(j.cls()), (now - run.lease.runningSinceMs()) / 1000.0);
         if (j.resumes()) {
-            stopJobTask(c, j.saveS() + 4, "at cap");
+            stopTaskOrGang(c, j.saveS() + 4, "at cap");
         }
     }
 
-    private void lapsed(Machine m, Claim c, Run run) {
-        if (!run.ended) {
-            run.ended = true;
+    private void onLeaseExpired(Machine m, Claim c, AttemptState run) {
+        if (!run.expiryHandled) {
+            run.expiryHandled = true;
             counters.lapsed++;
             m.speed.observe(1, 4);
             LOG.info("lease of task {} attempt {} on {} lapsed", c.taskKey(), c.attempt(), m.name);
-            stopJobTask(c, 0, "lapsed");
+            stopTaskOrGang(c, 0, "lapsed");
         }
     }
 
-    private void stopJobTask(Claim c, double grace, String reason) {
+    private void stopTaskOrGang(Claim c, double grace, String reason) {
         if (c.job().spec.gang()) {
-            listener.stopGang(c.job(), grace, reason);
+            gangStopper.stopGang(c.job(), grace, reason);
         } else {
-            wishStop(c, grace, reason);
+            requestStop(c, grace, reason);
         }
     }
 
-    private void exited(Machine m, Claim c, Entry e, Run run, Reconciliation.ClaimOutcome write) {
+    private void onExited(Machine m, Claim c, ReportedTask e, AttemptState run, Reconciliation.ClaimOutcome write) {
         JobSpec j = c.job().spec;
         long now = effects.now();
         switch (write) {
             case DONE -> {
-                if (run.lease.runningSince() >= 0
+                if (run.lease.runningSinceMs() >= 0
                         && c.attempt() == 1
                         && !run.countedAtCap
                         && j.estimateS() > 0
                         && !outcomes.pending(e.attemptKey())) {
-                    double took = (now - run.lease.runningSince()) / 1000.0;
-                    speeds.observe(j.cls(), j.estimateS(), took);
-                    m.speed.observe(j.estimateS() * speeds.bias(j.cls()), took);
+                    double took = (now - run.lease.runningSinceMs()) / 1000.0;
+                    estimateBias.observe(j.cls(), j.estimateS(), took);
+                    m.speed.observe(j.estimateS() * estimateBias.bias(j.cls()), took);
                 }
-                m.errorJobs.clear();
-                release(c, Outcomes.Kind.DONE, "done");
+                m.errorsByJob.clear();
+                releaseClaim(c, OutcomeRecorder.Outcome.DONE, "done");
             }
             case ERROR -> {
                 if (!outcomes.pending(e.attemptKey())) {
-                    erred(m, c);
+                    onTaskError(m, c);
                 }
-                release(c, Outcomes.Kind.ERROR, "error");
+                releaseClaim(c, OutcomeRecorder.Outcome.ERROR, "error");
             }
-            default -> release(c, Outcomes.Kind.LOST, e.why() + (e.saved() ? ", saved" : ""));
+            default -> releaseClaim(c, OutcomeRecorder.Outcome.LOST, e.exitReason() + (e.saved() ? ", saved" : ""));
         }
     }
 
     /** Errors of different jobs speak against the machine; of one job on several machines, against the job. */
-    private void erred(Machine m, Claim c) {
-        counters.errors++;
-        for (String name : faults.failed(c.job(), m)) {
+    private void onTaskError(Machine m, Claim c) {
+        counters.taskErrors++;
+        for (String name : errorAttribution.recordError(c.job(), m)) {
             Machine x = machines.get(name);
-            if (x != null && x != m && faults.against(x, view::job) == 0) {
-                x.quarantineUntil = 0;
+            if (x != null && x != m && errorAttribution.countJobsAgainst(x, view::job) == 0) {
+                x.quarantineUntilMs = 0;
             }
         }
-        if (faults.against(m, view::job) > 0) {
-            m.quarantineUntil = effects.now() + quarantineMs;
+        if (errorAttribution.countJobsAgainst(m, view::job) > 0) {
+            m.quarantineUntilMs = effects.now() + quarantineMs;
         }
-        if (!m.condemned && m.judgeAt < 0 && faults.condemns(m, view::job)) {
-            m.judgeAt = effects.now() + quarantineMs;
+        if (!m.faulty && m.faultCheckAtMs < 0 && errorAttribution.isFaulty(m, view::job)) {
+            m.faultCheckAtMs = effects.now() + quarantineMs;
         }
     }
 
@@ -428,18 +442,18 @@
      * While a machine gets nothing new, the same jobs may come to fail elsewhere too. Judged at its second job's first error, machines
      * were given up with all their replicas for two jobs that failed everywhere.
      */
-    private void judge(Machine m) {
-        m.judgeAt = -1;
-        if (faults.condemns(m, view::job)) {
-            m.condemned = true;
+    private void checkForFault(Machine m) {
+        m.faultCheckAtMs = -1;
+        if (errorAttribution.isFaulty(m, view::job)) {
+            m.faulty = true;
             counters.condemned++;
             LOG.info("machine {} fails tasks of different jobs, it is given up", m.name);
         }
     }
 
     /** Takes a claim out of the store, the caller having the proof that the task is not on the machine any more. */
-    private void release(Claim c, Outcomes.Kind outcome, String proof) {
-        if (outcomes.add(c, outcome)) {
+    private void releaseClaim(Claim c, OutcomeRecorder.Outcome outcome, String proof) {
+        if (outcomes.recordEnd(c, outcome)) {
             LOG.info("task {} attempt {} left {}: {}", c.taskKey(), c.attempt(), c.machine(), proof);
         }
     }
@@ -447,147 +461,147 @@
     // ---- commands
 
     /** Sends starts and stops straight to machines whose state changed, so that they need not wait for a report. */
-    public void flush() {
-        if (dirty.isEmpty()) {
+    public void flushCommands() {
+        if (changedMachines.isEmpty()) {
             return;
         }
-        List<Machine> all = new ArrayList<>(dirty);
-        dirty.clear();
+        List<Machine> all = new ArrayList<>(changedMachines);
+        changedMachines.clear();
         for (Machine m : all) {
-            m.dirty = false;
-            if (membership.owns(m.shard) && m.heardAt >= 0) {
+            m.changed = false;
+            if (membership.owns(m.shard) && m.lastMessageAtMs >= 0) {
                 reconcile(m);
-                commands.push(m);
+                commands.sendCommands(m);
             }
         }
     }
 
     /** Asks for an attempt to be stopped; repeated until it is seen to be saving or gone. */
-    public void wishStop(Claim c, double graceS, String reason) {
+    public void requestStop(Claim c, double graceS, String reason) {
         Machine m = machines.get(c.machine());
         String ak = c.attemptKey();
         if (m == null || !membership.owns(c.shard())) {
             return;
         }
-        Stop old = m.stops.get(ak);
+        StopRequest old = m.stopRequests.get(ak);
         if (old == null || old.graceS > graceS) {
-            m.stops.put(ak, new Stop(graceS, reason, effects.now()));
+            m.stopRequests.put(ak, new StopRequest(graceS, reason, effects.now()));
             counters.stops++;
-            orders.recordStop(ak, reason, effects.now());
+            actionCounters.recordStop(ak, reason, effects.now());
             LOG.info("task {} attempt {} on {} is to stop: {}", c.taskKey(), c.attempt(), m.name, reason);
-            touch(m.name);
+            markChanged(m.name);
         }
     }
 
     /** A notice: what can save does so at once; what ends in time may; the rest starts elsewhere without waiting. */
     private void drain(Machine m, long now) {
-        long left = m.noticeAt - now;
+        long left = m.interruptionAtMs - now;
         for (Claim c : view.claims(m.name).values()) {
             JobSpec j = c.job().spec;
             String ak = c.attemptKey();
-            if (m.stops.containsKey(ak) || !m.entries.containsKey(ak)) {
+            if (m.stopRequests.containsKey(ak) || !m.reportedTasks.containsKey(ak)) {
                 continue;
             }
-            Run run = m.runs.get(ak);
-            double expected = j.estimateS() * speeds.bias(j.cls()) * 1000 / m.speed.value();
+            AttemptState run = m.attempts.get(ak);
+            double expected = j.estimateS() * estimateBias.bias(j.cls()) * 1000 / m.speed.value();
             boolean endsInTime = !j.service()
                     && !j.resumes()
                     && run != null
-                    && run.lease.runningSince() >= 0
-                    && run.lease.runningSince() + expected < m.noticeAt
+                    && run.lease.runningSinceMs() >= 0
+                    && run.lease.runningSinceMs() + expected < m.interruptionAtMs
                     && left > 2_500;
             if (!endsInTime) {
-                stopJobTask(c, j.resumes() ? j.saveS() + 1 : 0, "notice");
+                stopTaskOrGang(c, j.resumes() ? j.saveS() + 1 : 0, "notice");
             }
         }
     }
 
     // ---- offers
 
-    private boolean usable(Machine m) {
-        return fit(m) && shownToHear(m);
+    private boolean isUsable(Machine m) {
+        return isUsableOnceConfirmed(m) && isConfirmedReachable(m);
     }
 
     /** Whether a machine's worker has shown that it hears us as its owner. */
-    private boolean shownToHear(Machine m) {
-        return m.token >= membership.term(m.shard) && m.hears;
+    private boolean isConfirmedReachable(Machine m) {
+        return m.fencingToken >= membership.term(m.shard) && m.receivesResponses;
     }
 
     /** Whether nothing but the evidence that its worker hears us keeps a machine from getting tasks. */
-    private boolean fit(Machine m) {
+    private boolean isUsableOnceConfirmed(Machine m) {
         long now = effects.now();
-        return m.heardAt >= 0
+        return m.lastMessageAtMs >= 0
                 && membership.owns(m.shard)
-                && !m.condemned
-                && !m.leaving
-                && !m.gone
-                && m.noticeAt < 0
-                && m.session != m.deadSession
-                && commands.reporting(m, now)
-                && now >= m.quarantineUntil;
+                && !m.faulty
+                && !m.beingReturned
+                && !m.deleted
+                && m.interruptionAtMs < 0
+                && m.session != m.expiredSession
+                && commands.isReporting(m, now)
+                && now >= m.quarantineUntilMs;
     }
 
     /** Checks a task offered to one of our machines and keeps room for it; returns why not, or null. */
     public String reserve(JobSpec j, int task, String machine, long session, boolean makesRoom) {
         Machine m = machines.get(machine);
-        if (m == null || !usable(m)) {
+        if (m == null || !isUsable(m)) {
             return "not usable";
         }
         if (m.session != session) {
             return "other session";
         }
-        if (m.errorJobs.containsKey(j.id())) {
+        if (m.errorsByJob.containsKey(j.id())) {
             return "failed here";
         }
         String key = j.id() + "/" + task;
-        for (Entry e : m.entries.values()) {
-            if (e.key().equals(key) && !e.exited()) {
+        for (ReportedTask e : m.reportedTasks.values()) {
+            if (e.taskKey().equals(key) && !e.exited()) {
                 return "still here";
             }
         }
-        if (!room.fits(m, j, makesRoom)) {
+        if (!capacity.fits(m, j, makesRoom)) {
             return "no room";
         }
-        room.keep(m, key, j);
+        capacity.reserve(m, key, j);
         return null;
     }
 
     /** An accepted offer is called off: without this, gangs that found only part of their room kept it from each other. */
-    public void unreserve(String machine, String key) {
+    public void cancelReservation(String machine, String key) {
         Machine m = machines.get(machine);
         if (m != null) {
-            m.reserved.remove(key);
+            m.reservations.remove(key);
         }
     }
 
     /** The autoscaler wants to return a machine: agreed only if nothing is or may come to be on it. */
-    public boolean retire(String machine, boolean withTasks) {
+    public boolean prepareReturn(String machine, boolean withTasks) {
         Machine m = machines.get(machine);
         if (m == null || !membership.owns(m.shard)) {
             return false;
         }
         // Without this, one old reservation kept a machine rented for good.
-        room.forgetReservations(m);
-        if (m.condemned || view.claims(machine).isEmpty() && m.reserved.isEmpty()) {
-            m.leaving = true;
+        capacity.pruneReservations(m);
+        if (m.faulty || view.claims(machine).isEmpty() && m.reservations.isEmpty()) {
+            m.beingReturned = true;
             return true;
         }
-        if (withTasks && m.reserved.isEmpty()) {
-            m.leaving = true;
+        if (withTasks && m.reservations.isEmpty()) {
+            m.beingReturned = true;
         }
         return false;
     }
 
     /** The cloud confirmed that a machine is gone: proof for all that was on it. */
-    public void gone(String machine) {
+    public void onMachineDeleted(String machine) {
         Machine m = machines.get(machine);
         if (m != null) {
-            m.gone = true;
+            m.deleted = true;
         }
-        tombstones.gone(machine);
+        tombstones.recordDeletion(machine);
         for (Claim c : List.copyOf(view.claims(machine).values())) {
             if (membership.owns(c.shard())) {
-                release(c, Outcomes.Kind.LOST, "machine gone");
+                releaseClaim(c, OutcomeRecorder.Outcome.LOST, "machine gone");
             }
         }
     }
@@ -596,27 +610,27 @@
 
     public void tick() {
         long now = effects.now();
-        if (now - lastTick > STILL_MS) {
-            listeningFrom = now;
+        if (now - lastTickMs > PAUSE_THRESHOLD_MS) {
+            listeningSinceMs = now;
         }
-        lastTick = now;
+        lastTickMs = now;
         if (!store.loaded()) {
             return;
         }
         outcomes.tick();
-        if (now < nextSweep) {
+        if (now < nextSweepMs) {
             return;
         }
-        nextSweep = now + 500;
-        boolean sweepLeases = now >= nextLeaseSweep;
+        nextSweepMs = now + 500;
+        boolean sweepLeases = now >= nextLeaseSweepMs;
         if (sweepLeases) {
-            nextLeaseSweep = now + terms.sweepMs();
+            nextLeaseSweepMs = now + leaseSettings.sweepIntervalMs();
         }
         for (String name : List.copyOf(view.claimedMachines())) {
             Map<String, Claim> claims = view.claims(name);
             Claim any = claims.isEmpty() ? null : claims.values().iterator().next();
             if (any != null && membership.owns(any.shard())) {
-                watchSilence(machine(name, any.shard()), now);
+                releaseIfLeaseOver(findOrCreate(name, any.shard()), now);
             }
         }
         for (Machine m : List.copyOf(machines.values())) {
@@ -628,50 +642,52 @@
                 // Between two owners: what is known must not be forgotten, loose commands above all.
                 continue;
             }
-            if (m.heardAt >= 0
-                            && now - m.heardAt > 120_000
+            if (m.lastMessageAtMs >= 0
+                            && now - m.lastMessageAtMs > 120_000
                             && view.claims(m.name).isEmpty()
-                    || m.gone && view.claims(m.name).isEmpty() && now - m.heardAt > 30_000) {
-                tombstones.leaves(m);
+                    || m.deleted && view.claims(m.name).isEmpty() && now - m.lastMessageAtMs > 30_000) {
+                tombstones.recordRemoval(m);
                 machines.remove(m.name);
                 continue;
             }
             if (sweepLeases) {
-                sweep(m, now);
+                expireLeases(m, now);
             }
-            if (m.judgeAt >= 0 && now >= m.judgeAt) {
-                judge(m);
+            if (m.faultCheckAtMs >= 0 && now >= m.faultCheckAtMs) {
+                checkForFault(m);
             }
-            if (m.noticeAt >= 0) {
+            if (m.interruptionAtMs >= 0) {
                 drain(m, now);
             }
-            if (m.leaving) {
-                move(m);
+            if (m.beingReturned) {
+                moveNextReplica(m);
             }
-            if (!m.stops.isEmpty() || hasUnstarted(m) || reachability.doubtful(m, membership.term(m.shard))) {
-                commands.push(m);
+            if (!m.stopRequests.isEmpty()
+                    || hasUnstartedClaims(m)
+                    || reachability.needsProbe(m, membership.term(m.shard))) {
+                commands.sendCommands(m);
             }
         }
     }
 
     /** Replicas leave a machine that is to be returned one at a time, so that only one is down at any moment. */
-    private void move(Machine m) {
+    private void moveNextReplica(Machine m) {
         for (Claim c : view.claims(m.name).values()) {
-            if (m.stops.containsKey(c.attemptKey())) {
+            if (m.stopRequests.containsKey(c.attemptKey())) {
                 return;
             }
         }
         for (Claim c : view.claims(m.name).values()) {
-            if (c.job().spec.service() && m.entries.containsKey(c.attemptKey())) {
-                wishStop(c, 0, "moves");
+            if (c.job().spec.service() && m.reportedTasks.containsKey(c.attemptKey())) {
+                requestStop(c, 0, "moves");
                 return;
             }
         }
     }
 
-    private boolean hasUnstarted(Machine m) {
+    private boolean hasUnstartedClaims(Machine m) {
         for (Claim c : view.claims(m.name).values()) {
-            if (!m.entries.containsKey(c.attemptKey())) {
+            if (!m.reportedTasks.containsKey(c.attemptKey())) {
                 return true;
             }
         }
@@ -679,35 +695,35 @@
     }
 
     /** The paper's sweep: lapsed leases are stopped, counted, and go elsewhere once the machine confirms. */
-    private void sweep(Machine m, long now) {
+    private void expireLeases(Machine m, long now) {
         for (Claim c : view.claims(m.name).values()) {
-            Run run = m.runs.get(c.attemptKey());
-            if (run != null && run.lease.lapsed(now)) {
-                lapsed(m, c, run);
+            AttemptState run = m.attempts.get(c.attemptKey());
+            if (run != null && run.lease.expired(now)) {
+                onLeaseExpired(m, c, run);
             }
         }
     }
 
     /** A worker drops its tasks once its lease is over ({@link WorkerLease}); until then a silent machine keeps its claims. */
-    private void watchSilence(Machine m, long now) {
-        if (now < leaseEnd(m)) {
+    private void releaseIfLeaseOver(Machine m, long now) {
+        if (now < leaseEndMs(m)) {
             return;
         }
-        if (m.deadSession != m.session) {
-            m.deadSession = m.session;
+        if (m.expiredSession != m.session) {
+            m.expiredSession = m.session;
             LOG.info(
                     "lease over machine={} session={} term={} owned_ms={} {}",
                     m.name,
                     m.session,
                     membership.term(m.shard),
                     now - membership.ownedSinceMs(m.shard),
-                    m.workerLease.evidence(now));
+                    m.workerLease.logFields(now));
         }
         for (Claim c : List.copyOf(view.claims(m.name).values())) {
             if (m.session == 0 || c.session() <= m.session) {
-                remember(m, c, m.heardAt >= 0);
-                checks.releaseOfSilent(c, m);
-                release(c, Outcomes.Kind.SILENT, "worker's lease over");
+                rememberImage(m, c, m.lastMessageAtMs >= 0);
+                safetyChecks.checkReleaseOfSilent(c, m);
+                releaseClaim(c, OutcomeRecorder.Outcome.SILENT, "worker's lease over");
             }
         }
     }
@@ -716,28 +732,28 @@
      * Whether what a machine shows tells of now. Before its worker has heard us it may be a copy from before its lease was over; and what
      * comes in a session that was already over was held back on its way.
      */
-    private boolean tells(Machine m) {
-        return m.token >= membership.term(m.shard) && m.session != m.deadSession;
+    private boolean isCurrent(Machine m) {
+        return m.fencingToken >= membership.term(m.shard) && m.session != m.expiredSession;
     }
 
     /** When the worker of a machine of ours has certainly dropped its tasks, or {@link WorkerLease#NEVER}. */
-    private long leaseEnd(Machine m) {
-        return m.workerLease.endsBy(
+    private long leaseEndMs(Machine m) {
+        return m.workerLease.certainEndMs(
                 membership.term(m.shard),
                 new WorkerLease.Ownership(membership.ownedSinceMs(m.shard), membership.fencedAtMs(m.shard)));
     }
 
-    public List<MachineStatus> pictures() {
+    public List<MachineStatus> statuses() {
         long now = effects.now();
         List<MachineStatus> l = new ArrayList<>();
         for (Machine m : machines.values()) {
-            if (m.heardAt < 0 || m.gone || !membership.owns(m.shard)) {
+            if (m.lastMessageAtMs < 0 || m.deleted || !membership.owns(m.shard)) {
                 continue;
             }
-            room.forgetReservations(m);
+            capacity.pruneReservations(m);
             int silentMs = silentMs(m, now);
-            boolean fit = fit(m);
-            boolean hears = shownToHear(m);
+            boolean fit = isUsableOnceConfirmed(m);
+            boolean hears = isConfirmedReachable(m);
             l.add(new MachineStatus(
                     m.name,
                     m.type,
@@ -747,15 +763,15 @@
                     m.shard,
                     fit && hears,
                     fit && !hears && silentMs == 0,
-                    m.condemned,
-                    m.leaving,
+                    m.faulty,
+                    m.beingReturned,
                     silentMs,
-                    m.idleSince,
+                    m.idleSinceMs,
                     m.speed.value(),
-                    room.stray(m),
-                    fetching(m, now),
-                    m.images.stream().mapToInt(i -> i).toArray(),
-                    m.reserved.isEmpty() ? List.of() : List.copyOf(m.reserved.keySet())));
+                    capacity.unclaimedUse(m),
+                    fetchingImages(m, now),
+                    m.cachedImages.stream().mapToInt(i -> i).toArray(),
+                    m.reservations.isEmpty() ? List.of() : List.copyOf(m.reservations.keySet())));
         }
         return l;
     }
@@ -765,22 +781,22 @@
      * deleted those that had something to do.
      */
     private int silentMs(Machine m, long now) {
-        return (int) Math.min(reachability.silentMs(m, commands.reporting(m, now), now), now - listeningFrom);
+        return (int) Math.min(reachability.silentMs(m, commands.isReporting(m, now), now), now - listeningSinceMs);
     }
 
     /** Images being fetched, each with the ms that it should still take: image, ms, image, ms. */
-    private int[] fetching(Machine m, long now) {
+    private int[] fetchingImages(Machine m, long now) {
         Map<Integer, Integer> left = new LinkedHashMap<>();
         for (Claim c : view.claims(m.name).values()) {
-            Entry e = m.entries.get(c.attemptKey());
-            Run run = m.runs.get(c.attemptKey());
+            ReportedTask e = m.reportedTasks.get(c.attemptKey());
+            AttemptState run = m.attempts.get(c.attemptKey());
             int image = c.job().spec.image();
-            if (m.images.contains(image) || e != null && e.phase() != Entry.Phase.FETCHING) {
+            if (m.cachedImages.contains(image) || e != null && e.phase() != ReportedTask.Phase.FETCHING) {
                 continue;
             }
-            long ms = run == null || run.fetchUntil < 0
-                    ? fetchMs(m, c.job().spec)
-                    : Math.max(1_000, run.fetchUntil - now);
+            long ms = run == null || run.fetchEndMs < 0
+                    ? expectedFetchMs(m, c.job().spec)
+                    : Math.max(1_000, run.fetchEndMs - now);
             left.merge(image, (int) ms, Math::min);
         }
         int[] flat = new int[left.size() * 2];
--- a/src/test/java/birchusher/LeaseTraceTest.java
+++ b/src/test/java/birchusher/LeaseTraceTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import birchusher.lease.LeaseTerms;
+import birchusher.lease.EstimateBias;
+import birchusher.lease.LeaseSettings;
 import birchusher.lease.MachineSpeed;
-import birchusher.lease.Speeds;
 import birchusher.lease.TaskLease;
 import java.io.IOException;
 import java.io.InputStream;
@@ -19,7 +19,7 @@
         try (InputStream in = getClass().getResourceAsStream("/traces/lease.txt")) {
             text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
-        LeaseTerms terms = new LeaseTerms(90_000, 30_000, 4, 5_000);
+        LeaseSettings terms = new LeaseSettings(90_000, 30_000, 4, 5_000);
         TaskLease lease = null;
         String title = "";
         int checks = 0;
@@ -30,20 +30,21 @@
                 title = line.substring(3);
             } else if (w[0].equals("start")) {
                 long fetch = Long.parseLong(w[1]) * 1000;
-                long cap =
-                        w[2].equals("-") ? Long.MAX_VALUE : Math.max(terms.base(fetch), Long.parseLong(w[2]) * 4_000);
+                long cap = w[2].equals("-")
+                        ? Long.MAX_VALUE
+                        : Math.max(terms.initialMs(fetch), Long.parseLong(w[2]) * 4_000);
                 lease = new TaskLease(terms, 0, fetch, cap);
             } else if (!line.isBlank() && !line.startsWith("#")) {
                 long t = Long.parseLong(w[0]) * 1000;
                 switch (w[1]) {
-                    case "listed" -> assertThat(lease.report(t, w[2].equals("running")))
+                    case "listed" -> assertThat(lease.renew(t, w[2].equals("running")))
                             .as(where)
                             .hasToString(w[4]);
-                    case "lapsed" -> assertThat(lease.lapsed(t)).as(where).isTrue();
-                    case "alive" -> assertThat(lease.lapsed(t)).as(where).isFalse();
+                    case "lapsed" -> assertThat(lease.expired(t)).as(where).isTrue();
+                    case "alive" -> assertThat(lease.expired(t)).as(where).isFalse();
                     case "at-cap" -> {
                         assertThat(lease.atCap(t)).as(where).isTrue();
-                        assertThat(lease.lapsed(t)).as(where).isFalse();
+                        assertThat(lease.expired(t)).as(where).isFalse();
                     }
                     default -> throw new IllegalArgumentException(line);
                 }
@@ -55,7 +56,7 @@
 
     @Test
     void wrongEstimatesOfAClassDoNotMakeMachinesLookSlow() {
-        Speeds speeds = new Speeds();
+        EstimateBias speeds = new EstimateBias();
         MachineSpeed good = new MachineSpeed();
         MachineSpeed bad = new MachineSpeed();
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/birchusher/PlannerTest.java
+++ b/src/test/java/birchusher/PlannerTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import birchusher.lease.Hazards;
-import birchusher.lease.LeaseTerms;
-import birchusher.lease.Speeds;
+import birchusher.lease.EstimateBias;
+import birchusher.lease.LeaseSettings;
+import birchusher.lease.LossRates;
 import birchusher.model.Catalog;
 import birchusher.placement.Planner;
 import birchusher.placement.Slot;
@@ -35,10 +35,17 @@
             .replace("\"gpus\":4,\"gpus_max\":8", "\"gpus\":2,\"gpus_max\":8")
             .getBytes(StandardCharsets.UTF_8)));
     private final StoreView view = new StoreView(catalog, new JobCodec(catalog));
-    private final Hazards hazards = new Hazards();
+    private final LossRates hazards = new LossRates();
     private final LostTasks losses = new LostTasks(10_000, 1);
     private final Planner planner = new Planner(
-            catalog, view, new Speeds(), hazards, losses, new LeaseTerms(90_000, 30_000, 4, 5_000), List.of(), 150);
+            catalog,
+            view,
+            new EstimateBias(),
+            hazards,
+            losses,
+            new LeaseSettings(90_000, 30_000, 4, 5_000),
+            List.of(),
+            150);
     private final Catalog.Type type =
             new Catalog.Type(catalog.typeNames.add("g4"), "g4", 8, 4, 64, 50, 1, 4, 1, 40, new int[] {0, 1});
     private long revision;
@@ -97,8 +104,8 @@
     @Test
     void longTasksKeepOffMachinesWhoseTasksAreOftenLostAndShortOnesNeedNot() {
         for (int i = 0; i < 100; i++) {
-            hazards.observe(Hazards.kind(type.index(), true), 200, true, 0);
-            hazards.observe(Hazards.kind(type.index(), false), 200, false, 0);
+            hazards.observe(LossRates.kind(type.index(), true), 200, true, 0);
+            hazards.observe(LossRates.kind(type.index(), false), 200, false, 0);
         }
         Slot taken = new Slot(
                 "spot", type, 0, true, 1, 0, 1, new int[0], new int[] {catalog.images.add("img-1")}, 0, true, 8, 4, 64);
--- a/src/test/java/birchusher/workers/FaultsTest.java
+++ b/src/test/java/birchusher/workers/ErrorAttributionTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Seen in the plants' incident: eleven jobs submitted with a mistake made 404 errors, and each left a machine idle for ten seconds. */
-class FaultsTest {
+class ErrorAttributionTest {
     private final Catalog catalog =
             new Catalog(SettingsReader.read(TestJobs.SETTINGS.getBytes(StandardCharsets.UTF_8)));
     private final StoreView view = new StoreView(catalog, new JobCodec(catalog));
-    private final Faults faults = new Faults();
-    private final Machine a = new Machine("a", 0, 10);
-    private final Machine b = new Machine("b", 0, 10);
+    private final ErrorAttribution attribution = new ErrorAttribution();
+    private final Machine firstMachine = new Machine("a", 0, 10);
+    private final Machine secondMachine = new Machine("b", 0, 10);
     private long revision;
 
     private Job job(String id) {
@@ -32,36 +32,36 @@
     }
 
     @Test
-    void aJobThatFailsOnSeveralMachinesSpeaksAgainstItselfUntilOneOfItsTasksEndsWell() {
+    void aJobThatFailsOnSeveralMachinesIsBlamedUntilOneOfItsTasksSucceeds() {
         Job bad = job("wk-bad");
-        faults.failed(bad, a);
-        assertThat(faults.against(a, view::job)).isEqualTo(1);
-        assertThat(faults.failed(bad, b)).containsExactlyInAnyOrder("a", "b");
-        assertThat(faults.against(a, view::job)).isZero();
-        assertThat(faults.against(b, view::job)).isZero();
+        attribution.recordError(bad, firstMachine);
+        assertThat(attribution.countJobsAgainst(firstMachine, view::job)).isEqualTo(1);
+        assertThat(attribution.recordError(bad, secondMachine)).containsExactlyInAnyOrder("a", "b");
+        assertThat(attribution.countJobsAgainst(firstMachine, view::job)).isZero();
+        assertThat(attribution.countJobsAgainst(secondMachine, view::job)).isZero();
         view.put(Keys.placement("wk-bad", 0), new HashMap<>(Map.of("a", 3L, "d", "1", "c", "")), ++revision);
         assertThat(bad.doneCount()).as("a task ended well").isEqualTo(1);
-        assertThat(faults.against(a, view::job)).isEqualTo(1);
+        assertThat(attribution.countJobsAgainst(firstMachine, view::job)).isEqualTo(1);
     }
 
     @Test
-    void brokenJobsCondemnNoMachineAndAFaultyMachineIsFoundAmongThem() {
+    void jobsThatFailEverywhereBlameNoMachineAndAFaultyMachineIsStillDetected() {
         for (String id : new String[] {"wk-x", "wk-y", "wk-z"}) {
-            faults.failed(job(id), a);
-            faults.failed(view.job(id), b);
+            attribution.recordError(job(id), firstMachine);
+            attribution.recordError(view.job(id), secondMachine);
         }
-        assertThat(faults.condemns(a, view::job)).isFalse();
-        faults.failed(job("wk-fine"), b);
-        assertThat(faults.condemns(b, view::job))
+        assertThat(attribution.isFaulty(firstMachine, view::job)).isFalse();
+        attribution.recordError(job("wk-fine"), secondMachine);
+        assertThat(attribution.isFaulty(secondMachine, view::job))
                 .as("four jobs, and nothing ended well between them")
                 .isTrue();
         Machine c = new Machine("c", 0, 10);
-        faults.failed(view.job("wk-fine"), c);
-        faults.failed(job("wk-good"), c);
-        assertThat(faults.condemns(c, view::job))
+        attribution.recordError(view.job("wk-fine"), c);
+        attribution.recordError(job("wk-good"), c);
+        assertThat(attribution.isFaulty(c, view::job))
                 .as("one of the two failed elsewhere as well")
                 .isFalse();
-        faults.failed(job("wk-too"), c);
-        assertThat(faults.condemns(c, view::job)).isTrue();
+        attribution.recordError(job("wk-too"), c);
+        assertThat(attribution.isFaulty(c, view::job)).isTrue();
     }
 }
