--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -17,7 +17,7 @@
 import birchusher.mesh.PeerCodec;
 import birchusher.mesh.PeerRecord;
 import birchusher.model.Catalog;
-import birchusher.placement.Driver;
+import birchusher.placement.JobScheduler;
 import birchusher.placement.Planner;
 import birchusher.placement.Slot;
 import birchusher.recovery.ActionCounters;
@@ -60,7 +60,7 @@
     private final JobApi jobApi;
     private final Listing listing;
     private final Planner planner;
-    private final Driver jobScheduler;
+    private final JobScheduler jobScheduler;
     private final Autoscaler autoscaler;
     private final Counters counters = new Counters();
     private final MachineStatusExchange statusExchange;
@@ -86,7 +86,7 @@
         store = new StoreClient(effects, view, s, t);
         membership = new Membership(effects, s, catalog, view, store, t);
         EstimateBias speeds = new EstimateBias();
-        Driver[] later = new Driver[1];
+        JobScheduler[] later = new JobScheduler[1];
         statusExchange = new MachineStatusExchange(effects, catalog, membership);
         membership.reachesWorkers(statusExchange::ownerReachesZone);
         long patience = Inventory.reconnectTimeMs(
@@ -107,7 +107,7 @@
                 statusExchange,
                 actionCounters,
                 (job, grace, reason) -> later[0].stopGang(job, grace, reason),
-                id -> later[0].last().guaranteed().contains(id));
+                id -> later[0].lastPlan().guaranteedJobs().contains(id));
         LossRates hazards = new LossRates();
         Events events = new Events();
         view.setClaimListeners(
@@ -135,7 +135,7 @@
                 s.objectives(),
                 t.num("placement.begin-by-s"));
         inventory = new Inventory(view, patience);
-        jobScheduler = new Driver(
+        jobScheduler = new JobScheduler(
                 effects,
                 s,
                 catalog,
@@ -167,8 +167,8 @@
                 t,
                 this::requestReturn,
                 workerRegistry::onMachineDeleted,
-                jobScheduler::slots,
-                jobScheduler::runningFor);
+                jobScheduler::freeSlots,
+                jobScheduler::runningMs);
     }
 
     // ---- inputs
@@ -234,7 +234,7 @@
         workerRegistry.tick();
         jobApi.tick();
         lostTasks.tick(now);
-        boolean plan = jobScheduler.due();
+        boolean plan = jobScheduler.planDue();
         if (plan || now >= nextStatusUpdateMs) {
             nextStatusUpdateMs = now + 250;
             ownStatuses = workerRegistry.statuses();
@@ -244,7 +244,7 @@
         if (plan) {
             jobScheduler.tick(statusExchange.statuses(), this::upcomingSlots);
         }
-        autoscaler.tick(statusExchange.statuses(), jobScheduler.last());
+        autoscaler.tick(statusExchange.statuses(), jobScheduler.lastPlan());
         if (now >= nextHeartbeatMs) {
             nextHeartbeatMs = now + HEARTBEAT_INTERVAL_MS;
             sendHeartbeat();
@@ -261,7 +261,7 @@
                     statusExchange.statuses().size(),
                     counters.logText(),
                     store.logText(),
-                    jobScheduler.line(),
+                    jobScheduler.logText(),
                     inventory.phase(),
                     inventory.open(),
                     view.releasedClaimCount(),
@@ -385,13 +385,13 @@
             statusExchange.onHeartbeat(from, h);
             h.deletedMachines().forEach(workerRegistry::onMachineDeleted);
         } else if (r instanceof PeerRecord.Offer o) {
-            send(from, jobScheduler.judge(o));
+            send(from, jobScheduler.evaluateOffer(o));
         } else if (r instanceof PeerRecord.WithdrawnOffer o) {
-            jobScheduler.calledOff(o);
+            jobScheduler.releaseReservations(o);
         } else if (r instanceof PeerRecord.OfferReply v) {
-            jobScheduler.verdict(v);
+            jobScheduler.handleReply(v);
         } else if (r instanceof PeerRecord.StopRequest s) {
-            jobScheduler.stopAsked(s);
+            jobScheduler.handleStop(s);
         } else if (r instanceof PeerRecord.ReturnRequest x) {
             send(
                     from,
@@ -436,9 +436,9 @@
         List<Slot> l = autoscaler.coming(statusExchange.statuses());
         long now = effects.now();
         for (MachineStatus p : statusExchange.statuses().values()) {
-            Catalog.Type t = catalog.type(p.type());
+            Catalog.MachineType t = catalog.type(p.type());
             if (p.pendingConfirmation() && t != null) {
-                l.add(Slot.arriving(p, t, view.capacityUsedOn(p.machine())));
+                l.add(Slot.ofArrivingMachine(p, t, view.capacityUsedOn(p.machine())));
             }
             if (!p.usable() || t == null) {
                 continue;
@@ -448,14 +448,16 @@
             double mem = 0;
             long eta = 0;
             for (Claim c : view.claims(p.machine()).values()) {
-                long end = jobScheduler.expectedEnd(c);
-                if (end == Long.MAX_VALUE || end > now + t.soonMs() || !c.job().isPlaced(c.task())) {
+                long end = jobScheduler.expectedEndMs(c);
+                if (end == Long.MAX_VALUE
+                        || end > now + t.rentBreakEvenMs()
+                        || !c.job().isPlaced(c.task())) {
                     continue;
                 }
                 eta = Math.max(eta, Math.max(1_000, end - now));
                 cpus += c.job().spec.cpus();
                 gpus += c.job().spec.gpus();
-                mem += c.job().spec.mem();
+                mem += c.job().spec.memoryGb();
             }
             if (eta > 0) {
                 l.add(Slot.of(p, t, p.shard(), eta, false, new double[] {cpus, gpus, mem}));
--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -252,12 +252,12 @@
     }
 
     private void learn(List<?> list) {
-        List<Catalog.Type> types = new ArrayList<>();
+        List<Catalog.MachineType> types = new ArrayList<>();
         for (Object o : list) {
             types.add(Catalog.type(catalog.typeNames, catalog.zones, Fields.map(o, "type"), Wire.TYPE_FIELDS));
         }
         boolean first = !catalog.typesKnown();
-        catalog.learn(types);
+        catalog.addTypes(types);
         if (first) {
             LOG.info("{} machine types known", types.size());
         }
@@ -362,7 +362,7 @@
     public List<Slot> coming(Map<String, MachineStatus> pictures) {
         List<Slot> l = new ArrayList<>();
         for (Ask a : asks()) {
-            Catalog.Type t = catalog.type(a.type());
+            Catalog.MachineType t = catalog.type(a.type());
             int n = a.hosts() == null ? a.count() : a.hosts().size();
             double ageS = Math.max(0, (effects.wallTime() - a.at()) / 1000.0);
             int kind = kind(a.type(), a.zone(), a.spot());
@@ -387,7 +387,7 @@
                             false,
                             t.cpus(),
                             t.gpus(),
-                            t.mem()));
+                            t.memoryGb()));
                 }
             }
         }
@@ -547,10 +547,10 @@
         });
         int opened = 0;
         int expected = returning.getAsInt();
-        for (Planner.Unplaced u : plan.wanted(effects.wallTime())) {
+        for (Planner.UnplacedTasks u : plan.rentalDemand(effects.wallTime())) {
             JobSpec s = u.job().spec;
             Map<Integer, Integer> zones = tasksByZone(u.job());
-            Demand.Of may = demand.of(u.job(), u.tasks(), effects.wallTime());
+            Demand.Of may = demand.of(u.job(), u.taskCount(), effects.wallTime());
             int spared = Math.min(may.tasks(), expected);
             expected -= spared;
             for (int n = spared; n < Math.min(may.tasks(), 400); n++) {
@@ -559,11 +559,11 @@
                     double[] r = room.get(i);
                     Kind k = kinds.get(i);
                     if (s.allowsZone(zones, k.zone)
-                            && s.allows(k.type)
-                            && (!k.spot || s.spot())
-                            && r[0] >= s.cpus() - Catalog.EPS
-                            && r[1] >= s.gpus() - Catalog.EPS
-                            && r[2] >= s.mem() - Catalog.EPS) {
+                            && s.allowsType(k.type)
+                            && (!k.spot || s.allowsSpot())
+                            && r[0] >= s.cpus() - Catalog.EPSILON
+                            && r[1] >= s.gpus() - Catalog.EPSILON
+                            && r[2] >= s.memoryGb() - Catalog.EPSILON) {
                         at = i;
                     }
                 }
@@ -572,8 +572,8 @@
                     if (k == null || opened >= 100) {
                         break;
                     }
-                    Catalog.Type t = catalog.type(k.type);
-                    room.add(new double[] {t.cpus(), t.gpus(), t.mem()});
+                    Catalog.MachineType t = catalog.type(k.type);
+                    room.add(new double[] {t.cpus(), t.gpus(), t.memoryGb()});
                     kinds.add(k);
                     wanted.merge(k, 1, Integer::sum);
                     perZone[k.zone]++;
@@ -584,7 +584,7 @@
                 double[] r = room.get(at);
                 r[0] -= s.cpus();
                 r[1] -= s.gpus();
-                r[2] -= s.mem();
+                r[2] -= s.memoryGb();
             }
         }
         if (!wanted.isEmpty()) {
@@ -597,31 +597,31 @@
      * waiting task from.
      */
     private Map<Integer, Integer> tasksByZone(Job job) {
-        return Planner.zones(job, membership::zoneOf, job.chunks::get, claim -> !job.isPlaced(claim.task()));
+        return Planner.tasksByZone(job, membership::zoneOf, job.chunks::get, claim -> !job.isPlaced(claim.task()));
     }
 
     /** The cheapest kind of machine per task that is not known to be sold out; among equals the emptiest zone. */
     private Kind choose(JobSpec s, Map<Integer, Integer> tasksByZone, int[] perZone, boolean spotOnly) {
         Kind best = null;
         double bestPrice = Double.MAX_VALUE;
-        for (Catalog.Type t : catalog.types()) {
-            if (!s.allows(t.index()) || !t.fits(s)) {
+        for (Catalog.MachineType t : catalog.types()) {
+            if (!s.allowsType(t.index()) || !t.fits(s)) {
                 continue;
             }
             double fit = t.cpus() / Math.max(1e-9, s.cpus());
             fit = s.gpus() > 0 ? Math.min(fit, t.gpus() / s.gpus()) : fit;
-            fit = Math.max(1, Math.floor(s.mem() > 0 ? Math.min(fit, t.mem() / s.mem()) : fit));
+            fit = Math.max(1, Math.floor(s.memoryGb() > 0 ? Math.min(fit, t.memoryGb() / s.memoryGb()) : fit));
             for (int zone : t.zones()) {
                 if (!s.allowsZone(tasksByZone, zone)) {
                     continue;
                 }
-                for (int spot = s.spot() ? 1 : 0; spot >= (spotOnly ? 1 : 0); spot--) {
+                for (int spot = s.allowsSpot() ? 1 : 0; spot >= (spotOnly ? 1 : 0); spot--) {
                     Kind k = new Kind(t.index(), zone, spot == 1);
                     if (refusedUntil.containsKey(k)) {
                         continue;
                     }
                     // What mostly does not come up is tried less, and tried again: a few that come make up for it.
-                    double price = (k.spot ? t.spotPrice() * 1.1 : t.price())
+                    double price = (k.spot ? t.spotPricePerHour() * 1.1 : t.pricePerHour())
                                     / fit
                                     / Math.max(MIN_SHARE, boots.share(kind(k.type, k.zone, k.spot)))
                             + perZone[zone] * 1e-4;
@@ -706,13 +706,13 @@
      * the present jobs need.
      */
     private double linger(MachineStatus p) {
-        Catalog.Type t = catalog.type(p.type());
+        Catalog.MachineType t = catalog.type(p.type());
         if (t == null) {
             return 60_000;
         }
         double fetch = meanImageGb / t.fetchGbPerS();
         // Waiting is dear on dear machines: cheap ones stay longer, dear ones go sooner.
-        double cheapness = t.spotPrice() > 0 ? Math.sqrt(t.price() / t.spotPrice()) : 1;
+        double cheapness = t.spotPricePerHour() > 0 ? Math.sqrt(t.pricePerHour() / t.spotPricePerHour()) : 1;
         return 1000 * (lingerBoot * t.bootS() + lingerFetch * fetch) * (p.spot() ? cheapness : 1 / cheapness);
     }
 
--- a/src/main/java/birchusher/fleet/Consolidation.java
+++ b/src/main/java/birchusher/fleet/Consolidation.java
@@ -106,15 +106,15 @@
 
     /** What returning a machine saves, for each replica that has to move. */
     private double worth(MachineStatus p) {
-        Catalog.Type t = catalog.type(p.type());
-        return (p.spot() ? t.spotPrice() : t.price())
+        Catalog.MachineType t = catalog.type(p.type());
+        return (p.spot() ? t.spotPricePerHour() : t.pricePerHour())
                 / Math.max(1, view.claims(p.machine()).size());
     }
 
     /** Whether nothing but replicas runs there, each for long enough to be moved. */
     private boolean restless(MachineStatus p) {
         for (Claim c : view.claims(p.machine()).values()) {
-            if (!c.job().spec.service() || runningFor.applyAsLong(c) < moveAfterMs) {
+            if (!c.job().spec.isService() || runningFor.applyAsLong(c) < moveAfterMs) {
                 return false;
             }
         }
@@ -123,7 +123,7 @@
 
     /** Whether a machine's replicas find room and image elsewhere; if so, and asked to, that room is taken for them. */
     private boolean fitsElsewhere(MachineStatus p, List<Slot> slots, boolean take) {
-        Map<Slot, Slot.Mark> tried = new LinkedHashMap<>();
+        Map<Slot, Slot.Snapshot> tried = new LinkedHashMap<>();
         boolean all = true;
         for (Claim c : view.claims(p.machine()).values()) {
             JobSpec j = c.job().spec;
@@ -132,7 +132,7 @@
             for (Slot s : slots) {
                 if (s.fits(j)
                         && s.allows(j)
-                        && s.startDelay(j) <= 0
+                        && s.startDelayMs(j) <= 0
                         && (s.zone() == p.zone() || j.tasks() == 1)
                         && !s.machine().equals(p.machine())) {
                     to = s;
@@ -143,13 +143,13 @@
                 all = false;
                 break;
             }
-            tried.putIfAbsent(to, to.mark());
-            to.take(j);
+            tried.putIfAbsent(to, to.snapshot());
+            to.allocate(j);
         }
         if (all && take) {
             slots.removeIf(s -> s.machine().equals(p.machine()));
         } else {
-            tried.forEach(Slot::reset);
+            tried.forEach(Slot::restore);
         }
         return all;
     }
--- a/src/main/java/birchusher/fleet/Demand.java
+++ b/src/main/java/birchusher/fleet/Demand.java
@@ -39,9 +39,9 @@
             return new Of(tasks, false);
         }
         boolean waited = wall - j.acceptedAtMs > beginByMs;
-        if (spokenFor.contains(s.cls())) {
-            return new Of(tasks, s.spot() && !waited);
+        if (spokenFor.contains(s.jobClass())) {
+            return new Of(tasks, s.allowsSpot() && !waited);
         }
-        return new Of(!waited || j.hasStarted() ? 0 : s.gang() ? tasks : Math.min(1, tasks), s.spot());
+        return new Of(!waited || j.hasStarted() ? 0 : s.isGang() ? tasks : Math.min(1, tasks), s.allowsSpot());
     }
 }
--- a/src/main/java/birchusher/fleet/MachineList.java
+++ b/src/main/java/birchusher/fleet/MachineList.java
@@ -139,7 +139,7 @@
             running.add(machine);
         }
         double bootS = 60;
-        for (Catalog.Type t : catalog.types()) {
+        for (Catalog.MachineType t : catalog.types()) {
             bootS = Math.max(bootS, t.bootS());
         }
         long patience = Math.round(1000 * (state.equals("running") ? settings.leaseS() + 20 : bootS * giveUpBoots));
--- a/src/main/java/birchusher/fleet/Reserve.java
+++ b/src/main/java/birchusher/fleet/Reserve.java
@@ -58,12 +58,12 @@
         nextLook = now + LOOK_MS;
         lately.values().removeIf(s -> now - s.at > WINDOW_MS);
         for (Job j : view.jobs()) {
-            if (j.spec.manyGang() && startWithinS.containsKey(j.spec.cls()) && lately.size() < MAX_SEEN) {
+            if (j.spec.isMultiTaskGang() && startWithinS.containsKey(j.spec.jobClass()) && lately.size() < MAX_SEEN) {
                 lately.putIfAbsent(j.spec.id(), new Seen(j.spec, now));
             }
         }
         Map<Integer, List<JobSpec>> byClass = new HashMap<>();
-        lately.values().forEach(s -> byClass.computeIfAbsent(s.spec.cls(), k -> new ArrayList<>())
+        lately.values().forEach(s -> byClass.computeIfAbsent(s.spec.jobClass(), k -> new ArrayList<>())
                 .add(s.spec));
         Set<String> keep = new HashSet<>();
         byClass.values().forEach(l -> keepFor(l, pictures, keep));
@@ -81,14 +81,14 @@
         Map<Integer, Integer> places = new HashMap<>();
         double bootS = 0;
         for (MachineStatus p : pictures.values()) {
-            Catalog.Type t = catalog.type(p.type());
+            Catalog.MachineType t = catalog.type(p.type());
             if (!p.usable()
                     || t == null
-                    || !largest.allows(t.index())
+                    || !largest.allowsType(t.index())
                     || !t.fits(largest)
-                    || p.spot() && !largest.spot()
+                    || p.spot() && !largest.allowsSpot()
                     || largest.zone() >= 0 && largest.zone() != p.zone()
-                    || t.bootS() <= startWithinS.get(largest.cls())) {
+                    || t.bootS() <= startWithinS.get(largest.jobClass())) {
                 continue;
             }
             bootS = Math.max(bootS, t.bootS());
@@ -124,21 +124,21 @@
     }
 
     /** For how many such tasks a machine has room, or would have once work that yields has left. */
-    private int places(MachineStatus p, Catalog.Type t, JobSpec s) {
+    private int places(MachineStatus p, Catalog.MachineType t, JobSpec s) {
         double cpus = t.cpus();
         double gpus = t.gpus();
-        double mem = t.mem();
+        double mem = t.memoryGb();
         for (Claim c : view.claims(p.machine()).values()) {
             JobSpec o = c.job().spec;
-            if (!o.yieldsTo(s, false, false)) {
+            if (!o.preemptibleBy(s, false, false)) {
                 cpus -= o.cpus();
                 gpus -= o.gpus();
-                mem -= o.mem();
+                mem -= o.memoryGb();
             }
         }
-        double n = s.cpus() > 0 ? (cpus + Catalog.EPS) / s.cpus() : s.tasks();
-        n = s.gpus() > 0 ? Math.min(n, (gpus + Catalog.EPS) / s.gpus()) : n;
-        n = s.mem() > 0 ? Math.min(n, (mem + Catalog.EPS) / s.mem()) : n;
+        double n = s.cpus() > 0 ? (cpus + Catalog.EPSILON) / s.cpus() : s.tasks();
+        n = s.gpus() > 0 ? Math.min(n, (gpus + Catalog.EPSILON) / s.gpus()) : n;
+        n = s.memoryGb() > 0 ? Math.min(n, (mem + Catalog.EPSILON) / s.memoryGb()) : n;
         return (int) Math.max(0, n);
     }
 }
--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -232,7 +232,8 @@
             effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
-        String why = bad != null ? bad.getMessage() : never != null ? never.getMessage() : catalog.misfit(spec);
+        String why =
+                bad != null ? bad.getMessage() : never != null ? never.getMessage() : catalog.unschedulableReason(spec);
         if (why != null) {
             // A repeat of an accepted id is answered with its state, whatever its body has become.
             int status = bad != null ? 400 : 422;
--- a/src/main/java/birchusher/jobs/Listing.java
+++ b/src/main/java/birchusher/jobs/Listing.java
@@ -98,7 +98,7 @@
         }
         Predicate<Job> wanted = j -> j.spec.id().compareTo(after) > 0
                 && (team == null || team.equals(catalog.teams.name(j.spec.team())))
-                && (cls == null || cls.equals(catalog.classes.name(j.spec.cls())));
+                && (cls == null || cls.equals(catalog.classes.name(j.spec.jobClass())));
         fresh(exchange, () -> {
             TreeMap<String, Map<String, Object>> rows = live(wanted, stage);
             if (ended) {
@@ -118,7 +118,7 @@
             Map<String, Object> m = new LinkedHashMap<>(jobApi.told(j));
             if (stage == null || stage.equals(m.get(Wire.STATE))) {
                 m.put(Wire.TEAM, catalog.teams.name(j.spec.team()));
-                m.put(Wire.CLASS, catalog.classes.name(j.spec.cls()));
+                m.put(Wire.CLASS, catalog.classes.name(j.spec.jobClass()));
                 rows.put(j.spec.id(), m);
             }
         }
--- a/src/main/java/birchusher/lease/LeaseSettings.java
+++ b/src/main/java/birchusher/lease/LeaseSettings.java
@@ -17,13 +17,13 @@
 
     /** How long after running start renewals are granted: never below the base; services have no cap. */
     public long capMs(JobSpec j, long fetchMs) {
-        return j.service()
+        return j.isService()
                 ? Long.MAX_VALUE
                 : Math.max(initialMs(fetchMs), Math.round(capFactor * j.estimateS() * 1000));
     }
 
     /** The gate: whether a machine of this speed is expected to finish a task of this run time within its cap. */
     public boolean fitsCap(JobSpec j, double expectedS, double speed) {
-        return j.service() || expectedS / Math.max(0.01, speed) * 1000 <= capMs(j, 0);
+        return j.isService() || expectedS / Math.max(0.01, speed) * 1000 <= capMs(j, 0);
     }
 }
--- a/src/main/java/birchusher/model/Catalog.java
+++ b/src/main/java/birchusher/model/Catalog.java
@@ -10,19 +10,19 @@
 /** The indices of every name the core uses, and the machine types once they are known. */
 public final class Catalog {
     /** One machine type. {@code zones} are indices; prices are per hour. */
-    public record Type(
+    public record MachineType(
             int index,
             String name,
             double cpus,
             double gpus,
-            double mem,
+            double memoryGb,
             double cacheGb,
             double fetchGbPerS,
-            double price,
-            double spotPrice,
+            double pricePerHour,
+            double spotPricePerHour,
             double bootS,
             int[] zones) {
-        public boolean in(int zone) {
+        public boolean offeredIn(int zone) {
             for (int z : zones) {
                 if (z == zone) {
                     return true;
@@ -32,17 +32,17 @@
         }
 
         /** Room that frees within this time is not worth a new machine. */
-        public double soonMs() {
+        public double rentBreakEvenMs() {
             return bootS * 700;
         }
 
         public boolean fits(JobSpec j) {
-            return j.cpus() <= cpus + EPS && j.gpus() <= gpus + EPS && j.mem() <= mem + EPS;
+            return j.cpus() <= cpus + EPSILON && j.gpus() <= gpus + EPSILON && j.memoryGb() <= memoryGb + EPSILON;
         }
     }
 
     /** Amounts are decimal numbers; sums of them need a little play. */
-    public static final double EPS = 1e-6;
+    public static final double EPSILON = 1e-6;
 
     public final NameIndex teams = new NameIndex();
     public final NameIndex zones;
@@ -50,15 +50,15 @@
     public final NameIndex images = new NameIndex();
     public final NameIndex classes = new NameIndex();
     public final NameIndex members = new NameIndex();
-    private final List<Settings.Team> teamList;
-    private Type[] types = new Type[0];
-    private boolean known;
+    private final List<Settings.Team> teamSettings;
+    private MachineType[] types = new MachineType[0];
+    private boolean typesKnown;
     private final Int2DoubleOpenHashMap imageGb = new Int2DoubleOpenHashMap();
 
     public Catalog(Settings s) {
         zones = new NameIndex(s.zones());
         s.teams().forEach(t -> teams.add(t.name()));
-        teamList = s.teams();
+        teamSettings = s.teams();
         members.add(s.member());
         s.peers().forEach(p -> members.add(p.member()));
         s.objectives().forEach(o -> {
@@ -69,11 +69,11 @@
     }
 
     public Settings.Team team(int i) {
-        return teamList.get(i);
+        return teamSettings.get(i);
     }
 
     /** Notes an image's size, as jobs tell it. */
-    public void imageSize(int image, double gb) {
+    public void setImageGb(int image, double gb) {
         imageGb.put(image, gb);
     }
 
@@ -82,27 +82,27 @@
     }
 
     public boolean typesKnown() {
-        return known;
+        return typesKnown;
     }
 
     /** Takes the machine types as the cloud, or another controller's row, tells them. Types are only added. */
-    public void learn(List<Type> list) {
-        for (Type t : list) {
+    public void addTypes(List<MachineType> list) {
+        for (MachineType t : list) {
             if (t.index() >= types.length) {
                 types = java.util.Arrays.copyOf(types, t.index() + 1);
             }
             types[t.index()] = t;
         }
-        known |= !list.isEmpty();
+        typesKnown |= !list.isEmpty();
     }
 
-    public Type type(int i) {
+    public MachineType type(int i) {
         return i >= 0 && i < types.length ? types[i] : null;
     }
 
-    public List<Type> types() {
-        List<Type> l = new ArrayList<>();
-        for (Type t : types) {
+    public List<MachineType> types() {
+        List<MachineType> l = new ArrayList<>();
+        for (MachineType t : types) {
             if (t != null) {
                 l.add(t);
             }
@@ -111,60 +111,62 @@
     }
 
     /** Why a job can never run here, or null. */
-    public String misfit(JobSpec j) {
+    public String unschedulableReason(JobSpec j) {
         boolean fits = false;
-        for (Type t : types()) {
-            fits |= j.allows(t.index()) && t.fits(j) && (j.zone() < 0 ? t.zones().length > 0 : t.in(j.zone()));
+        for (MachineType t : types()) {
+            fits |= j.allowsType(t.index())
+                    && t.fits(j)
+                    && (j.zone() < 0 ? t.zones().length > 0 : t.offeredIn(j.zone()));
         }
         if (!fits) {
             return "no allowed machine type fits a task";
         }
         Settings.Team team = team(j.team());
         int n = j.shape() == Shape.ARRAY ? 1 : j.tasks();
-        if (over(team.cpusMax(), n * j.cpus()) || over(team.gpusMax(), n * j.gpus())) {
+        if (exceeds(team.cpusMax(), n * j.cpus()) || exceeds(team.gpusMax(), n * j.gpus())) {
             return "more than the team's limit";
         }
         return null;
     }
 
     /** 0 as a limit means that there is none. */
-    public static boolean over(double limit, double use) {
-        return limit > 0 && use > limit + EPS;
+    public static boolean exceeds(double limit, double use) {
+        return limit > 0 && use > limit + EPSILON;
     }
 
     /** Whether this much of a team's work lies within its guarantee; a dimension without one counts only if it is all. */
-    public boolean guaranteed(int team, double cpus, double gpus) {
+    public boolean withinGuarantee(int team, double cpus, double gpus) {
         Settings.Team t = team(team);
         if (t.gpus() <= 0 && t.cpus() <= 0) {
             return false;
         }
-        boolean g = t.gpus() > 0 ? gpus <= t.gpus() + EPS : gpus <= EPS;
-        boolean c = t.cpus() > 0 ? cpus <= t.cpus() + EPS : t.gpus() > 0 && gpus > EPS;
+        boolean g = t.gpus() > 0 ? gpus <= t.gpus() + EPSILON : gpus <= EPSILON;
+        boolean c = t.cpus() > 0 ? cpus <= t.cpus() + EPSILON : t.gpus() > 0 && gpus > EPSILON;
         return g && c;
     }
 
-    public static Type type(NameIndex typeNames, NameIndex zones, Map<String, Object> m, String[] f) {
+    public static MachineType type(NameIndex typeNames, NameIndex zones, Map<String, Object> m, String[] f) {
         List<?> zs = birchusher.core.Fields.list(m, f[8]);
         int[] z = new int[zs.size()];
         for (int i = 0; i < z.length; i++) {
             z[i] = zones.add(String.valueOf(zs.get(i)));
         }
         String name = birchusher.core.Fields.text(m, f[0]);
-        return new Type(
+        return new MachineType(
                 typeNames.add(name),
                 name,
-                num(m, f[1]),
-                num(m, f[2]),
-                num(m, f[3]),
-                num(m, f[4]),
-                Math.max(1e-3, num(m, f[5])),
-                num(m, f[6]),
-                num(m, f[7]),
-                num(m, f[9]),
+                amountOrZero(m, f[1]),
+                amountOrZero(m, f[2]),
+                amountOrZero(m, f[3]),
+                amountOrZero(m, f[4]),
+                Math.max(1e-3, amountOrZero(m, f[5])),
+                amountOrZero(m, f[6]),
+                amountOrZero(m, f[7]),
+                amountOrZero(m, f[9]),
                 z);
     }
 
-    private static double num(Map<String, Object> m, String key) {
+    private static double amountOrZero(Map<String, Object> m, String key) {
         return birchusher.core.Fields.amountOr(m, key, 0);
     }
 }
--- a/src/main/java/birchusher/model/JobSpec.java
+++ b/src/main/java/birchusher/model/JobSpec.java
@@ -8,43 +8,43 @@
  */
 public record JobSpec(
         String id,
-        int cls,
+        int jobClass,
         int team,
         Shape shape,
         Priority priority,
         int tasks,
         double cpus,
         double gpus,
-        double mem,
+        double memoryGb,
         int image,
         double imageGb,
-        int[] types,
+        int[] allowedTypes,
         int zone,
         boolean oneZone,
         boolean spread,
-        boolean spot,
+        boolean allowsSpot,
         double estimateS,
-        double checkpointS,
-        double saveS,
+        double checkpointIntervalS,
+        double checkpointWriteS,
         double deadlineS) {
 
-    public boolean resumes() {
-        return checkpointS > 0;
+    public boolean isCheckpointed() {
+        return checkpointIntervalS > 0;
     }
 
-    public boolean service() {
+    public boolean isService() {
         return shape == Shape.SERVICE;
     }
 
-    public boolean gang() {
+    public boolean isGang() {
         return shape == Shape.GANG;
     }
 
-    public boolean allows(int type) {
-        if (types == null) {
+    public boolean allowsType(int type) {
+        if (allowedTypes == null) {
             return true;
         }
-        for (int t : types) {
+        for (int t : allowedTypes) {
             if (t == type) {
                 return true;
             }
@@ -53,7 +53,7 @@
     }
 
     /** At most this many tasks may be in one zone. */
-    public int zoneLimit() {
+    public int maxTasksPerZone() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
@@ -65,12 +65,12 @@
         if (oneZone && !tasksByZone.isEmpty() && !tasksByZone.containsKey(taskZone)) {
             return false;
         }
-        return !spread || tasksByZone.getOrDefault(taskZone, 0) < zoneLimit();
+        return !spread || tasksByZone.getOrDefault(taskZone, 0) < maxTasksPerZone();
     }
 
     /** A gang of several tasks: to end one is to end all of them. */
-    public boolean manyGang() {
-        return gang() && tasks > 1;
+    public boolean isMultiTaskGang() {
+        return isGang() && tasks > 1;
     }
 
     /**
@@ -78,10 +78,10 @@
      * own; or beyond its team's guarantee, for another team's guaranteed work. To stop one replica for another gains nothing and
      * once went on for minutes.
      */
-    public boolean yieldsTo(JobSpec o, boolean guaranteed, boolean guaranteedOther) {
+    public boolean preemptibleBy(JobSpec o, boolean guaranteed, boolean guaranteedOther) {
         boolean lower = priority.compareTo(o.priority) > 0
                 && (o.priority == Priority.PRODUCTION || guaranteedOther || !guaranteed);
         boolean beyond = guaranteedOther && !guaranteed && priority != Priority.PRODUCTION && team != o.team;
-        return (lower || beyond) && !manyGang();
+        return (lower || beyond) && !isMultiTaskGang();
     }
 }
--- a/src/main/java/birchusher/placement/Driver.java
+++ b/src/main/java/birchusher/placement/JobScheduler.java
@@ -37,52 +37,52 @@
 import org.slf4j.LoggerFactory;
 
 /** Places the tasks of the jobs this controller drives: plan, offer to the machines' owners, claim by one transaction. */
-public final class Driver {
-    private static final Logger LOG = LoggerFactory.getLogger(Driver.class);
-    private static final int MAX_OFFERED = 400;
+public final class JobScheduler {
+    private static final Logger LOG = LoggerFactory.getLogger(JobScheduler.class);
+    private static final int MAX_OFFERED_TASKS = 400;
     /** Offers under way that are always allowed in a return, however scarce changes are. */
-    private static final int MIN_OUT = 8;
+    private static final int MIN_OPEN_BATCHES = 8;
     /** Waiting jobs for which one plan looks for work to stop. */
-    private static final int MAX_WISHES = 12;
+    private static final int MAX_PREEMPTION_REQUESTS = 12;
 
-    private static final int MAX_PREEMPTING = 8;
+    private static final int MAX_PREEMPTIONS_PER_PLAN = 8;
     /** A job that has asked for others' room does not ask again before it can be seen what came of it. */
-    private static final long PREEMPT_AGAIN_MS = 3_000;
+    private static final long PREEMPTION_RETRY_MS = 3_000;
 
-    private static final String NOT_KNOWN_YET = "job not known yet";
+    private static final String JOB_NOT_IN_VIEW = "job not known yet";
 
     /** Sends a record to a member; index 0 is ourselves. */
-    public interface Mesh {
+    public interface PeerSender {
         void send(int member, PeerRecord r);
     }
 
     /** Tasks of one job offered together; for a gang all of them must be accepted. */
-    private static final class Group {
+    private static final class OfferBatch {
         final Job job;
-        final List<Planner.Choice> choices;
-        final Map<Integer, Long> accepted = new TreeMap<>();
+        final List<Planner.Placement> placements;
+        final Map<Integer, Long> acceptedTerms = new TreeMap<>();
         /** Counts on room that the owners make once its claim stands. */
-        final boolean makesRoom;
+        final boolean withPreemption;
 
-        int waiting;
-        boolean refused;
-        long since;
+        int awaitedReplies;
+        boolean anyRefused;
+        long offeredAtMs;
 
-        Group(Job job, List<Planner.Choice> choices, boolean makesRoom, long since) {
+        OfferBatch(Job job, List<Planner.Placement> choices, boolean makesRoom, long since) {
             this.job = job;
-            this.choices = choices;
-            this.makesRoom = makesRoom;
-            this.since = since;
+            this.placements = choices;
+            this.withPreemption = makesRoom;
+            this.offeredAtMs = since;
         }
     }
 
     /** A job that would be served late, by how much, and whether it lies within its team's guarantee. */
-    private record Wish(Job job, boolean guaranteed, double delayS) {}
+    private record PreemptionRequest(Job job, boolean guaranteed, double delayS) {}
 
     /** So many errors without a task that ended well are more than one faulty machine at the beginning makes. */
-    private static final int DOUBT = 6;
+    private static final int PROBE_AFTER_ERRORS = 6;
 
-    private record Asked(Group group, List<Planner.Choice> items) {}
+    private record PendingOffer(OfferBatch batch, List<Planner.Placement> placements) {}
 
     private final Effects effects;
     private final Settings settings;
@@ -95,41 +95,41 @@
     private final Quotas quotas;
     private final Preemption preemption;
     private final Counters counters;
-    private final Mesh mesh;
+    private final PeerSender peerSender;
     /** Whether the fleet has been heard since the rows were read: until then work is not stopped for want of room. */
     private final BooleanSupplier fleetKnown;
     /** Dropped tasks of the cluster that are to find their places again. */
-    private final IntSupplier returning;
+    private final IntSupplier tasksToRestore;
     /** Per job and task: until when it is on its way and must not be planned again. */
-    private final Map<String, Map<Integer, Long>> held = new HashMap<>();
+    private final Map<String, Map<Integer, Long>> heldTasks = new HashMap<>();
 
-    private int heldCount;
+    private int heldTaskCount;
     /** Per job and machine: until when an offer there is not repeated. */
-    private final Map<String, Map<String, Long>> refusals = new HashMap<>();
+    private final Map<String, Map<String, Long>> refusedMachines = new HashMap<>();
 
-    private final Map<Long, Asked> asked = new HashMap<>();
+    private final Map<Long, PendingOffer> pendingOffers = new HashMap<>();
     /** Offered, and not yet claimed or given up. Each takes a row or more. */
-    private final Set<Group> out = new HashSet<>();
+    private final Set<OfferBatch> openBatches = new HashSet<>();
     /** Jobs that have asked for others' room: until when they don't ask again. */
-    private final Map<String, Long> preempting = new HashMap<>();
+    private final Map<String, Long> preemptionRetryAt = new HashMap<>();
 
-    private final Map<String, long[]> errorSeen = new HashMap<>();
-    private final long offerMs;
-    private final long planGap;
+    private final Map<String, long[]> errorBackoff = new HashMap<>();
+    private final long offerTimeoutMs;
+    private final long planGapMs;
     private final double slotsPerMs;
-    private final double preemptDelay;
-    private long nextPlan;
-    private long plannedChanges = -1;
-    private long plannedAt = -1_000_000;
-    private long nextForget;
+    private final double preemptDelayMs;
+    private long nextPlanMs;
+    private long plannedViewChanges = -1;
+    private long plannedAtMs = -1_000_000;
+    private long nextExpiryMs;
     /** The fleet as it was when the plan at hand began. */
-    private Map<String, MachineStatus> statuses = Map.of();
+    private Map<String, MachineStatus> machineStatuses = Map.of();
     /** Of offers. Begins anew with each life's time of day: a verdict on an earlier life's offer must not pass for one on ours. */
-    private long nextId;
+    private long nextOfferId;
 
-    private Planner.Plan last = new Planner.Plan(List.of(), List.of(), Set.of(), 0, 0, List.of());
+    private Planner.Plan lastPlan = new Planner.Plan(List.of(), List.of(), Set.of(), 0, 0, List.of());
 
-    public Driver(
+    public JobScheduler(
             Effects effects,
             Settings s,
             Catalog catalog,
@@ -140,7 +140,7 @@
             Planner planner,
             Counters counters,
             Tuning t,
-            Mesh mesh,
+            PeerSender mesh,
             BooleanSupplier fleetKnown,
             IntSupplier returning) {
         this.effects = effects;
@@ -152,113 +152,116 @@
         this.workerRegistry = workerRegistry;
         this.planner = planner;
         quotas = new Quotas(catalog, view, 1 + s.peers().size());
-        preemption = new Preemption(view, this::runningFor);
+        preemption = new Preemption(view, this::runningMs);
         this.counters = counters;
-        this.mesh = mesh;
+        this.peerSender = mesh;
         this.fleetKnown = fleetKnown;
-        this.returning = returning;
-        nextId = effects.wallTime() << 20;
-        offerMs = t.ms("placement.offer-s");
-        preemptDelay = t.num("placement.preempt-delay-s") * 1000;
-        planGap = t.ms("placement.plan-gap-s");
+        this.tasksToRestore = returning;
+        nextOfferId = effects.wallTime() << 20;
+        offerTimeoutMs = t.ms("placement.offer-s");
+        preemptDelayMs = t.num("placement.preempt-delay-s") * 1000;
+        planGapMs = t.ms("placement.plan-gap-s");
         slotsPerMs = t.num("placement.slots-per-s") / 1000;
         planner.zoneOfShard(membership::zoneOf);
     }
 
     /** What the last plan made of the waiting tasks: room now, room soon, none; overdue of the second. */
-    public String line() {
-        long now = last.choices().stream().filter(c -> c.slot().real).count();
-        return "room_now=" + now + " room_soon=" + (last.choices().size() - now) + " no_room="
-                + last.unplaced().stream().mapToInt(Planner.Unplaced::tasks).sum() + " overdue="
-                + last.choices().stream()
+    public String logText() {
+        long now =
+                lastPlan.placements().stream().filter(c -> c.slot().available).count();
+        return "room_now=" + now + " room_soon=" + (lastPlan.placements().size() - now) + " no_room="
+                + lastPlan.unplaced().stream()
+                        .mapToInt(Planner.UnplacedTasks::taskCount)
+                        .sum() + " overdue="
+                + lastPlan.placements().stream()
                         .filter(c -> c.overdue(effects.wallTime()))
                         .count();
     }
 
-    public Planner.Plan last() {
-        return last;
+    public Planner.Plan lastPlan() {
+        return lastPlan;
     }
 
     /** Whether a plan is due; the pictures need to be drawn only then. */
-    public boolean due() {
+    public boolean planDue() {
         long now = effects.now();
         return store.loaded()
                 && catalog.typesKnown()
-                && now >= nextPlan
-                && (plannedChanges != view.changeCount() || now - plannedAt >= 1_000);
+                && now >= nextPlanMs
+                && (plannedViewChanges != view.changeCount() || now - plannedAtMs >= 1_000);
     }
 
     /** {@code coming}: room that is not there yet; looked for only when something waits. */
     public void tick(Map<String, MachineStatus> pictures, Supplier<List<Slot>> coming) {
-        statuses = pictures;
+        machineStatuses = pictures;
         long now = effects.now();
-        plannedAt = now;
-        plannedChanges = view.changeCount();
-        forget(now);
+        plannedAtMs = now;
+        plannedViewChanges = view.changeCount();
+        removeExpired(now);
         if (!planner.anyWaiting()) {
-            last = new Planner.Plan(List.of(), List.of(), planner.guaranteed(), 0, 0, List.of());
-            nextPlan = now + planGap;
+            lastPlan = new Planner.Plan(List.of(), List.of(), planner.guaranteedJobs(), 0, 0, List.of());
+            nextPlanMs = now + planGapMs;
             return;
         }
-        List<Slot> slots = slots(pictures);
+        List<Slot> slots = freeSlots(pictures);
         slots.addAll(coming.get());
-        Planner.Plan plan = planner.plan(slots, marks, underway(), now, effects.wallTime());
-        last = plan;
+        Planner.Plan plan = planner.plan(slots, schedulingState, inFlight(), now, effects.wallTime());
+        lastPlan = plan;
         // Large fleets and long queues make plans dear: they are then made less often, not at the cost of the reports.
         // Every claim
         // is looked at too, for the room that it will leave.
-        nextPlan = now + Math.max(planGap, Math.round((plan.work() + view.claimCount()) / slotsPerMs));
+        nextPlanMs = now + Math.max(planGapMs, Math.round((plan.slotsExamined() + view.claimCount()) / slotsPerMs));
         counters.plans++;
-        counters.slotsLookedAt += plan.work();
+        counters.slotsLookedAt += plan.slotsExamined();
         counters.speedLimited += plan.speedLimited();
         if (membership.canAct() && store.healthy()) {
-            act(plan, pictures, now);
+            offerPlanned(plan, pictures, now);
             if (fleetKnown.getAsBoolean()) {
-                preempt(plan, pictures, now);
+                requestPreemptions(plan, pictures, now);
             }
         }
     }
 
-    private void forget(long now) {
-        if (now >= nextForget) {
-            nextForget = now + 100;
-            held.values().removeIf(m -> {
+    private void removeExpired(long now) {
+        if (now >= nextExpiryMs) {
+            nextExpiryMs = now + 100;
+            heldTasks.values().removeIf(m -> {
                 m.values().removeIf(until -> now > until);
                 return m.isEmpty();
             });
-            heldCount = held.values().stream().mapToInt(Map::size).sum();
-            refusals.values().removeIf(m -> {
+            heldTaskCount = heldTasks.values().stream().mapToInt(Map::size).sum();
+            refusedMachines.values().removeIf(m -> {
                 m.values().removeIf(until -> now > until);
                 return m.isEmpty();
             });
-            preempting.values().removeIf(until -> now > until);
+            preemptionRetryAt.values().removeIf(until -> now > until);
             // An owner that died answers no offer: forgetting it only with the next offer once left a replica waiting
             // for
             // good, as its own old offer took the one place its zone rule allowed.
-            asked.values().removeIf(a -> now - a.group.since > offerMs);
-            out.removeIf(g -> g.waiting > 0 && now - g.since > offerMs);
-            errorSeen.keySet().removeIf(id -> view.job(id) == null);
+            pendingOffers.values().removeIf(a -> now - a.batch.offeredAtMs > offerTimeoutMs);
+            openBatches.removeIf(g -> g.awaitedReplies > 0 && now - g.offeredAtMs > offerTimeoutMs);
+            errorBackoff.keySet().removeIf(id -> view.job(id) == null);
         }
     }
 
-    private void hold(Planner.Choice c, long until) {
-        if (held.computeIfAbsent(c.job().spec.id(), k -> new HashMap<>()).put(c.task(), until) == null) {
-            heldCount++;
+    private void holdTask(Planner.Placement c, long until) {
+        if (heldTasks.computeIfAbsent(c.job().spec.id(), k -> new HashMap<>()).put(c.task(), until) == null) {
+            heldTaskCount++;
         }
     }
 
-    private void letGo(Planner.Choice c) {
-        Map<Integer, Long> m = held.get(c.job().spec.id());
+    private void releaseTask(Planner.Placement c) {
+        Map<Integer, Long> m = heldTasks.get(c.job().spec.id());
         if (m != null && m.remove(c.task()) != null) {
-            heldCount--;
+            heldTaskCount--;
         }
     }
 
-    private final Planner.Marks marks = new Planner.Marks() {
+    private final Planner.SchedulingState schedulingState = new Planner.SchedulingState() {
         @Override
-        public IntPredicate held(String job) {
-            Map<Integer, Long> m = held.get(job);
-            IntOpenHashSet others = elsewhere.get(job);
+        public IntPredicate heldTasks(String job) {
+            Map<Integer, Long> m = heldTasks.get(job);
+            IntOpenHashSet others = reservedElsewhere.get(job);
             if (m == null || m.isEmpty()) {
                 return others == null ? null : others::contains;
             }
@@ -266,54 +269,54 @@
         }
 
         @Override
-        public Set<String> refused(String job) {
-            Map<String, Long> m = refusals.get(job);
+        public Set<String> refusedMachines(String job) {
+            Map<String, Long> m = refusedMachines.get(job);
             return m == null || m.isEmpty() ? null : m.keySet();
         }
 
         @Override
-        public boolean paused(Job j) {
-            return Driver.this.paused(j);
+        public boolean backingOff(Job j) {
+            return JobScheduler.this.backingOff(j);
         }
 
         @Override
-        public boolean doubted(Job j) {
+        public boolean probing(Job j) {
             return j.spec.shape() == Shape.ARRAY
                     && j.doneCount() == 0
-                    && j.consecutiveErrors() >= Math.min(DOUBT, Math.max(2, j.spec.tasks()));
+                    && j.consecutiveErrors() >= Math.min(PROBE_AFTER_ERRORS, Math.max(2, j.spec.tasks()));
         }
 
         @Override
-        public boolean returning(String machine, long session) {
-            MachineStatus status = statuses.get(machine);
+        public boolean reconnecting(String machine, long session) {
+            MachineStatus status = machineStatuses.get(machine);
             return status != null && status.session() > session && status.pendingConfirmation();
         }
     };
 
     /** For how long this controller has seen a claim stand, in ms. */
-    public long runningFor(Claim c) {
+    public long runningMs(Claim c) {
         return c.seenAtMs() < 0 ? 0 : effects.now() - c.seenAtMs();
     }
 
     /** Expected end of a claim by what this controller has seen of it, in steady ms. */
-    public long expectedEnd(Claim c) {
-        if (c.job().spec.service()) {
+    public long expectedEndMs(Claim c) {
+        if (c.job().spec.isService()) {
             return Long.MAX_VALUE;
         }
-        long ran = runningFor(c);
-        double left = planner.expectedS(c.job().spec) * 1000 + 3_000 - ran;
+        long ran = runningMs(c);
+        double left = planner.expectedRunS(c.job().spec) * 1000 + 3_000 - ran;
         // The longer a task is overdue, the less its end is near: "any moment now" kept others waiting for minutes.
         return effects.now() + Math.round(Math.max(left, 0.4 * ran));
     }
 
     /** A job whose tasks keep failing waits longer and longer, so that it does not wear out machines. */
-    private boolean paused(Job j) {
+    private boolean backingOff(Job j) {
         long errors = j.consecutiveErrors();
         if (errors < 2) {
-            errorSeen.remove(j.spec.id());
+            errorBackoff.remove(j.spec.id());
             return false;
         }
-        long[] seen = errorSeen.computeIfAbsent(j.spec.id(), k -> new long[] {0, 0});
+        long[] seen = errorBackoff.computeIfAbsent(j.spec.id(), k -> new long[] {0, 0});
         if (seen[0] != errors) {
             seen[0] = errors;
             seen[1] = effects.now()
@@ -322,22 +325,22 @@
         return effects.now() < seen[1];
     }
 
-    private List<Planner.Choice> underway() {
-        List<Planner.Choice> l = new ArrayList<>(claiming.values());
-        asked.values().forEach(a -> l.addAll(a.items()));
+    private List<Planner.Placement> inFlight() {
+        List<Planner.Placement> l = new ArrayList<>(pendingClaims.values());
+        pendingOffers.values().forEach(a -> l.addAll(a.placements()));
         return l;
     }
 
     /** Free room on every machine in the pictures, less what the store records. */
-    public List<Slot> slots(Map<String, MachineStatus> pictures) {
+    public List<Slot> freeSlots(Map<String, MachineStatus> pictures) {
         List<Slot> slots = new ArrayList<>(pictures.size());
-        elsewhere.clear();
-        Map<String, List<Planner.Choice>> underway = new HashMap<>();
-        for (Planner.Choice c : underway()) {
+        reservedElsewhere.clear();
+        Map<String, List<Planner.Placement>> underway = new HashMap<>();
+        for (Planner.Placement c : inFlight()) {
             underway.computeIfAbsent(c.slot().machine, k -> new ArrayList<>()).add(c);
         }
         for (MachineStatus p : pictures.values()) {
-            Catalog.Type t = catalog.type(p.type());
+            Catalog.MachineType t = catalog.type(p.type());
             if (!p.usable() || t == null) {
                 continue;
             }
@@ -345,19 +348,19 @@
             double[] f = {
                 t.cpus() - p.unclaimedUse()[0] - used[0],
                 t.gpus() - p.unclaimedUse()[1] - used[1],
-                t.mem() - p.unclaimedUse()[2] - used[2]
+                t.memoryGb() - p.unclaimedUse()[2] - used[2]
             };
-            for (Planner.Choice c : underway.getOrDefault(p.machine(), List.of())) {
+            for (Planner.Placement c : underway.getOrDefault(p.machine(), List.of())) {
                 Claim stands = c.job().isPlaced(c.task()) ? c.job().claim(c.task()) : null;
                 if (stands == null || !stands.machine().equals(p.machine())) {
-                    minus(f, c.job().spec);
+                    subtract(f, c.job().spec);
                 }
             }
             for (String key : p.reservedTasks()) {
                 int slash = key.lastIndexOf('/');
                 Job j = view.job(key.substring(0, Math.max(0, slash)));
-                if (j != null && !asked(j, key.substring(slash + 1), p.machine(), underway)) {
-                    minus(f, j.spec);
+                if (j != null && !pendingOffers(j, key.substring(slash + 1), p.machine(), underway)) {
+                    subtract(f, j.spec);
                 }
             }
             slots.add(Slot.of(p, t, p.shard(), 0, true, f));
@@ -366,147 +369,150 @@
     }
 
     /** Whether a reservation is already counted: as a claim that stands, or as an offer of our own. */
-    private boolean asked(Job j, String task, String machine, Map<String, List<Planner.Choice>> underway) {
+    private boolean pendingOffers(Job j, String task, String machine, Map<String, List<Planner.Placement>> underway) {
         int n = Integer.parseInt(task);
         if (n >= j.spec.tasks() || j.isPlaced(n)) {
             return true;
         }
-        for (Planner.Choice c : underway.getOrDefault(machine, List.of())) {
+        for (Planner.Placement c : underway.getOrDefault(machine, List.of())) {
             if (c.task() == n && c.job().spec.id().equals(j.spec.id())) {
                 return true;
             }
         }
-        elsewhere.computeIfAbsent(j.spec.id(), k -> new IntOpenHashSet()).add(n);
+        reservedElsewhere
+                .computeIfAbsent(j.spec.id(), k -> new IntOpenHashSet())
+                .add(n);
         return false;
     }
 
     /** Per job the tasks that other drivers' reservations are for: as good as placed. */
-    private final Map<String, IntOpenHashSet> elsewhere = new HashMap<>();
+    private final Map<String, IntOpenHashSet> reservedElsewhere = new HashMap<>();
 
-    private final Map<String, Planner.Choice> claiming = new HashMap<>();
+    private final Map<String, Planner.Placement> pendingClaims = new HashMap<>();
 
-    private static void minus(double[] f, JobSpec j) {
+    private static void subtract(double[] f, JobSpec j) {
         f[0] -= j.cpus();
         f[1] -= j.gpus();
-        f[2] -= j.mem();
+        f[2] -= j.memoryGb();
     }
 
     // ---- offers
 
-    private void act(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        Map<String, List<Planner.Choice>> groups = new LinkedHashMap<>();
+    private void offerPlanned(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
+        Map<String, List<Planner.Placement>> groups = new LinkedHashMap<>();
         Map<String, Boolean> whole = new HashMap<>();
-        for (Planner.Choice c : plan.choices()) {
+        for (Planner.Placement c : plan.placements()) {
             JobSpec s = c.job().spec;
-            if (!c.slot().real) {
+            if (!c.slot().available) {
                 whole.put(s.id(), false);
                 continue;
             }
-            if (heldCount + groups.size() > MAX_OFFERED || !membership.schedules(s.id())) {
+            if (heldTaskCount + groups.size() > MAX_OFFERED_TASKS || !membership.schedules(s.id())) {
                 continue;
             }
-            String key = s.gang() ? s.id() : s.id() + "/" + c.task() / c.job().chunkSize;
+            String key = s.isGang() ? s.id() : s.id() + "/" + c.task() / c.job().chunkSize;
             groups.computeIfAbsent(key, k -> new ArrayList<>()).add(c);
         }
         // In a return no more than can be claimed before the offers end, the first in the plan's order: ten times as
         // many were offered,
         // and most of them only kept room from the others until they were given up. On other days the limit made arrays
         // late.
-        int rows = Math.max(MIN_OUT, store.expectedRowsWithin(offerMs));
-        int most = returning.getAsInt() > rows ? rows : Integer.MAX_VALUE;
-        for (List<Planner.Choice> choices : groups.values()) {
-            if (out.size() >= most) {
+        int rows = Math.max(MIN_OPEN_BATCHES, store.expectedRowsWithin(offerTimeoutMs));
+        int most = tasksToRestore.getAsInt() > rows ? rows : Integer.MAX_VALUE;
+        for (List<Planner.Placement> choices : groups.values()) {
+            if (openBatches.size() >= most) {
                 return;
             }
             Job j = choices.get(0).job();
-            if (j.spec.gang() && (!whole.getOrDefault(j.spec.id(), true) || choices.size() < j.spec.tasks())) {
+            if (j.spec.isGang() && (!whole.getOrDefault(j.spec.id(), true) || choices.size() < j.spec.tasks())) {
                 continue;
             }
-            List<Planner.Choice> sooner = sooner(j, choices, plan, pictures);
-            offer(sooner == null ? new Group(j, choices, false, now) : new Group(j, sooner, true, now));
+            List<Planner.Placement> sooner = preemptingGangPlacement(j, choices, plan, pictures);
+            sendOffers(sooner == null ? new OfferBatch(j, choices, false, now) : new OfferBatch(j, sooner, true, now));
         }
     }
 
     /** For a gang that would miss an aim only as its images have to come: places where they are, if others may be stopped there. */
-    private List<Planner.Choice> sooner(
-            Job j, List<Planner.Choice> choices, Planner.Plan plan, Map<String, MachineStatus> pictures) {
-        if (!j.spec.manyGang()) {
+    private List<Planner.Placement> preemptingGangPlacement(
+            Job j, List<Planner.Placement> choices, Planner.Plan plan, Map<String, MachineStatus> pictures) {
+        if (!j.spec.isMultiTaskGang()) {
             return null;
         }
-        double spareMs = planner.spareMs(j, effects.wallTime());
-        if (choices.stream().noneMatch(c -> c.delayMs() > spareMs)) {
+        double spareMs = planner.startSlackMs(j, effects.wallTime());
+        if (choices.stream().noneMatch(c -> c.startDelayMs() > spareMs)) {
             return null;
         }
-        List<Slot> slots = slots(pictures);
-        ahead(plan, j, slots);
-        List<Planner.Choice> l = preemption.gang(
+        List<Slot> slots = freeSlots(pictures);
+        allocateHigherRanked(plan, j, slots);
+        List<Planner.Placement> l = preemption.placeGang(
                 j,
-                plan.guaranteed().contains(j.spec.id()),
+                plan.guaranteedJobs().contains(j.spec.id()),
                 Double.MAX_VALUE,
                 spareMs,
                 plan,
                 slots,
                 catalog.zones.size(),
-                marks.refused(j.spec.id()));
-        return l == null || l.stream().anyMatch(c -> c.delayMs() > spareMs) ? null : l;
+                schedulingState.refusedMachines(j.spec.id()));
+        return l == null || l.stream().anyMatch(c -> c.startDelayMs() > spareMs) ? null : l;
     }
 
-    private void offer(Group g) {
-        Map<Integer, List<Planner.Choice>> byOwner = new TreeMap<>();
-        for (Planner.Choice c : g.choices) {
+    private void sendOffers(OfferBatch g) {
+        Map<Integer, List<Planner.Placement>> byOwner = new TreeMap<>();
+        for (Planner.Placement c : g.placements) {
             int owner = membership.owns(c.slot().shard) ? 0 : membership.connectedOwner(c.slot().shard);
             if (owner < 0 || owner == 0 && !membership.owns(c.slot().shard)) {
-                g.refused = true;
+                g.anyRefused = true;
                 continue;
             }
             byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(c);
         }
-        if (g.refused && g.job.spec.gang()) {
+        if (g.anyRefused && g.job.spec.isGang()) {
             return;
         }
-        for (Planner.Choice c : g.choices) {
-            hold(c, effects.now() + offerMs);
-            RestorePlanner.Obstacle obstacle = planner.obstacle(c);
+        for (Planner.Placement c : g.placements) {
+            holdTask(c, effects.now() + offerTimeoutMs);
+            RestorePlanner.Obstacle obstacle = planner.restoreObstacle(c);
             if (obstacle != null && LOG.isDebugEnabled()) {
                 LOG.debug(
                         "dropped task offered elsewhere task={} machine={} obstacle={}",
-                        key(c),
+                        taskKey(c),
                         c.slot().machine,
                         obstacle);
             }
         }
-        out.add(g);
-        g.waiting = byOwner.size();
-        if (g.waiting == 0) {
-            out.remove(g);
+        openBatches.add(g);
+        g.awaitedReplies = byOwner.size();
+        if (g.awaitedReplies == 0) {
+            openBatches.remove(g);
         }
         byOwner.forEach((owner, items) -> {
-            long id = nextId++;
-            asked.put(id, new Asked(g, items));
+            long id = nextOfferId++;
+            pendingOffers.put(id, new PendingOffer(g, items));
             List<PeerRecord.OfferedTask> list = new ArrayList<>();
-            items.forEach(c -> list.add(item(c)));
-            PeerRecord.Offer offer = new PeerRecord.Offer(id, g.job.spec.gang() || g.makesRoom, g.makesRoom, list);
+            items.forEach(c -> list.add(offerItem(c)));
+            PeerRecord.Offer offer =
+                    new PeerRecord.Offer(id, g.job.spec.isGang() || g.withPreemption, g.withPreemption, list);
             if (owner == 0) {
-                verdict(judge(offer));
+                handleReply(evaluateOffer(offer));
             } else {
-                mesh.send(owner, offer);
+                peerSender.send(owner, offer);
             }
         });
     }
 
-    private static String key(Planner.Choice c) {
+    private static String taskKey(Planner.Placement c) {
         return c.job().spec.id() + "/" + c.task();
     }
 
     /** As owner: checks an offer against the truth, keeping room for what is accepted. */
-    public PeerRecord.OfferReply judge(PeerRecord.Offer offer) {
+    public PeerRecord.OfferReply evaluateOffer(PeerRecord.Offer offer) {
         List<String> refusals = new ArrayList<>();
         List<Long> terms = new ArrayList<>();
         boolean all = true;
         for (PeerRecord.OfferedTask i : offer.tasks()) {
             Job j = view.job(i.job());
             String no = j == null
-                    ? NOT_KNOWN_YET
+                    ? JOB_NOT_IN_VIEW
                     : workerRegistry.reserve(j.spec, i.task(), i.machine(), i.session(), offer.withPreemption());
             refusals.add(no == null ? "" : no);
             all &= no == null;
@@ -514,119 +520,120 @@
             terms.add(shard == null ? 0 : membership.term(shard));
         }
         if (offer.allOrNothing() && !all) {
-            calledOff(new PeerRecord.WithdrawnOffer(offer.tasks()));
+            releaseReservations(new PeerRecord.WithdrawnOffer(offer.tasks()));
         }
         return new PeerRecord.OfferReply(offer.id(), refusals, terms);
     }
 
     /** As owner: frees the room kept for offers that come to nothing. */
-    public void calledOff(PeerRecord.WithdrawnOffer o) {
+    public void releaseReservations(PeerRecord.WithdrawnOffer o) {
         o.tasks().forEach(i -> workerRegistry.cancelReservation(i.machine(), i.job() + "/" + i.task()));
     }
 
     /** As driver: tells the owners that what they accepted will not be claimed. */
-    private void callOff(List<Planner.Choice> choices) {
+    private void withdrawOffers(List<Planner.Placement> choices) {
         Map<Integer, List<PeerRecord.OfferedTask>> byOwner = new TreeMap<>();
-        for (Planner.Choice c : choices) {
+        for (Planner.Placement c : choices) {
             int owner = membership.owns(c.slot().shard) ? 0 : membership.connectedOwner(c.slot().shard);
             if (owner >= 0) {
-                byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(item(c));
+                byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(offerItem(c));
             }
         }
         byOwner.forEach((owner, items) -> {
             PeerRecord.WithdrawnOffer o = new PeerRecord.WithdrawnOffer(items);
             if (owner == 0) {
-                calledOff(o);
+                releaseReservations(o);
             } else {
-                mesh.send(owner, o);
+                peerSender.send(owner, o);
             }
         });
     }
 
-    private static PeerRecord.OfferedTask item(Planner.Choice c) {
+    private static PeerRecord.OfferedTask offerItem(Planner.Placement c) {
         return new PeerRecord.OfferedTask(c.job().spec.id(), c.task(), c.slot().machine, c.slot().session);
     }
 
-    public void verdict(PeerRecord.OfferReply v) {
-        Asked a = asked.remove(v.id());
+    public void handleReply(PeerRecord.OfferReply v) {
+        PendingOffer a = pendingOffers.remove(v.id());
         if (a == null
-                || v.refusals().size() != a.items().size()
-                || v.terms().size() != a.items().size()) {
+                || v.refusals().size() != a.placements().size()
+                || v.terms().size() != a.placements().size()) {
             return;
         }
-        Group g = a.group();
-        for (int i = 0; i < a.items().size(); i++) {
-            Planner.Choice c = a.items().get(i);
+        OfferBatch g = a.batch();
+        for (int i = 0; i < a.placements().size(); i++) {
+            Planner.Placement c = a.placements().get(i);
             String no = v.refusals().get(i);
             if (no.isEmpty()) {
-                g.accepted.put(c.task(), v.terms().get(i));
+                g.acceptedTerms.put(c.task(), v.terms().get(i));
             } else {
-                g.refused = true;
+                g.anyRefused = true;
                 counters.refused++;
-                LOG.debug("offer of {} to {} refused: {}", key(c), c.slot().machine, no);
-                letGo(c);
-                refusals.computeIfAbsent(c.job().spec.id(), k -> new HashMap<>())
-                        .put(c.slot().machine, effects.now() + refusalMs(no));
+                LOG.debug("offer of {} to {} refused: {}", taskKey(c), c.slot().machine, no);
+                releaseTask(c);
+                refusedMachines
+                        .computeIfAbsent(c.job().spec.id(), k -> new HashMap<>())
+                        .put(c.slot().machine, effects.now() + refusalTimeoutMs(no));
             }
         }
-        if (--g.waiting > 0) {
+        if (--g.awaitedReplies > 0) {
             return;
         }
-        if (g.job.spec.gang() && g.refused || g.accepted.isEmpty()) {
-            out.remove(g);
-            g.choices.forEach(this::letGo);
-            preempting.remove(g.job.spec.id());
-            callOff(g.choices.stream()
-                    .filter(c -> g.accepted.containsKey(c.task()))
+        if (g.job.spec.isGang() && g.anyRefused || g.acceptedTerms.isEmpty()) {
+            openBatches.remove(g);
+            g.placements.forEach(this::releaseTask);
+            preemptionRetryAt.remove(g.job.spec.id());
+            withdrawOffers(g.placements.stream()
+                    .filter(c -> g.acceptedTerms.containsKey(c.task()))
                     .toList());
             return;
         }
-        claim(g);
+        submitClaims(g);
     }
 
-    private static long refusalMs(String why) {
+    private static long refusalTimeoutMs(String why) {
         return switch (why) {
             case "failed here" -> 60_000;
                 // The owner's view is a watch behind: waiting for longer made gangs miss their start for nothing.
-            case NOT_KNOWN_YET -> 250;
+            case JOB_NOT_IN_VIEW -> 250;
             default -> 1_500;
         };
     }
 
     // ---- claims
 
-    private void claim(Group g) {
+    private void submitClaims(OfferBatch g) {
         JobSpec s = g.job.spec;
-        List<Planner.Choice> list = new ArrayList<>();
-        List<Planner.Choice> over = new ArrayList<>();
+        List<Planner.Placement> list = new ArrayList<>();
+        List<Planner.Placement> over = new ArrayList<>();
         IntOpenHashSet rows = new IntOpenHashSet();
-        if (zonedInRows(g.job)) {
+        if (zoneRulesSpanRows(g.job)) {
             rows.add(0);
         }
         Set<String> shards = new HashSet<>();
-        for (Planner.Choice c : g.choices) {
-            if (!g.accepted.containsKey(c.task())) {
+        for (Planner.Placement c : g.placements) {
+            if (!g.acceptedTerms.containsKey(c.task())) {
                 continue;
             }
             int row = c.task() / g.job.chunkSize;
-            if (!s.gang() && !rows.contains(row) && rows.size() + 2 > settings.txnOps()) {
+            if (!s.isGang() && !rows.contains(row) && rows.size() + 2 > settings.txnOps()) {
                 // Lost tasks of a huge array stand in more rows than a transaction may write: the others are planned
                 // again.
                 over.add(c);
-                letGo(c);
+                releaseTask(c);
                 continue;
             }
             rows.add(row);
             shards.add(membership.shardKey(c.slot().shard));
             list.add(c);
-            claiming.put(key(c), c);
-            hold(c, effects.now() + 30_000);
+            pendingClaims.put(taskKey(c), c);
+            holdTask(c, effects.now() + 30_000);
         }
-        callOff(over);
+        withdrawOffers(over);
         boolean queued = store.enqueue(new Change() {
-            private List<Planner.Choice> made = List.of();
+            private List<Planner.Placement> made = List.of();
             /** What was sent without an answer: carried out all the same, if the rows show it. */
-            private List<Planner.Choice> inDoubt = List.of();
+            private List<Planner.Placement> inDoubt = List.of();
 
             /** Whole gangs and replicas are few and somebody waits for them: not behind the ends of hundreds of small tasks. */
             @Override
@@ -652,12 +659,12 @@
             /** Of an array more tasks may find room in a moment; the reservations do not last long, though. */
             @Override
             public long maxDelayMs() {
-                return s.shape() == Shape.ARRAY ? offerMs / 4 : 0;
+                return s.shape() == Shape.ARRAY ? offerTimeoutMs / 4 : 0;
             }
 
             @Override
             public boolean addsNoWrites(Transaction tx) {
-                for (Planner.Choice c : list) {
+                for (Planner.Placement c : list) {
                     if (!tx.editsChunk(s.id(), c.task() / g.job.chunkSize)) {
                         return false;
                     }
@@ -667,23 +674,23 @@
 
             @Override
             public long expiresAtMs() {
-                return g.since + offerMs;
+                return g.offeredAtMs + offerTimeoutMs;
             }
 
             @Override
             public boolean build(Transaction tx) {
-                made = effects.now() > expiresAtMs() ? List.of() : allowed(tx, g, list);
+                made = effects.now() > expiresAtMs() ? List.of() : permitted(tx, g, list);
                 if (made.isEmpty()) {
                     return false;
                 }
                 double n = made.size();
-                Quotas.Pass pass = quotas.pass(tx, s.team(), made.size(), n * s.cpus(), n * s.gpus());
-                if (pass == Quotas.Pass.YES) {
-                    record(tx, s, made);
+                Quotas.Decision pass = quotas.tryClaim(tx, s.team(), made.size(), n * s.cpus(), n * s.gpus());
+                if (pass == Quotas.Decision.GRANTED) {
+                    writeClaims(tx, s, made);
                 } else {
                     made = List.of();
                 }
-                return pass != Quotas.Pass.NO;
+                return pass != Quotas.Decision.REFUSED;
             }
 
             @Override
@@ -702,49 +709,53 @@
                 over();
             }
 
-            private boolean stands(Planner.Choice c) {
+            private boolean stands(Planner.Placement c) {
                 Job j = view.job(s.id());
                 Claim x = j == null ? null : j.claim(c.task());
                 return x != null && x.machine().equals(c.slot().machine) && x.session() == c.slot().session;
             }
 
             private void over() {
-                out.remove(g);
+                openBatches.remove(g);
                 if (!inDoubt.isEmpty()) {
-                    List<Planner.Choice> all = new ArrayList<>(made);
+                    List<Planner.Placement> all = new ArrayList<>(made);
                     inDoubt.stream().filter(c -> !made.contains(c) && stands(c)).forEach(all::add);
                     made = all;
                 }
                 counters.claims += made.size();
-                for (Planner.Choice c : made) {
-                    LOG.info("task {} claimed on {} ({})", key(c), c.slot().machine, s.gang() ? "gang" : s.shape());
+                for (Planner.Placement c : made) {
+                    LOG.info(
+                            "task {} claimed on {} ({})",
+                            taskKey(c),
+                            c.slot().machine,
+                            s.isGang() ? "gang" : s.shape());
                 }
-                List<Planner.Choice> not = new ArrayList<>(list);
+                List<Planner.Placement> not = new ArrayList<>(list);
                 not.removeAll(made);
-                callOff(not);
-                for (Planner.Choice c : list) {
-                    claiming.remove(key(c));
-                    letGo(c);
+                withdrawOffers(not);
+                for (Planner.Placement c : list) {
+                    pendingClaims.remove(taskKey(c));
+                    releaseTask(c);
                 }
             }
         });
         if (!queued) {
-            out.remove(g);
-            callOff(list);
+            openBatches.remove(g);
+            withdrawOffers(list);
             list.forEach(c -> {
-                claiming.remove(key(c));
-                letGo(c);
+                pendingClaims.remove(taskKey(c));
+                releaseTask(c);
             });
         }
     }
 
     /** Checks everything that the rules need against the records that the transaction conditions on. */
-    private List<Planner.Choice> allowed(Transaction tx, Group g, List<Planner.Choice> list) {
+    private List<Planner.Placement> permitted(Transaction tx, OfferBatch g, List<Planner.Placement> list) {
         JobSpec s = g.job.spec;
         Job j = view.job(s.id());
         if (j == null
                 || j.state() != Job.State.OPEN
-                || s.gang() && j.claimCount() > replaceable(j)
+                || s.isGang() && j.claimCount() > replaceable(j)
                 || tx.writes(Keys.JOB + s.id())) {
             return List.of();
         }
@@ -755,10 +766,10 @@
         // Another change of this same transaction may already have placed tasks of this job.
         // With a single row, what may be replaced leaves it by the same writing; of several rows, some may stay as they
         // are.
-        Map<Integer, Integer> zones = Planner.zones(
+        Map<Integer, Integer> zones = Planner.tasksByZone(
                 j, membership::zoneOf, i -> tx.peekChunk(j, i), x -> j.chunks.size() == 1 && replaceable(x));
-        List<Planner.Choice> ok = new ArrayList<>();
-        for (Planner.Choice c : list) {
+        List<Planner.Placement> ok = new ArrayList<>();
+        for (Planner.Placement c : list) {
             Slot slot = c.slot();
             int shard = slot.shard;
             int zone = membership.zoneOf(shard);
@@ -768,16 +779,16 @@
             Claim recorded = before == null ? null : before.claims.get(c.task());
             boolean fine = !j.isDone(c.task())
                     && (recorded == null || replaceable(recorded))
-                    && membership.term(shard) == g.accepted.get(c.task())
+                    && membership.term(shard) == g.acceptedTerms.get(c.task())
                     && slot.allows(s)
                     && zone == slot.zone
-                    && !Catalog.over(team.cpusMax(), cpus)
-                    && !Catalog.over(team.gpusMax(), gpus)
+                    && !Catalog.exceeds(team.cpusMax(), cpus)
+                    && !Catalog.exceeds(team.gpusMax(), gpus)
                     && s.allowsZone(zones, zone);
             if (!fine) {
                 cpus -= s.cpus();
                 gpus -= s.gpus();
-                if (s.gang()) {
+                if (s.isGang()) {
                     return List.of();
                 }
                 continue;
@@ -805,7 +816,7 @@
     }
 
     /** What is proven gone leaves the row with the writing that places something in it: one row for a loss and its restart. */
-    private void clear(Transaction tx, Job j, Chunk chunk) {
+    private void removeProvenGone(Transaction tx, Job j, Chunk chunk) {
         for (Job.ReleasedClaim g : j.released()) {
             Claim c = g.claim();
             if (c.task() / j.chunkSize == chunk.index && replaceable(c) && chunk.claims.get(c.task()) == c) {
@@ -816,22 +827,22 @@
         }
     }
 
-    private void record(Transaction tx, JobSpec s, List<Planner.Choice> ok) {
+    private void writeClaims(Transaction tx, JobSpec s, List<Planner.Placement> ok) {
         Job j = view.job(s.id());
         tx.requireUnchanged(Keys.JOB + s.id());
         long attempt = j.lastAttempt();
-        for (Planner.Choice c : ok) {
+        for (Planner.Placement c : ok) {
             Chunk chunk = tx.editChunk(j, c.task() / j.chunkSize);
-            clear(tx, j, chunk);
+            removeProvenGone(tx, j, chunk);
             attempt = Math.max(attempt, chunk.lastAttempt);
         }
         attempt++;
-        if (zonedInRows(j)) {
+        if (zoneRulesSpanRows(j)) {
             // All claims of it write its first row, so that none can be made, or come late, beside another whose zone
             // it does not know of.
             tx.editChunk(j, 0);
         }
-        for (Planner.Choice c : ok) {
+        for (Planner.Placement c : ok) {
             Slot slot = c.slot();
             tx.requireUnchanged(membership.shardKey(slot.shard));
             Chunk chunk = tx.editChunk(j, c.task() / j.chunkSize);
@@ -844,7 +855,7 @@
     }
 
     /** Whether zone rules bind tasks that stand in different rows. */
-    private static boolean zonedInRows(Job j) {
+    private static boolean zoneRulesSpanRows(Job j) {
         return (j.spec.oneZone() || j.spec.spread()) && j.chunks.size() > 1;
     }
 
@@ -855,98 +866,99 @@
      * team's guarantee. The claim comes before anybody is stopped. When work was stopped first and the room planned for
      * afterwards, small tasks of other drivers filled it as it came free, and a large task had 87 others stopped in vain.
      */
-    private void preempt(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        List<Wish> wishes = new ArrayList<>();
-        Map<String, Wish> slow = new LinkedHashMap<>();
-        for (Planner.Choice c : plan.choices()) {
+    private void requestPreemptions(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
+        List<PreemptionRequest> wishes = new ArrayList<>();
+        Map<String, PreemptionRequest> slow = new LinkedHashMap<>();
+        for (Planner.Placement c : plan.placements()) {
             JobSpec s = c.job().spec;
             if (slow.containsKey(s.id())) {
                 continue;
             }
-            boolean guaranteed = plan.guaranteed().contains(s.id());
-            boolean gathers = s.manyGang() && !c.slot().real;
-            if (gathers && c.delayMs() > planner.spareMs(c.job(), effects.wallTime())) {
-                slow.put(s.id(), new Wish(c.job(), guaranteed, Double.MAX_VALUE));
-            } else if (c.delayMs() > preemptDelay && (guaranteed || s.priority() == Priority.PRODUCTION || gathers)) {
+            boolean guaranteed = plan.guaranteedJobs().contains(s.id());
+            boolean gathers = s.isMultiTaskGang() && !c.slot().available;
+            if (gathers && c.startDelayMs() > planner.startSlackMs(c.job(), effects.wallTime())) {
+                slow.put(s.id(), new PreemptionRequest(c.job(), guaranteed, Double.MAX_VALUE));
+            } else if (c.startDelayMs() > preemptDelayMs
+                    && (guaranteed || s.priority() == Priority.PRODUCTION || gathers)) {
                 // A gang's room is "soon" there again and again, and somebody else's then: what it has waited counts as
                 // well.
                 double waited = gathers ? Math.max(0, effects.wallTime() - c.job().acceptedAtMs) : 0;
-                slow.put(s.id(), new Wish(c.job(), guaranteed, (c.delayMs() + waited) / 1000));
+                slow.put(s.id(), new PreemptionRequest(c.job(), guaranteed, (c.startDelayMs() + waited) / 1000));
             }
         }
-        for (Planner.Unplaced u : plan.unplaced()) {
+        for (Planner.UnplacedTasks u : plan.unplaced()) {
             slow.remove(u.job().spec.id());
-            wishes.add(new Wish(u.job(), u.guaranteed(), Double.MAX_VALUE));
+            wishes.add(new PreemptionRequest(u.job(), u.guaranteed(), Double.MAX_VALUE));
         }
         wishes.addAll(slow.values());
         List<Slot> slots = null;
-        int budget = MAX_PREEMPTING;
-        int looks = MAX_WISHES;
-        for (Wish u : wishes) {
+        int budget = MAX_PREEMPTIONS_PER_PLAN;
+        int looks = MAX_PREEMPTION_REQUESTS;
+        for (PreemptionRequest u : wishes) {
             Job j = u.job();
-            if (!membership.schedules(j.spec.id()) || preempting.containsKey(j.spec.id())) {
+            if (!membership.schedules(j.spec.id()) || preemptionRetryAt.containsKey(j.spec.id())) {
                 continue;
             }
             if (budget <= 0 || looks-- <= 0) {
                 break;
             }
-            slots = slots == null ? slots(pictures) : slots;
+            slots = slots == null ? freeSlots(pictures) : slots;
             // What the plan gives to others that do not yield is not free: taken here, it once kept replicas waiting.
-            List<Planner.Choice> ahead = ahead(plan, j, slots);
-            List<Planner.Choice> places = places(u, plan, slots);
-            ahead.forEach(c -> c.slot().giveBack(c.job().spec));
+            List<Planner.Placement> ahead = allocateHigherRanked(plan, j, slots);
+            List<Planner.Placement> places = preemptionPlacements(u, plan, slots);
+            ahead.forEach(c -> c.slot().release(c.job().spec));
             if (places != null) {
                 budget--;
-                preempting.put(j.spec.id(), now + PREEMPT_AGAIN_MS);
+                preemptionRetryAt.put(j.spec.id(), now + PREEMPTION_RETRY_MS);
                 LOG.info("job {} asks for room on {} machines", j.spec.id(), places.size());
-                offer(new Group(j, places, true, now));
+                sendOffers(new OfferBatch(j, places, true, now));
             }
         }
     }
 
     /** Takes the room that the plan gives to jobs that do not yield, as far as it is not on its way already. */
-    private List<Planner.Choice> ahead(Planner.Plan plan, Job j, List<Slot> slots) {
+    private List<Planner.Placement> allocateHigherRanked(Planner.Plan plan, Job j, List<Slot> slots) {
         Map<String, Slot> byName = new HashMap<>();
         slots.forEach(s -> byName.put(s.machine, s));
-        List<Planner.Choice> l = new ArrayList<>();
-        for (Planner.Choice c : plan.choices()) {
+        List<Planner.Placement> l = new ArrayList<>();
+        for (Planner.Placement c : plan.placements()) {
             Slot slot = byName.get(c.slot().machine);
-            if (!c.slot().real
+            if (!c.slot().available
                     || slot == null
                     || c.job() == j
                     || c.job().spec.priority().compareTo(j.spec.priority()) > 0) {
                 continue;
             }
-            IntPredicate held = marks.held(c.job().spec.id());
+            IntPredicate held = schedulingState.heldTasks(c.job().spec.id());
             if (held == null || !held.test(c.task())) {
-                slot.take(c.job().spec);
-                l.add(new Planner.Choice(c.job(), c.task(), slot, 0));
+                slot.allocate(c.job().spec);
+                l.add(new Planner.Placement(c.job(), c.task(), slot, 0));
             }
         }
         return l;
     }
 
-    private List<Planner.Choice> places(Wish u, Planner.Plan plan, List<Slot> slots) {
+    private List<Planner.Placement> preemptionPlacements(PreemptionRequest u, Planner.Plan plan, List<Slot> slots) {
         Job j = u.job();
-        Set<String> refused = marks.refused(j.spec.id());
-        if (j.spec.gang()) {
+        Set<String> refused = schedulingState.refusedMachines(j.spec.id());
+        if (j.spec.isGang()) {
             return j.placedCount() > 0
                     ? null
-                    : preemption.gang(
+                    : preemption.placeGang(
                             j,
                             u.guaranteed(),
                             u.delayS(),
-                            planner.spareMs(j, effects.wallTime()),
+                            planner.startSlackMs(j, effects.wallTime()),
                             plan,
                             slots,
                             catalog.zones.size(),
                             refused);
         }
-        IntPredicate taken = marks.held(j.spec.id());
+        IntPredicate taken = schedulingState.heldTasks(j.spec.id());
         for (int task = 0; task < j.spec.tasks(); task++) {
             if (!j.isDone(task) && !j.isPlaced(task) && (taken == null || !taken.test(task))) {
-                Planner.Choice c = preemption.single(
-                        j, task, u.guaranteed(), u.delayS(), plan, slots, planner.zones(j, underway()), refused);
+                Planner.Placement c = preemption.placeTask(
+                        j, task, u.guaranteed(), u.delayS(), plan, slots, planner.tasksByZone(j, inFlight()), refused);
                 return c == null ? null : List.of(c);
             }
         }
@@ -962,7 +974,8 @@
                     if (owner == 0) {
                         workerRegistry.requestStop(c, graceS, reason);
                     } else if (owner > 0 && owners.add(owner)) {
-                        mesh.send(owner, new PeerRecord.StopRequest(job.spec.id(), -1, c.attempt(), graceS, reason));
+                        peerSender.send(
+                                owner, new PeerRecord.StopRequest(job.spec.id(), -1, c.attempt(), graceS, reason));
                     }
                 }
             }
@@ -970,7 +983,7 @@
     }
 
     /** As owner: carries out a stop that another controller asks for. */
-    public void stopAsked(PeerRecord.StopRequest s) {
+    public void handleStop(PeerRecord.StopRequest s) {
         Job j = view.job(s.job());
         if (j == null) {
             return;
--- a/src/main/java/birchusher/placement/RestorePlanner.java
+++ b/src/main/java/birchusher/placement/RestorePlanner.java
@@ -28,27 +28,27 @@
 
     private final LostTasks losses;
     /** Machines that can take tasks now, by name; only filled while something was dropped. */
-    private final Map<String, Slot> usable = new HashMap<>();
+    private final Map<String, Slot> usableSlots = new HashMap<>();
 
     private final Map<String, Obstacle> obstacles = new HashMap<>();
-    private Planner.Marks marks;
-    private long now;
+    private Planner.SchedulingState schedulingState;
+    private long nowMs;
 
     RestorePlanner(LostTasks losses) {
         this.losses = losses;
     }
 
-    void begin(List<Slot> all, Planner.Marks planMarks, long steadyNow) {
-        marks = planMarks;
-        now = steadyNow;
-        usable.clear();
+    void beginPlan(List<Slot> all, Planner.SchedulingState planMarks, long steadyNow) {
+        schedulingState = planMarks;
+        nowMs = steadyNow;
+        usableSlots.clear();
         obstacles.clear();
         if (losses.size() == 0) {
             return;
         }
         for (Slot slot : all) {
-            if (slot.real) {
-                usable.put(slot.machine, slot);
+            if (slot.available) {
+                usableSlots.put(slot.machine, slot);
             }
         }
     }
@@ -58,13 +58,13 @@
      * end shows the term only with its next report; sent elsewhere after a fixed time, its tasks took rooms of tasks that were dropped
      * there, one of which then found only rooms that its zone rule forbids.
      */
-    boolean awaited(String job, int task) {
+    boolean awaitsMachine(String job, int task) {
         LostTasks.LostRun home = losses.lostRun(job, task);
-        if (home == null || usable.containsKey(home.machine())) {
+        if (home == null || usableSlots.containsKey(home.machine())) {
             return false;
         }
-        return losses.awaitedMachine(job, task, now) != null
-                || losses.isRecent(home, now) && marks.returning(home.machine(), home.session());
+        return losses.awaitedMachine(job, task, nowMs) != null
+                || losses.isRecent(home, nowMs) && schedulingState.reconnecting(home.machine(), home.session());
     }
 
     /** What kept a task of this plan from going back; null if it goes back, or was not dropped lately. */
@@ -78,21 +78,21 @@
      * @param zones tasks of the job by zone; those that go back are added
      * @param overLimit whether so many more tasks would pass the team's limit
      */
-    List<Planner.Choice> plan(
+    List<Planner.Placement> plan(
             Job job, IntPredicate held, Set<String> refused, Map<Integer, Integer> zones, IntPredicate overLimit) {
         JobSpec spec = job.spec;
         Map<Integer, String> homes = losses.machinesByTask(spec.id());
-        if (spec.gang() && (homes.size() < spec.tasks() || job.placedCount() > 0)) {
+        if (spec.isGang() && (homes.size() < spec.tasks() || job.placedCount() > 0)) {
             return List.of();
         }
         Set<String> refusedBy = refused == null ? Set.of() : refused;
-        List<Planner.Choice> choices = new ArrayList<>();
-        List<Slot.Mark> before = new ArrayList<>();
+        List<Planner.Placement> choices = new ArrayList<>();
+        List<Slot.Snapshot> before = new ArrayList<>();
         homes.forEach((task, machine) -> {
             if (task >= spec.tasks() || job.isDone(task) || job.isPlaced(task) || held != null && held.test(task)) {
                 return;
             }
-            Slot slot = usable.get(machine);
+            Slot slot = usableSlots.get(machine);
             Obstacle obstacle = refusedBy.contains(machine) ? Obstacle.REFUSED : obstacle(spec, task, slot, zones);
             if (obstacle == null && overLimit.test(choices.size() + 1)) {
                 obstacle = Obstacle.QUOTA;
@@ -101,14 +101,14 @@
                 obstacles.put(spec.id() + "/" + task, obstacle);
                 return;
             }
-            before.add(slot.mark());
-            choices.add(new Planner.Choice(job, task, slot, slot.startDelay(spec)));
-            slot.take(spec);
+            before.add(slot.snapshot());
+            choices.add(new Planner.Placement(job, task, slot, slot.startDelayMs(spec)));
+            slot.allocate(spec);
             zones.merge(slot.zone, 1, Integer::sum);
         });
-        if (spec.gang() && choices.size() < spec.tasks()) {
+        if (spec.isGang() && choices.size() < spec.tasks()) {
             for (int i = before.size() - 1; i >= 0; i--) {
-                choices.get(i).slot().reset(before.get(i));
+                choices.get(i).slot().restore(before.get(i));
                 obstacles.put(spec.id() + "/" + choices.get(i).task(), Obstacle.GANG_INCOMPLETE);
             }
             return List.of();
--- a/src/main/java/birchusher/placement/Slot.java
+++ b/src/main/java/birchusher/placement/Slot.java
@@ -7,13 +7,13 @@
 /** Room on a machine as a planner sees it; virtual slots stand for machines that are booting or room about to free. */
 public final class Slot {
     /** In how many ms the worker of a machine that reports has mostly shown that it hears its owner. */
-    private static final long ARRIVAL_MS = 1_000;
+    private static final long REGISTRATION_DELAY_MS = 1_000;
 
     /** Of room that no driver can offer yet. */
     private static final int NO_SHARD = -1;
 
     final String machine;
-    final Catalog.Type type;
+    final Catalog.MachineType type;
     final int zone;
     final boolean spot;
     final long session;
@@ -24,18 +24,18 @@
     /** In how many ms the room is there; 0: now. */
     final long etaMs;
 
-    final boolean real;
-    double cpus;
-    double gpus;
-    double mem;
+    final boolean available;
+    double freeCpus;
+    double freeGpus;
+    double freeMemoryGb;
     /** Image planned here in this pass, so that several tasks of one image count one fetch. */
-    int planned = -1;
+    int plannedImage = -1;
 
     int plannedFetches;
 
     public Slot(
             String machine,
-            Catalog.Type type,
+            Catalog.MachineType type,
             int zone,
             boolean spot,
             long session,
@@ -58,10 +58,10 @@
         this.fetching = fetching;
         this.images = images;
         this.etaMs = etaMs;
-        this.real = real;
-        this.cpus = cpus;
-        this.gpus = gpus;
-        this.mem = mem;
+        this.available = real;
+        this.freeCpus = cpus;
+        this.freeGpus = gpus;
+        this.freeMemoryGb = mem;
     }
 
     /**
@@ -70,12 +70,12 @@
      *
      * @param used cpus, gpus and memory of the claims on it
      */
-    public static Slot arriving(MachineStatus status, Catalog.Type type, double[] used) {
+    public static Slot ofArrivingMachine(MachineStatus status, Catalog.MachineType type, double[] used) {
         double[] stray = status.unclaimedUse();
         double[] free = {
-            type.cpus() - used[0] - stray[0], type.gpus() - used[1] - stray[1], type.mem() - used[2] - stray[2]
+            type.cpus() - used[0] - stray[0], type.gpus() - used[1] - stray[1], type.memoryGb() - used[2] - stray[2]
         };
-        return of(status, type, NO_SHARD, ARRIVAL_MS, false, free);
+        return of(status, type, NO_SHARD, REGISTRATION_DELAY_MS, false, free);
     }
 
     /**
@@ -83,7 +83,8 @@
      *
      * @param free cpus, gpus and memory
      */
-    public static Slot of(MachineStatus status, Catalog.Type type, int shard, long etaMs, boolean real, double[] free) {
+    public static Slot of(
+            MachineStatus status, Catalog.MachineType type, int shard, long etaMs, boolean real, double[] free) {
         return new Slot(
                 status.machine(),
                 type,
@@ -102,47 +103,50 @@
     }
 
     public boolean allows(JobSpec j) {
-        return j.allows(type.index()) && (j.zone() < 0 || j.zone() == zone) && (!spot || j.spot());
+        return j.allowsType(type.index()) && (j.zone() < 0 || j.zone() == zone) && (!spot || j.allowsSpot());
     }
 
     public boolean fits(JobSpec j) {
-        return j.cpus() <= cpus + Catalog.EPS && j.gpus() <= gpus + Catalog.EPS && j.mem() <= mem + Catalog.EPS;
+        return j.cpus() <= freeCpus + Catalog.EPSILON
+                && j.gpus() <= freeGpus + Catalog.EPSILON
+                && j.memoryGb() <= freeMemoryGb + Catalog.EPSILON;
     }
 
-    public void take(JobSpec j) {
-        cpus -= j.cpus();
-        gpus -= j.gpus();
-        mem -= j.mem();
-        if (!has(j.image())) {
-            planned = j.image();
+    public void allocate(JobSpec j) {
+        freeCpus -= j.cpus();
+        freeGpus -= j.gpus();
+        freeMemoryGb -= j.memoryGb();
+        if (!hasImage(j.image())) {
+            plannedImage = j.image();
             plannedFetches++;
         }
     }
 
     /** How much of the machine is free, by what is used most. */
     public double freeShare() {
-        return Math.min(cpus / type.cpus(), type.gpus() > 0 ? gpus / type.gpus() : 1);
+        return Math.min(freeCpus / type.cpus(), type.gpus() > 0 ? freeGpus / type.gpus() : 1);
     }
 
     /** What a trial changes. */
-    public record Mark(double cpus, double gpus, double mem, int planned, int plannedFetches) {}
+    public record Snapshot(
+            double freeCpus, double freeGpus, double freeMemoryGb, int plannedImage, int plannedFetches) {}
 
-    public Mark mark() {
-        return new Mark(cpus, gpus, mem, planned, plannedFetches);
+    public Snapshot snapshot() {
+        return new Snapshot(freeCpus, freeGpus, freeMemoryGb, plannedImage, plannedFetches);
     }
 
-    public void reset(Mark m) {
-        cpus = m.cpus;
-        gpus = m.gpus;
-        mem = m.mem;
-        planned = m.planned;
+    public void restore(Snapshot m) {
+        freeCpus = m.freeCpus;
+        freeGpus = m.freeGpus;
+        freeMemoryGb = m.freeMemoryGb;
+        plannedImage = m.plannedImage;
         plannedFetches = m.plannedFetches;
     }
 
-    void giveBack(JobSpec j) {
-        cpus += j.cpus();
-        gpus += j.gpus();
-        mem += j.mem();
+    void release(JobSpec j) {
+        freeCpus += j.cpus();
+        freeGpus += j.gpus();
+        freeMemoryGb += j.memoryGb();
     }
 
     public String machine() {
@@ -155,16 +159,16 @@
 
     /** Whether it stands for a machine that is not up yet: nobody owns it. */
     boolean booting() {
-        return !real && shard < 0;
+        return !available && shard < 0;
     }
 
-    boolean has(int image) {
+    boolean hasImage(int image) {
         for (int i : images) {
             if (i == image) {
                 return true;
             }
         }
-        return planned == image;
+        return plannedImage == image;
     }
 
     /** Ms that a job's image takes to fetch here by itself. */
@@ -173,8 +177,8 @@
     }
 
     /** Ms by which one more image would slow down the fetches already going on here. */
-    double harm(JobSpec j) {
-        if (has(j.image())) {
+    double fetchSlowdownMs(JobSpec j) {
+        if (hasImage(j.image())) {
             return 0;
         }
         double own = fetchMs(j);
@@ -189,8 +193,8 @@
     }
 
     /** Expected ms until a task with this image could run here. */
-    public double startDelay(JobSpec j) {
-        if (has(j.image())) {
+    public double startDelayMs(JobSpec j) {
+        if (hasImage(j.image())) {
             return etaMs;
         }
         // Images fetched at the same time share the rate.
--- a/src/main/java/birchusher/store/StoreView.java
+++ b/src/main/java/birchusher/store/StoreView.java
@@ -92,7 +92,7 @@
                 JobSpec j = c.job().spec;
                 used[0] += j.cpus();
                 used[1] += j.gpus();
-                used[2] += j.mem();
+                used[2] += j.memoryGb();
             }
         }
     }
@@ -389,7 +389,7 @@
                 state,
                 version);
         jobs.put(id, j);
-        catalog.imageSize(j.spec.image(), j.spec.imageGb());
+        catalog.setImageGb(j.spec.image(), j.spec.imageGb());
         for (int i = 0; i < j.chunks.size(); i++) {
             Map<String, Object> waiting = orphanedPlacements.remove(Keys.placement(id, i));
             if (waiting != null) {
--- a/src/main/java/birchusher/wire/JobCodec.java
+++ b/src/main/java/birchusher/wire/JobCodec.java
@@ -136,19 +136,19 @@
     public Map<String, Object> write(JobSpec j) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put(Wire.ID, j.id());
-        m.put(Wire.CLASS, catalog.classes.name(j.cls()));
+        m.put(Wire.CLASS, catalog.classes.name(j.jobClass()));
         m.put(Wire.TEAM, catalog.teams.name(j.team()));
         m.put(Wire.SHAPE, Wire.of(j.shape()));
         m.put(Wire.PRIORITY, Wire.of(j.priority()));
         m.put(Wire.TASKS, j.tasks());
         m.put(Wire.CPUS, j.cpus());
         m.put(Wire.GPUS, j.gpus());
-        m.put(Wire.MEM, j.mem());
+        m.put(Wire.MEM, j.memoryGb());
         m.put(Wire.IMAGE, catalog.images.name(j.image()));
         m.put(Wire.IMAGE_GB, j.imageGb());
-        if (j.types() != null) {
+        if (j.allowedTypes() != null) {
             List<String> names = new ArrayList<>();
-            for (int t : j.types()) {
+            for (int t : j.allowedTypes()) {
                 names.add(catalog.typeNames.name(t));
             }
             m.put(Wire.TYPES, names);
@@ -158,10 +158,10 @@
         }
         m.put(Wire.ONE_ZONE, j.oneZone());
         m.put(Wire.SPREAD, j.spread());
-        m.put(Wire.SPOT, j.spot());
+        m.put(Wire.SPOT, j.allowsSpot());
         m.put(Wire.ESTIMATE, j.estimateS());
-        m.put(Wire.CHECKPOINT, j.checkpointS());
-        m.put(Wire.SAVE, j.saveS());
+        m.put(Wire.CHECKPOINT, j.checkpointIntervalS());
+        m.put(Wire.SAVE, j.checkpointWriteS());
         if (j.deadlineS() > 0) {
             m.put(Wire.DEADLINE, j.deadlineS());
         }
--- a/src/main/java/birchusher/workers/Commands.java
+++ b/src/main/java/birchusher/workers/Commands.java
@@ -99,7 +99,7 @@
 
     /** A gang attempt that has lost a task can't go on; all its claims were made at once, so a gap means a loss. */
     private static boolean hasLostGangTask(Job j) {
-        return j.spec.gang() && j.claimCount() < j.spec.tasks() && !j.allDone();
+        return j.spec.isGang() && j.claimCount() < j.spec.tasks() && !j.allDone();
     }
 
     List<Object> commandsFor(Machine m, boolean straight) {
--- a/src/main/java/birchusher/workers/Machine.java
+++ b/src/main/java/birchusher/workers/Machine.java
@@ -96,7 +96,7 @@
     void recordImageUse(int i, Catalog catalog) {
         cachedImages.remove((Integer) i);
         cachedImages.addFirst(i);
-        Catalog.Type t = catalog.type(type);
+        Catalog.MachineType t = catalog.type(type);
         double room = t == null ? Double.MAX_VALUE : t.cacheGb();
         int kept = 0;
         for (int x : cachedImages) {
--- a/src/main/java/birchusher/workers/MachineCapacity.java
+++ b/src/main/java/birchusher/workers/MachineCapacity.java
@@ -49,17 +49,17 @@
      * early would be refused by the worker, and a whole gang would end with it.
      */
     void preemptForClaims(Machine m, TaskStopper stops) {
-        Catalog.Type t = catalog.type(m.type);
+        Catalog.MachineType t = catalog.type(m.type);
         double[] used = view.capacityUsedOn(m.name);
         if (t == null
-                || used[0] <= t.cpus() + Catalog.EPS
-                        && used[1] <= t.gpus() + Catalog.EPS
-                        && used[2] <= t.mem() + Catalog.EPS) {
+                || used[0] <= t.cpus() + Catalog.EPSILON
+                        && used[1] <= t.gpus() + Catalog.EPSILON
+                        && used[2] <= t.memoryGb() + Catalog.EPSILON) {
             m.heldStarts.clear();
             return;
         }
-        double[] planned = {t.cpus() - used[0], t.gpus() - used[1], t.mem() - used[2]};
-        double[] present = {t.cpus(), t.gpus(), t.mem()};
+        double[] planned = {t.cpus() - used[0], t.gpus() - used[1], t.memoryGb() - used[2]};
+        double[] present = {t.cpus(), t.gpus(), t.memoryGb()};
         List<Claim> stand = new ArrayList<>();
         List<Claim> unstarted = new ArrayList<>();
         for (Claim c : view.claims(m.name).values()) {
@@ -90,13 +90,13 @@
             }
             for (Claim u : unstarted) {
                 JobSpec j = v.job().spec;
-                if (j.yieldsTo(
+                if (j.preemptibleBy(
                         u.job().spec,
                         guaranteed.test(j.id()),
                         guaranteed.test(u.job().spec.id()))) {
                     stops.stop(
                             v,
-                            j.resumes() ? j.saveS() + 1 : 0,
+                            j.isCheckpointed() ? j.checkpointWriteS() + 1 : 0,
                             "makes room for " + u.job().spec.id());
                     add(planned, j);
                     break;
@@ -117,22 +117,22 @@
     }
 
     private static boolean coversDemand(double[] room) {
-        return room[0] >= -Catalog.EPS && room[1] >= -Catalog.EPS && room[2] >= -Catalog.EPS;
+        return room[0] >= -Catalog.EPSILON && room[1] >= -Catalog.EPSILON && room[2] >= -Catalog.EPSILON;
     }
 
     private static boolean fits(double[] room, JobSpec j) {
-        return room[0] >= j.cpus() - Catalog.EPS
-                && room[1] >= j.gpus() - Catalog.EPS
-                && room[2] >= j.mem() - Catalog.EPS;
+        return room[0] >= j.cpus() - Catalog.EPSILON
+                && room[1] >= j.gpus() - Catalog.EPSILON
+                && room[2] >= j.memoryGb() - Catalog.EPSILON;
     }
 
     /** Free room by the truth known here: records, reports and reservations. */
     private double[] freeCapacity(Machine m) {
-        Catalog.Type t = catalog.type(m.type);
+        Catalog.MachineType t = catalog.type(m.type);
         if (t == null) {
             return new double[3];
         }
-        double[] f = {t.cpus(), t.gpus(), t.mem()};
+        double[] f = {t.cpus(), t.gpus(), t.memoryGb()};
         Map<String, Claim> claims = view.claims(m.name);
         for (Claim c : claims.values()) {
             if (c.job().released(c.task()) == null) {
@@ -170,15 +170,15 @@
             if (!e.exited() && !claims.containsKey(e.taskKey())) {
                 Job j = view.job(
                         e.taskKey().substring(0, Math.max(0, e.taskKey().lastIndexOf('/'))));
-                Catalog.Type t = catalog.type(m.type);
+                Catalog.MachineType t = catalog.type(m.type);
                 if (j != null) {
                     f[0] += j.spec.cpus();
                     f[1] += j.spec.gpus();
-                    f[2] += j.spec.mem();
+                    f[2] += j.spec.memoryGb();
                 } else if (t != null) {
                     f[0] += t.cpus();
                     f[1] += t.gpus();
-                    f[2] += t.mem();
+                    f[2] += t.memoryGb();
                 }
             }
         }
@@ -188,13 +188,13 @@
     private static void add(double[] f, JobSpec j) {
         f[0] += j.cpus();
         f[1] += j.gpus();
-        f[2] += j.mem();
+        f[2] += j.memoryGb();
     }
 
     private static void subtract(double[] f, JobSpec j) {
         f[0] -= j.cpus();
         f[1] -= j.gpus();
-        f[2] -= j.mem();
+        f[2] -= j.memoryGb();
     }
 
     /** Whether a task fits, and if it is offered so, also into room that lower work leaves. */
@@ -203,7 +203,9 @@
         if (makesRoom) {
             for (Claim c : view.claims(m.name).values()) {
                 if (c.job().released(c.task()) == null
-                        && c.job().spec.yieldsTo(j, guaranteed.test(c.job().spec.id()), guaranteed.test(j.id()))) {
+                        && c.job()
+                                .spec
+                                .preemptibleBy(j, guaranteed.test(c.job().spec.id()), guaranteed.test(j.id()))) {
                     add(f, c.job().spec);
                 }
             }
@@ -212,6 +214,7 @@
     }
 
     void reserve(Machine m, String key, JobSpec j) {
-        m.reservations.put(key, new Machine.Reservation(key, j.cpus(), j.gpus(), j.mem(), effects.now() + reserveMs));
+        m.reservations.put(
+                key, new Machine.Reservation(key, j.cpus(), j.gpus(), j.memoryGb(), effects.now() + reserveMs));
     }
 }
--- a/src/main/java/birchusher/workers/OutcomeRecorder.java
+++ b/src/main/java/birchusher/workers/OutcomeRecorder.java
@@ -314,7 +314,7 @@
             tx.requireUnchanged(membership.shardKey(shard));
             chunk.claims.remove(task);
             if (outcome == Outcome.DONE) {
-                if (j.spec.gang()) {
+                if (j.spec.isGang()) {
                     // One done means all done: the rest exit by themselves.
                     chunk.done.set(0, chunk.size());
                 } else {
--- a/src/main/java/birchusher/workers/WorkerRegistry.java
+++ b/src/main/java/birchusher/workers/WorkerRegistry.java
@@ -337,7 +337,7 @@
 
     /** Expected ms of fetching a job's image on a machine, none if it is there. */
     private long expectedFetchMs(Machine m, JobSpec j) {
-        Catalog.Type t = catalog.type(m.type);
+        Catalog.MachineType t = catalog.type(m.type);
         return t == null || m.cachedImages.contains(j.image()) ? 0 : Math.round(j.imageGb() / t.fetchGbPerS() * 1000);
     }
 
@@ -370,9 +370,9 @@
     private void onCapReached(Machine m, Claim c, AttemptState run, long now) {
         JobSpec j = c.job().spec;
         LOG.info("task {} attempt {} on {} is at its cap", c.taskKey(), c.attempt(), m.name);
-        m.speed.observe(j.estimateS() * estimateBias.bias(j.cls()), (now - run.lease.runningSinceMs()) / 1000.0);
-        if (j.resumes()) {
-            stopTaskOrGang(c, j.saveS() + 4, "at cap");
+        m.speed.observe(j.estimateS() * estimateBias.bias(j.jobClass()), (now - run.lease.runningSinceMs()) / 1000.0);
+        if (j.isCheckpointed()) {
+            stopTaskOrGang(c, j.checkpointWriteS() + 4, "at cap");
         }
     }
 
@@ -387,7 +387,7 @@
     }
 
     private void stopTaskOrGang(Claim c, double grace, String reason) {
-        if (c.job().spec.gang()) {
+        if (c.job().spec.isGang()) {
             gangStopper.stopGang(c.job(), grace, reason);
         } else {
             requestStop(c, grace, reason);
@@ -405,8 +405,8 @@
                         && j.estimateS() > 0
                         && !outcomes.pending(e.attemptKey())) {
                     double took = (now - run.lease.runningSinceMs()) / 1000.0;
-                    estimateBias.observe(j.cls(), j.estimateS(), took);
-                    m.speed.observe(j.estimateS() * estimateBias.bias(j.cls()), took);
+                    estimateBias.observe(j.jobClass(), j.estimateS(), took);
+                    m.speed.observe(j.estimateS() * estimateBias.bias(j.jobClass()), took);
                 }
                 m.errorsByJob.clear();
                 releaseClaim(c, OutcomeRecorder.Outcome.DONE, "done");
@@ -503,15 +503,15 @@
                 continue;
             }
             AttemptState run = m.attempts.get(ak);
-            double expected = j.estimateS() * estimateBias.bias(j.cls()) * 1000 / m.speed.value();
-            boolean endsInTime = !j.service()
-                    && !j.resumes()
+            double expected = j.estimateS() * estimateBias.bias(j.jobClass()) * 1000 / m.speed.value();
+            boolean endsInTime = !j.isService()
+                    && !j.isCheckpointed()
                     && run != null
                     && run.lease.runningSinceMs() >= 0
                     && run.lease.runningSinceMs() + expected < m.interruptionAtMs
                     && left > 2_500;
             if (!endsInTime) {
-                stopTaskOrGang(c, j.resumes() ? j.saveS() + 1 : 0, "notice");
+                stopTaskOrGang(c, j.isCheckpointed() ? j.checkpointWriteS() + 1 : 0, "notice");
             }
         }
     }
@@ -678,7 +678,7 @@
             }
         }
         for (Claim c : view.claims(m.name).values()) {
-            if (c.job().spec.service() && m.reportedTasks.containsKey(c.attemptKey())) {
+            if (c.job().spec.isService() && m.reportedTasks.containsKey(c.attemptKey())) {
                 requestStop(c, 0, "moves");
                 return;
             }
--- a/src/test/java/birchusher/JobRowBeforeMachineTypesTest.java
+++ b/src/test/java/birchusher/JobRowBeforeMachineTypesTest.java
@@ -18,9 +18,9 @@
         Map<String, Object> row = TestJobs.job();
         row.put("builds", List.of("g8"));
         var spec = new JobCodec(catalog).readRow(row);
-        catalog.learn(
-                List.of(new Catalog.Type(catalog.typeNames.add("g8"), "g8", 8, 4, 64, 50, 1, 2, 1, 30, new int[] {0})));
-        assertThat(spec.allows(catalog.typeNames.find("g8"))).isTrue();
-        assertThat(catalog.misfit(spec)).isNull();
+        catalog.addTypes(List.of(
+                new Catalog.MachineType(catalog.typeNames.add("g8"), "g8", 8, 4, 64, 50, 1, 2, 1, 30, new int[] {0})));
+        assertThat(spec.allowsType(catalog.typeNames.find("g8"))).isTrue();
+        assertThat(catalog.unschedulableReason(spec)).isNull();
     }
 }
--- a/src/test/java/birchusher/fleet/ReserveTest.java
+++ b/src/test/java/birchusher/fleet/ReserveTest.java
@@ -26,13 +26,13 @@
             .replace("\"zones\":[\"z\"]", "\"zones\":[\"z\",\"y\"]")
             .getBytes(StandardCharsets.UTF_8)));
     private final StoreView view = new StoreView(catalog, new JobCodec(catalog));
-    private final Catalog.Type type =
-            new Catalog.Type(catalog.typeNames.add("big"), "big", 32, 0, 128, 80, 1, 2.5, 0.8, 40, new int[] {0, 1});
+    private final Catalog.MachineType type = new Catalog.MachineType(
+            catalog.typeNames.add("big"), "big", 32, 0, 128, 80, 1, 2.5, 0.8, 40, new int[] {0, 1});
     private final Map<String, MachineStatus> fleet = new LinkedHashMap<>();
     private long revision;
 
     ReserveTest() {
-        catalog.learn(List.of(type));
+        catalog.addTypes(List.of(type));
         for (int i = 0; i < 20; i++) {
             int zone = i < 12 ? 1 : 0;
             fleet.put(
--- a/src/test/java/birchusher/placement/QuotasTest.java
+++ b/src/test/java/birchusher/placement/QuotasTest.java
@@ -29,23 +29,23 @@
  * team's limit, and far below it they do so without writing the gate each time.
  */
 class QuotasTest {
-    private static final int LIMIT = 150;
+    private static final int GPU_LIMIT = 150;
     private static final String SETTINGS =
-            birchusher.TestJobs.SETTINGS.replace("\"gpus_max\":8", "\"gpus_max\":" + LIMIT);
+            birchusher.TestJobs.SETTINGS.replace("\"gpus_max\":8", "\"gpus_max\":" + GPU_LIMIT);
     private final TreeMap<String, Object[]> rows = new TreeMap<>();
-    private final List<Object[]> log = new ArrayList<>();
+    private final List<Object[]> changes = new ArrayList<>();
     private long revision = 1;
-    private int gateWrites;
-    private int claims;
+    private int quotaRowWrites;
+    private int claimCount;
 
     /** One controller's part: its view, its gates and how far it has read. */
-    private final class Member {
+    private final class Controller {
         Catalog catalog;
         StoreView view;
         Quotas quotas;
-        int read;
+        int changesRead;
 
-        Member() {
+        Controller() {
             restart();
         }
 
@@ -53,18 +53,18 @@
             catalog = new Catalog(SettingsReader.read(SETTINGS.getBytes(StandardCharsets.UTF_8)));
             view = new StoreView(catalog, new JobCodec(catalog));
             quotas = new Quotas(catalog, view, 3);
-            rows.forEach((k, r) -> view.put(k, value(r[0]), (Long) r[1]));
+            rows.forEach((k, r) -> view.put(k, decode(r[0]), (Long) r[1]));
             view.appliedRevision(revision);
-            read = log.size();
+            changesRead = changes.size();
         }
 
-        void follow(int events) {
-            for (int n = 0; n < events && read < log.size(); n++) {
+        void readChanges(int events) {
+            for (int n = 0; n < events && changesRead < changes.size(); n++) {
                 // Whole transactions only, as a watch tells them.
-                long at = (Long) log.get(read)[2];
-                while (read < log.size() && (Long) log.get(read)[2] == at) {
-                    Object[] e = log.get(read++);
-                    view.put((String) e[0], value(e[1]), at);
+                long at = (Long) changes.get(changesRead)[2];
+                while (changesRead < changes.size() && (Long) changes.get(changesRead)[2] == at) {
+                    Object[] e = changes.get(changesRead++);
+                    view.put((String) e[0], decode(e[1]), at);
                 }
                 view.appliedRevision(at);
             }
@@ -80,12 +80,13 @@
                 }
             }
             Transaction tx = new Transaction(view);
-            Quotas.Pass pass =
-                    free.isEmpty() ? Quotas.Pass.NO : quotas.pass(tx, j.spec.team(), free.size(), 0, free.size());
-            if (pass == Quotas.Pass.NO) {
+            Quotas.Decision pass = free.isEmpty()
+                    ? Quotas.Decision.REFUSED
+                    : quotas.tryClaim(tx, j.spec.team(), free.size(), 0, free.size());
+            if (pass == Quotas.Decision.REFUSED) {
                 return false;
             }
-            if (pass == Quotas.Pass.YES) {
+            if (pass == Quotas.Decision.GRANTED) {
                 Chunk c = tx.editChunk(j, 0);
                 free.forEach(t -> c.claims.put((int) t, new Claim(j, t, ++c.lastAttempt, "m" + t, 1, 0)));
             }
@@ -93,9 +94,9 @@
             if (rev > 0 && answered) {
                 tx.applyTo(view, rev);
             } else {
-                follow(Integer.MAX_VALUE);
+                readChanges(Integer.MAX_VALUE);
             }
-            claims += rev > 0 && pass == Quotas.Pass.YES ? 1 : 0;
+            claimCount += rev > 0 && pass == Quotas.Decision.GRANTED ? 1 : 0;
             return rev > 0;
         }
 
@@ -111,7 +112,7 @@
         }
     }
 
-    private static Map<String, Object> value(Object packed) {
+    private static Map<String, Object> decode(Object packed) {
         return Fields.map(Pack.decode((byte[]) packed), "value");
     }
 
@@ -136,11 +137,11 @@
     private void put(String key, Map<String, Object> value) {
         byte[] packed = Pack.encode(value);
         rows.put(key, new Object[] {packed, revision});
-        log.add(new Object[] {key, packed, revision});
-        gateWrites += key.startsWith(Keys.QUOTA) ? 1 : 0;
+        changes.add(new Object[] {key, packed, revision});
+        quotaRowWrites += key.startsWith(Keys.QUOTA) ? 1 : 0;
     }
 
-    private void job(String id) {
+    private void createJob(String id) {
         Map<String, Object> m = birchusher.TestJobs.job();
         m.put("name_id", id);
         m.put("pieces", 140L);
@@ -148,32 +149,32 @@
         put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 182L, "t", 0L, "j", m)));
     }
 
-    private double use() {
-        return new Member().view.claimedGpus(0);
+    private double gpusInUse() {
+        return new Controller().view.claimedGpus(0);
     }
 
-    private final Member[] members = new Member[3];
+    private final Controller[] controllers = new Controller[3];
 
     QuotasTest() {
         for (int i = 0; i < 3; i++) {
-            job("wk-" + i);
+            createJob("wk-" + i);
         }
         for (int i = 0; i < 3; i++) {
-            members[i] = new Member();
+            controllers[i] = new Controller();
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void theLimitHoldsWhateverIsLateOrLost(long seed) {
+    void limitHoldsWithStaleViewsLostResponsesAndRestarts(long seed) {
         Random r = new Random(seed);
         double most = 0;
         for (int step = 0; step < 3_000; step++) {
             int i = r.nextInt(3);
-            Member m = members[i];
+            Controller m = controllers[i];
             int what = r.nextInt(20);
             if (what < 7) {
-                m.follow(1 + r.nextInt(6));
+                m.readChanges(1 + r.nextInt(6));
             } else if (what < 17) {
                 m.claim("wk-" + i, 1 + r.nextInt(r.nextInt(8) == 0 ? 30 : 5), r.nextInt(8) > 0);
             } else if (what == 17 && r.nextInt(3) == 0) {
@@ -181,22 +182,22 @@
             } else if (what == 18 && r.nextInt(8) == 0) {
                 m.restart();
             }
-            double use = use();
-            assertThat(use).as("step " + step).isLessThanOrEqualTo(LIMIT);
+            double use = gpusInUse();
+            assertThat(use).as("step " + step).isLessThanOrEqualTo(GPU_LIMIT);
             most = Math.max(most, use);
         }
-        assertThat(most).as("the limit is reached, so it was tried").isGreaterThan(LIMIT - 12);
+        assertThat(most).as("the limit is reached, so it was tried").isGreaterThan(GPU_LIMIT - 12);
     }
 
     @Test
-    void farBelowTheLimitClaimsNeedNoWriteOfTheGate() {
+    void claimsFarBelowTheLimitRarelyWriteTheQuotaRow() {
         for (int n = 0; n < 30; n++) {
-            assertThat(members[n % 3].claim("wk-" + n % 3, 1, true)).isTrue();
-            for (Member m : members) {
-                m.follow(Integer.MAX_VALUE);
+            assertThat(controllers[n % 3].claim("wk-" + n % 3, 1, true)).isTrue();
+            for (Controller m : controllers) {
+                m.readChanges(Integer.MAX_VALUE);
             }
         }
-        assertThat(claims).isEqualTo(30);
-        assertThat(gateWrites).isLessThan(10);
+        assertThat(claimCount).isEqualTo(30);
+        assertThat(quotaRowWrites).isLessThan(10);
     }
 }
