--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -7,9 +7,9 @@
 import birchusher.core.Fields.InvalidInputException;
 import birchusher.fleet.Autoscaler;
 import birchusher.http.Target;
-import birchusher.jobs.Events;
 import birchusher.jobs.JobApi;
-import birchusher.jobs.Listing;
+import birchusher.jobs.QueryApi;
+import birchusher.jobs.TaskEvents;
 import birchusher.lease.EstimateBias;
 import birchusher.lease.LeaseSettings;
 import birchusher.lease.LossRates;
@@ -58,7 +58,7 @@
     private final OutcomeRecorder outcomes;
     private final WorkerRegistry workerRegistry;
     private final JobApi jobApi;
-    private final Listing listing;
+    private final QueryApi listing;
     private final Planner planner;
     private final JobScheduler jobScheduler;
     private final Autoscaler autoscaler;
@@ -109,7 +109,7 @@
                 (job, grace, reason) -> later[0].stopGang(job, grace, reason),
                 id -> later[0].lastPlan().guaranteedJobs().contains(id));
         LossRates hazards = new LossRates();
-        Events events = new Events();
+        TaskEvents events = new TaskEvents();
         view.setClaimListeners(
                 statusExchange::machineKind,
                 c -> {
@@ -117,7 +117,7 @@
                     lostTasks.recordPlaced(c);
                 },
                 (c, lost) -> {
-                    events.left(effects.now(), c, lost);
+                    events.ended(effects.now(), c, lost);
                     if (lost) {
                         lostTasks.recordReleased(c, effects.now());
                     }
@@ -151,7 +151,7 @@
                 () -> lostTasks.tasksToRestoreOfAll(effects.now()));
         later[0] = jobScheduler;
         jobApi = new JobApi(effects, s, catalog, codec, view, store, membership);
-        listing = new Listing(effects, catalog, codec, view, store, jobApi, events);
+        listing = new QueryApi(effects, catalog, codec, view, store, jobApi, events);
         autoscaler = new Autoscaler(
                 effects,
                 s,
@@ -239,7 +239,12 @@
             nextStatusUpdateMs = now + 250;
             ownStatuses = workerRegistry.statuses();
             statusExchange.mergeStatuses(ownStatuses);
-            inventory.update(now, store.loaded(), this::machineEvidence, autoscaler::leaves, autoscaler.strangers());
+            inventory.update(
+                    now,
+                    store.loaded(),
+                    this::machineEvidence,
+                    autoscaler::isBeingDeleted,
+                    autoscaler.unreportedRunning());
         }
         if (plan) {
             jobScheduler.tick(statusExchange.statuses(), this::upcomingSlots);
@@ -358,7 +363,7 @@
                 membership.ownedTerms(),
                 news,
                 statusExchange.removedMachines(),
-                autoscaler.recentlyGone());
+                autoscaler.recentlyDeleted());
         byte[] record = encode(h);
         byte[] restoring = lostTasks.tasksToRestore() > 0 || restoringAnnounced
                 ? encode(new PeerRecord.DroppedTasks(lostTasks.tasksToRestore()))
@@ -399,7 +404,7 @@
         } else if (r instanceof PeerRecord.AttemptOutcomes o) {
             outcomes.onPeerOutcomes(o);
         } else if (r instanceof PeerRecord.ReturnReply x) {
-            autoscaler.retired(x.machine(), x.agreed());
+            autoscaler.onReturnReply(x.machine(), x.agreed());
         } else if (r instanceof PeerRecord.DroppedTasks x) {
             lostTasks.handlePeerReport(from, x.count(), effects.now());
         } else if (r instanceof PeerRecord.RevisionQuery q) {
@@ -425,7 +430,7 @@
             return;
         }
         if (membership.owns(p.shard())) {
-            autoscaler.retired(machine, workerRegistry.prepareReturn(machine, withTasks));
+            autoscaler.onReturnReply(machine, workerRegistry.prepareReturn(machine, withTasks));
         } else if (membership.connectedOwner(p.shard()) > 0) {
             send(membership.connectedOwner(p.shard()), new PeerRecord.ReturnRequest(machine, withTasks));
         }
@@ -433,7 +438,7 @@
 
     /** Room that will be there before a machine bought now could be up. */
     private List<Slot> upcomingSlots() {
-        List<Slot> l = autoscaler.coming(statusExchange.statuses());
+        List<Slot> l = autoscaler.bootingSlots(statusExchange.statuses());
         long now = effects.now();
         for (MachineStatus p : statusExchange.statuses().values()) {
             Catalog.MachineType t = catalog.type(p.type());
--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -45,14 +45,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
     /** A kind of machine counts as at most so many times as dear for what does not come up. */
-    private static final double MIN_SHARE = 0.25;
+    private static final double MIN_BOOTED_SHARE = 0.25;
     /** Fewer machines that are silent at once are silent each by itself. */
-    private static final int FEW_SILENT = 4;
+    private static final int MIN_SILENT_FOR_SHARD_FAULT = 4;
 
     /** A rental as its row tells it; {@code hosts} null: not answered yet. */
-    public record Ask(String name, int type, int zone, boolean spot, int count, long at, List<String> hosts) {}
+    public record RentalRequest(
+            String name, int type, int zone, boolean spot, int count, long requestedAtMs, List<String> hosts) {}
 
-    private record Kind(int type, int zone, boolean spot) {}
+    private record MachineKind(int type, int zone, boolean spot) {}
 
     private final Effects effects;
     private final Catalog catalog;
@@ -65,39 +66,39 @@
     /** Until then nothing is rented, returned or emptied: the next reports may show that it was there, or needed. */
     private final BooleanSupplier fleetKnown;
     /** Tasks that are expected to find their old room again. */
-    private final IntSupplier returning;
+    private final IntSupplier tasksToRestore;
 
     private final Settings settings;
-    private final BiConsumer<String, Boolean> retire;
+    private final BiConsumer<String, Boolean> requestReturn;
     private final Consolidation consolidation;
-    private final Reserve reserve;
-    private final Consumer<String> gone;
-    private final Map<Kind, Long> refusedUntil = new HashMap<>();
-    private final Set<String> busyAsks = new HashSet<>();
-    private final Map<String, Long> retryAsk = new HashMap<>();
+    private final GangReserve reserve;
+    private final Consumer<String> onDeleted;
+    private final Map<MachineKind, Long> refusedUntilMs = new HashMap<>();
+    private final Set<String> requestsInProgress = new HashSet<>();
+    private final Map<String, Long> retryAtMs = new HashMap<>();
     private final Set<String> deleting = new HashSet<>();
-    private final Map<String, Long> retiring = new HashMap<>();
-    private final MachineList list;
-    private Map<String, MachineStatus> known = Map.of();
-    private final Map<String, Long> recentlyGone = new LinkedHashMap<>();
-    private final List<String> toDelete = new ArrayList<>();
+    private final Map<String, Long> returnPendingUntilMs = new HashMap<>();
+    private final MachineList machineList;
+    private Map<String, MachineStatus> lastStatuses = Map.of();
+    private final Map<String, Long> recentlyDeleted = new LinkedHashMap<>();
+    private final List<String> deletionQueue = new ArrayList<>();
     /** Over the present jobs, once a tick: every machine's linger needs it. */
     private double meanImageGb;
 
-    private final Boots boots;
-    private final Demand demand;
-    private final double lingerBoot;
-    private final double lingerFetch;
-    private final double giveUp;
-    private final double silentSpotS;
-    private final double silentShare;
-    private boolean claiming;
-    private boolean reserving;
-    private boolean was;
-    private long nextTypes;
-    private long nextTick;
-    private long buyerSince;
-    private long lostAt = -1_000_000;
+    private final BootStatistics bootStatistics;
+    private final RentalPolicy rentalPolicy;
+    private final double lingerBoots;
+    private final double lingerFetches;
+    private final double giveUpBoots;
+    private final double silentSpotReports;
+    private final double silentLeaseShare;
+    private boolean takingRole;
+    private boolean recordingRequests;
+    private boolean wasActive;
+    private long nextTypesMs;
+    private long nextTickMs;
+    private long activeSinceMs;
+    private long roleLostAtMs = -1_000_000;
 
     public Autoscaler(
             Effects effects,
@@ -126,53 +127,55 @@
         this.counters = counters;
         this.orders = orders;
         this.fleetKnown = fleetKnown;
-        this.returning = returning;
-        this.retire = retire;
-        this.gone = gone;
-        reserve = new Reserve(catalog, view, s.objectives());
-        consolidation =
-                new Consolidation(catalog, view, t.ms("fleet.move-after-s"), retire, free, runningFor, this::linger);
-        lingerBoot = t.num("fleet.linger-boots");
-        lingerFetch = t.num("fleet.linger-fetches");
-        giveUp = t.num("fleet.give-up-boots");
-        boots = new Boots(giveUp);
-        demand = new Demand(catalog, s.objectives(), t.ms("placement.begin-by-s"));
-        silentSpotS = t.num("fleet.silent-spot-reports");
-        silentShare = t.num("fleet.silent-share");
-        list = new MachineList(effects, s, catalog, view, membership, cloud, giveUp, new MachineList.Known() {
-            @Override
-            public boolean leaves(String machine) {
-                return Autoscaler.this.leaves(machine);
-            }
+        this.tasksToRestore = returning;
+        this.requestReturn = retire;
+        this.onDeleted = gone;
+        reserve = new GangReserve(catalog, view, s.objectives());
+        consolidation = new Consolidation(
+                catalog, view, t.ms("fleet.move-after-s"), retire, free, runningFor, this::idleTimeoutMs);
+        lingerBoots = t.num("fleet.linger-boots");
+        lingerFetches = t.num("fleet.linger-fetches");
+        giveUpBoots = t.num("fleet.give-up-boots");
+        bootStatistics = new BootStatistics(giveUpBoots);
+        rentalPolicy = new RentalPolicy(catalog, s.objectives(), t.ms("placement.begin-by-s"));
+        silentSpotReports = t.num("fleet.silent-spot-reports");
+        silentLeaseShare = t.num("fleet.silent-share");
+        machineList = new MachineList(
+                effects, s, catalog, view, membership, cloud, giveUpBoots, new MachineList.FleetState() {
+                    @Override
+                    public boolean isBeingDeleted(String machine) {
+                        return Autoscaler.this.isBeingDeleted(machine);
+                    }
 
-            @Override
-            public boolean known(String machine) {
-                return known.containsKey(machine);
-            }
+                    @Override
+                    public boolean hasStatus(String machine) {
+                        return lastStatuses.containsKey(machine);
+                    }
 
-            @Override
-            public boolean awaited(String machine) {
-                return asks().stream().anyMatch(a -> a.hosts() == null) || askedHosts.contains(machine);
-            }
+                    @Override
+                    public boolean mayBeBooting(String machine) {
+                        return rentalRequests().stream().anyMatch(a -> a.hosts() == null)
+                                || requestedHosts.contains(machine);
+                    }
 
-            @Override
-            public void delete(String machine) {
-                Autoscaler.this.delete(machine);
-            }
-        });
+                    @Override
+                    public void delete(String machine) {
+                        Autoscaler.this.queueDeletion(machine);
+                    }
+                });
     }
 
     /** Whether a machine was deleted lately, or is about to be. */
-    public boolean leaves(String machine) {
-        return recentlyGone.containsKey(machine) || deleting.contains(machine);
+    public boolean isBeingDeleted(String machine) {
+        return recentlyDeleted.containsKey(machine) || deleting.contains(machine);
     }
 
     /** Machines that the cloud lists as running and nobody tells of. */
-    public Set<String> strangers() {
-        return list.running();
+    public Set<String> unreportedRunning() {
+        return machineList.unreportedRunning();
     }
 
-    public boolean isBuyer() {
+    public boolean isActive() {
         Map<String, Object> row = view.row(Keys.AUTOSCALER);
         return membership.canAct()
                 && row != null
@@ -181,77 +184,77 @@
     }
 
     /** Machines whose deletion was confirmed lately, to be told to their owners. */
-    public List<String> recentlyGone() {
-        recentlyGone.values().removeIf(at -> effects.now() - at > 30_000);
-        return List.copyOf(recentlyGone.keySet());
+    public List<String> recentlyDeleted() {
+        recentlyDeleted.values().removeIf(at -> effects.now() - at > 30_000);
+        return List.copyOf(recentlyDeleted.keySet());
     }
 
     public void tick(Map<String, MachineStatus> pictures, Planner.Plan plan) {
         long now = effects.now();
-        if (!store.loaded() || now < nextTick) {
+        if (!store.loaded() || now < nextTickMs) {
             return;
         }
-        nextTick = now + 250;
-        types(now);
-        boolean mine = isBuyer();
-        if (mine && !was) {
-            buyerSince = now;
+        nextTickMs = now + 250;
+        refreshTypes(now);
+        boolean mine = isActive();
+        if (mine && !wasActive) {
+            activeSinceMs = now;
             LOG.info("we are the autoscaler");
         }
-        if (was && !mine) {
+        if (wasActive && !mine) {
             // Somebody took it while cut off from us; taking it back at once would be a fight.
-            lostAt = now;
+            roleLostAtMs = now;
         }
-        was = mine;
+        wasActive = mine;
         if (!mine) {
-            become();
+            tryTakeRole();
             return;
         }
         meanImageGb = view.jobs().stream()
                 .mapToDouble(j -> j.spec.imageGb())
                 .average()
                 .orElse(0);
-        settleAsks(pictures, now);
-        known = pictures;
-        list.tick();
+        processRequests(pictures, now);
+        lastStatuses = pictures;
+        machineList.tick();
         if (!fleetKnown.getAsBoolean()) {
-            deleteNow();
+            sendDeletions();
             return;
         }
-        giveBack(pictures, now);
-        if (catalog.typesKnown() && !reserving && now - buyerSince > 1_500) {
-            buy(plan, pictures, now);
+        returnMachines(pictures, now);
+        if (catalog.typesKnown() && !recordingRequests && now - activeSinceMs > 1_500) {
+            requestMachines(plan, pictures, now);
         }
         consolidation.tick(plan, pictures, now);
-        deleteNow();
+        sendDeletions();
     }
 
     // ---- machine types
 
-    private void types(long now) {
+    private void refreshTypes(long now) {
         Map<String, Object> row = view.row(Keys.MACHINE_TYPES);
         if (!catalog.typesKnown() && row != null) {
-            learn(Fields.list(row, "l"));
+            learnTypes(Fields.list(row, "l"));
         }
-        boolean wanted = !catalog.typesKnown() || was && now >= nextTypes;
-        if (!wanted || now < nextTypes) {
+        boolean wanted = !catalog.typesKnown() || wasActive && now >= nextTypesMs;
+        if (!wanted || now < nextTypesMs) {
             return;
         }
-        nextTypes = now + 1_000;
+        nextTypesMs = now + 1_000;
         cloud.call("GET", Wire.MACHINE_TYPES, null, (status, m) -> {
             if (status != 200) {
                 return;
             }
-            nextTypes = effects.now() + 60_000;
+            nextTypesMs = effects.now() + 60_000;
             List<?> list = Fields.list(m, Wire.TYPE_LIST);
-            learn(list);
+            learnTypes(list);
             if (view.row(Keys.MACHINE_TYPES) == null && !list.isEmpty()) {
-                put(Keys.MACHINE_TYPES, Map.of("l", list));
+                putRow(Keys.MACHINE_TYPES, Map.of("l", list));
             }
         });
     }
 
-    private void learn(List<?> list) {
+    private void learnTypes(List<?> list) {
         List<Catalog.MachineType> types = new ArrayList<>();
         for (Object o : list) {
             types.add(Catalog.type(catalog.typeNames, catalog.zones, Fields.map(o, "type"), Wire.TYPE_FIELDS));
@@ -265,9 +268,9 @@
 
     // ---- becoming the autoscaler
 
-    private void become() {
+    private void tryTakeRole() {
         Map<String, Object> row = view.row(Keys.AUTOSCALER);
-        if (claiming || !membership.canAct() || !store.healthy() || effects.now() - lostAt < 20_000) {
+        if (takingRole || !membership.canAct() || !store.healthy() || effects.now() - roleLostAtMs < 20_000) {
             return;
         }
         int holder = row == null ? -1 : membership.memberIndex(String.valueOf(row.get("m")));
@@ -283,25 +286,25 @@
                 return;
             }
         }
-        claiming = true;
-        store.enqueue(new Simple(
+        takingRole = true;
+        store.enqueue(new FunctionChange(
                 3,
                 1,
                 tx -> {
                     Map<String, Object> now = view.row(Keys.AUTOSCALER);
                     tx.requireUnchanged(Keys.MEMBER_LEASE + membership.memberName(0));
-                    tx.put(Keys.AUTOSCALER, buyerRow(now == null ? 1 : Fields.countOr(now, "n", 1)));
+                    tx.put(Keys.AUTOSCALER, autoscalerRow(now == null ? 1 : Fields.countOr(now, "n", 1)));
                     return true;
                 },
-                ok -> claiming = false));
+                ok -> takingRole = false));
     }
 
-    private Map<String, Object> buyerRow(long next) {
+    private Map<String, Object> autoscalerRow(long next) {
         return Map.of("m", membership.memberName(0), "i", membership.incarnation(), "n", next);
     }
 
-    private void put(String key, Map<String, Object> value) {
-        store.enqueue(new Simple(
+    private void putRow(String key, Map<String, Object> value) {
+        store.enqueue(new FunctionChange(
                 3,
                 1,
                 tx -> {
@@ -313,16 +316,16 @@
 
     // ---- rentals
 
-    private List<Ask> asks = List.of();
-    private Set<String> askedHosts = Set.of();
-    private long asksAt = -1;
+    private List<RentalRequest> rentalRequests = List.of();
+    private Set<String> requestedHosts = Set.of();
+    private long requestsReadAtChange = -1;
 
     /** The rental rows, read again only when one of them has changed. */
-    public List<Ask> asks() {
-        if (asksAt == view.rentalRequestChangeCount()) {
-            return asks;
+    public List<RentalRequest> rentalRequests() {
+        if (requestsReadAtChange == view.rentalRequestChangeCount()) {
+            return rentalRequests;
         }
-        List<Ask> l = new ArrayList<>();
+        List<RentalRequest> l = new ArrayList<>();
         Set<String> all = new HashSet<>();
         boolean whole = true;
         for (Map.Entry<String, Map<String, Object>> e :
@@ -339,7 +342,7 @@
                 all.addAll(hosts);
             }
             if (zone >= 0 && catalog.type(type) != null) {
-                l.add(new Ask(
+                l.add(new RentalRequest(
                         e.getKey().substring(Keys.RENTAL_REQUEST.length()),
                         type,
                         zone,
@@ -351,28 +354,28 @@
                 whole = false;
             }
         }
-        asks = l;
-        askedHosts = all;
+        rentalRequests = l;
+        requestedHosts = all;
         // A type that is not known yet will be: such rows are looked at again.
-        asksAt = whole ? view.rentalRequestChangeCount() : -1;
+        requestsReadAtChange = whole ? view.rentalRequestChangeCount() : -1;
         return l;
     }
 
     /** Room on machines that are rented and not up yet. */
-    public List<Slot> coming(Map<String, MachineStatus> pictures) {
+    public List<Slot> bootingSlots(Map<String, MachineStatus> pictures) {
         List<Slot> l = new ArrayList<>();
-        for (Ask a : asks()) {
+        for (RentalRequest a : rentalRequests()) {
             Catalog.MachineType t = catalog.type(a.type());
             int n = a.hosts() == null ? a.count() : a.hosts().size();
-            double ageS = Math.max(0, (effects.wallTime() - a.at()) / 1000.0);
-            int kind = kind(a.type(), a.zone(), a.spot());
-            boolean overdue = ageS > t.bootS() * boots.overdue(kind);
-            long eta = Math.round(boots.etaS(kind, ageS, t.bootS()) * 1000);
+            double ageS = Math.max(0, (effects.wallTime() - a.requestedAtMs()) / 1000.0);
+            int kind = kindIndex(a.type(), a.zone(), a.spot());
+            boolean overdue = ageS > t.bootS() * bootStatistics.overdueBoots(kind);
+            long eta = Math.round(bootStatistics.etaS(kind, ageS, t.bootS()) * 1000);
             for (int i = 0; i < n; i++) {
                 String host = a.hosts() == null ? a.name() + "/" + i : a.hosts().get(i);
                 if (pictures.containsKey(host)) {
-                    boots.up(kind, host, ageS, t.bootS());
-                } else if (!overdue && !deleting.contains(host) && !recentlyGone.containsKey(host)) {
+                    bootStatistics.recordBooted(kind, host, ageS, t.bootS());
+                } else if (!overdue && !deleting.contains(host) && !recentlyDeleted.containsKey(host)) {
                     l.add(new Slot(
                             host,
                             t,
@@ -394,21 +397,21 @@
         return l;
     }
 
-    private void settleAsks(Map<String, MachineStatus> pictures, long now) {
-        for (Ask a : asks()) {
+    private void processRequests(Map<String, MachineStatus> pictures, long now) {
+        for (RentalRequest a : rentalRequests()) {
             if (a.hosts() == null) {
-                if (!busyAsks.contains(a.name()) && now >= retryAsk.getOrDefault(a.name(), 0L)) {
-                    rent(a);
+                if (!requestsInProgress.contains(a.name()) && now >= retryAtMs.getOrDefault(a.name(), 0L)) {
+                    sendRequest(a);
                 }
                 continue;
             }
-            double ageS = (effects.wallTime() - a.at()) / 1000.0;
+            double ageS = (effects.wallTime() - a.requestedAtMs()) / 1000.0;
             boolean allUp = true;
             List<String> late = new ArrayList<>();
             for (String h : a.hosts()) {
-                boolean up = pictures.containsKey(h) || recentlyGone.containsKey(h);
+                boolean up = pictures.containsKey(h) || recentlyDeleted.containsKey(h);
                 allUp &= up;
-                if (!up && ageS > catalog.type(a.type()).bootS() * giveUp) {
+                if (!up && ageS > catalog.type(a.type()).bootS() * giveUpBoots) {
                     late.add(h);
                 }
             }
@@ -416,12 +419,12 @@
                 for (String h : late) {
                     if (view.claims(h).isEmpty() && !deleting.contains(h)) {
                         LOG.info("machine {} did not come up in {} s, given up", h, Math.round(ageS));
-                        boots.never(kind(a.type(), a.zone(), a.spot()), h);
-                        delete(h);
+                        bootStatistics.recordNeverBooted(kindIndex(a.type(), a.zone(), a.spot()), h);
+                        queueDeletion(h);
                     }
                 }
-            } else if (allUp && busyAsks.add(a.name())) {
-                store.enqueue(new Simple(
+            } else if (allUp && requestsInProgress.add(a.name())) {
+                store.enqueue(new FunctionChange(
                         3,
                         1,
                         tx -> {
@@ -431,19 +434,19 @@
                             tx.remove(Keys.RENTAL_REQUEST + a.name());
                             return true;
                         },
-                        ok -> busyAsks.remove(a.name())));
+                        ok -> requestsInProgress.remove(a.name())));
             }
         }
     }
 
-    private void rent(Ask a) {
-        busyAsks.add(a.name());
-        boolean sent = cloud.call("POST", Wire.RENTALS, body(a), (status, m) -> {
+    private void sendRequest(RentalRequest a) {
+        requestsInProgress.add(a.name());
+        boolean sent = cloud.call("POST", Wire.RENTALS, requestBody(a), (status, m) -> {
             if (status == 200) {
                 List<Object> hosts = new ArrayList<>(Fields.list(m, Wire.MACHINES));
                 counters.rentals += hosts.size();
                 orders.recordRental(
-                        kind(a.type(), a.zone(), a.spot()),
+                        kindIndex(a.type(), a.zone(), a.spot()),
                         hosts.size(),
                         Math.round(catalog.type(a.type()).bootS() * 1000),
                         effects.now());
@@ -456,33 +459,33 @@
                         a.spot() ? " (spot)" : "",
                         hosts);
                 if (hosts.size() < a.count()) {
-                    refusedUntil.put(new Kind(a.type(), a.zone(), a.spot()), effects.now() + 15_000);
+                    refusedUntilMs.put(new MachineKind(a.type(), a.zone(), a.spot()), effects.now() + 15_000);
                 }
-                settle(a, hosts);
+                recordOutcome(a, hosts);
             } else if (status == 503 && "no capacity".equals(m.get("error"))) {
                 LOG.info(
                         "no {} in {}{}",
                         catalog.typeNames.name(a.type()),
                         catalog.zones.name(a.zone()),
                         a.spot() ? " (spot)" : "");
-                refusedUntil.put(new Kind(a.type(), a.zone(), a.spot()), effects.now() + 20_000);
-                settle(a, List.of());
+                refusedUntilMs.put(new MachineKind(a.type(), a.zone(), a.spot()), effects.now() + 20_000);
+                recordOutcome(a, List.of());
             } else if (status == 400) {
                 LOG.error("rental {} refused as malformed", a.name());
-                settle(a, List.of());
+                recordOutcome(a, List.of());
             } else {
                 // Unclear or later: the same name again, so that nothing is rented twice.
-                busyAsks.remove(a.name());
-                retryAsk.put(a.name(), effects.now() + 1_500);
+                requestsInProgress.remove(a.name());
+                retryAtMs.put(a.name(), effects.now() + 1_500);
             }
         });
         if (!sent) {
-            busyAsks.remove(a.name());
-            retryAsk.put(a.name(), effects.now() + 500);
+            requestsInProgress.remove(a.name());
+            retryAtMs.put(a.name(), effects.now() + 500);
         }
     }
 
-    private Map<String, Object> body(Ask a) {
+    private Map<String, Object> requestBody(RentalRequest a) {
         return Map.of(
                 Wire.REQUEST,
                 a.name(),
@@ -496,8 +499,8 @@
                 a.count());
     }
 
-    private void settle(Ask a, List<Object> hosts) {
-        store.enqueue(new Simple(
+    private void recordOutcome(RentalRequest a, List<Object> hosts) {
+        store.enqueue(new FunctionChange(
                 3,
                 1,
                 tx -> {
@@ -508,20 +511,20 @@
                     if (hosts.isEmpty()) {
                         tx.remove(key);
                     } else {
-                        tx.put(key, askRow(a, hosts));
+                        tx.put(key, requestRow(a, hosts));
                     }
                     return true;
                 },
-                ok -> busyAsks.remove(a.name())));
+                ok -> requestsInProgress.remove(a.name())));
     }
 
-    private Map<String, Object> askRow(Ask a, List<Object> hosts) {
+    private Map<String, Object> requestRow(RentalRequest a, List<Object> hosts) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("y", catalog.typeNames.name(a.type()));
         m.put("z", catalog.zones.name(a.zone()));
         m.put("s", a.spot());
         m.put("n", a.count());
-        m.put("t", a.at());
+        m.put("t", a.requestedAtMs());
         if (hosts != null) {
             m.put("h", hosts);
         }
@@ -529,16 +532,16 @@
     }
 
     /** Buys for what found no room, neither now nor soon. */
-    private void buy(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        refusedUntil.values().removeIf(until -> now > until);
-        for (Ask a : asks()) {
+    private void requestMachines(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
+        refusedUntilMs.values().removeIf(until -> now > until);
+        for (RentalRequest a : rentalRequests()) {
             if (a.hosts() == null) {
                 return;
             }
         }
-        Map<Kind, Integer> wanted = new LinkedHashMap<>();
+        Map<MachineKind, Integer> wanted = new LinkedHashMap<>();
         List<double[]> room = new ArrayList<>();
-        List<Kind> kinds = new ArrayList<>();
+        List<MachineKind> kinds = new ArrayList<>();
         int[] perZone = new int[catalog.zones.size()];
         pictures.values().forEach(p -> {
             if (p.zone() >= 0) {
@@ -546,18 +549,18 @@
             }
         });
         int opened = 0;
-        int expected = returning.getAsInt();
+        int expected = tasksToRestore.getAsInt();
         for (Planner.UnplacedTasks u : plan.rentalDemand(effects.wallTime())) {
             JobSpec s = u.job().spec;
             Map<Integer, Integer> zones = tasksByZone(u.job());
-            Demand.Of may = demand.of(u.job(), u.taskCount(), effects.wallTime());
+            RentalPolicy.RentalLimit may = rentalPolicy.limitFor(u.job(), u.taskCount(), effects.wallTime());
             int spared = Math.min(may.tasks(), expected);
             expected -= spared;
             for (int n = spared; n < Math.min(may.tasks(), 400); n++) {
                 int at = -1;
                 for (int i = 0; i < room.size() && at < 0; i++) {
                     double[] r = room.get(i);
-                    Kind k = kinds.get(i);
+                    MachineKind k = kinds.get(i);
                     if (s.allowsZone(zones, k.zone)
                             && s.allowsType(k.type)
                             && (!k.spot || s.allowsSpot())
@@ -568,7 +571,7 @@
                     }
                 }
                 if (at < 0) {
-                    Kind k = choose(s, zones, perZone, may.spotOnly());
+                    MachineKind k = cheapestKind(s, zones, perZone, may.spotOnly());
                     if (k == null || opened >= 100) {
                         break;
                     }
@@ -601,8 +604,8 @@
     }
 
     /** The cheapest kind of machine per task that is not known to be sold out; among equals the emptiest zone. */
-    private Kind choose(JobSpec s, Map<Integer, Integer> tasksByZone, int[] perZone, boolean spotOnly) {
-        Kind best = null;
+    private MachineKind cheapestKind(JobSpec s, Map<Integer, Integer> tasksByZone, int[] perZone, boolean spotOnly) {
+        MachineKind best = null;
         double bestPrice = Double.MAX_VALUE;
         for (Catalog.MachineType t : catalog.types()) {
             if (!s.allowsType(t.index()) || !t.fits(s)) {
@@ -616,14 +619,16 @@
                     continue;
                 }
                 for (int spot = s.allowsSpot() ? 1 : 0; spot >= (spotOnly ? 1 : 0); spot--) {
-                    Kind k = new Kind(t.index(), zone, spot == 1);
-                    if (refusedUntil.containsKey(k)) {
+                    MachineKind k = new MachineKind(t.index(), zone, spot == 1);
+                    if (refusedUntilMs.containsKey(k)) {
                         continue;
                     }
                     // What mostly does not come up is tried less, and tried again: a few that come make up for it.
                     double price = (k.spot ? t.spotPricePerHour() * 1.1 : t.pricePerHour())
                                     / fit
-                                    / Math.max(MIN_SHARE, boots.share(kind(k.type, k.zone, k.spot)))
+                                    / Math.max(
+                                            MIN_BOOTED_SHARE,
+                                            bootStatistics.bootedShare(kindIndex(k.type, k.zone, k.spot)))
                             + perZone[zone] * 1e-4;
                     if (price < bestPrice) {
                         bestPrice = price;
@@ -636,16 +641,16 @@
     }
 
     /** Records the request names before any of them is used. */
-    private void reserve(Map<Kind, Integer> wanted) {
-        reserving = true;
+    private void reserve(Map<MachineKind, Integer> wanted) {
+        recordingRequests = true;
         long at = effects.wallTime();
         int max = Math.max(1, settings.txnOps() - 1);
         long[] first = {-1};
-        store.enqueue(new Simple(
+        store.enqueue(new FunctionChange(
                 3,
                 Math.min(settings.txnOps(), wanted.size() + 1),
                 tx -> {
-                    if (!isBuyer() || tx.writes(Keys.AUTOSCALER)) {
+                    if (!isActive() || tx.writes(Keys.AUTOSCALER)) {
                         return false;
                     }
                     tx.requireUnchanged(Keys.MEMBER_LEASE + membership.memberName(0));
@@ -657,46 +662,47 @@
                         return false;
                     }
                     int used = 0;
-                    for (Map.Entry<Kind, Integer> e : wanted.entrySet()) {
+                    for (Map.Entry<MachineKind, Integer> e : wanted.entrySet()) {
                         if (used++ >= max) {
                             break;
                         }
-                        Kind k = e.getKey();
-                        Ask a = new Ask("r-" + next++, k.type, k.zone, k.spot, Math.min(50, e.getValue()), at, null);
-                        tx.put(Keys.RENTAL_REQUEST + a.name(), askRow(a, null));
+                        MachineKind k = e.getKey();
+                        RentalRequest a = new RentalRequest(
+                                "r-" + next++, k.type, k.zone, k.spot, Math.min(50, e.getValue()), at, null);
+                        tx.put(Keys.RENTAL_REQUEST + a.name(), requestRow(a, null));
                     }
-                    tx.put(Keys.AUTOSCALER, buyerRow(next));
+                    tx.put(Keys.AUTOSCALER, autoscalerRow(next));
                     return true;
                 },
-                ok -> reserving = false));
+                ok -> recordingRequests = false));
     }
 
     // ---- returns
 
-    private void giveBack(Map<String, MachineStatus> pictures, long now) {
-        retiring.values().removeIf(until -> now > until);
-        reserve.look(pictures, now);
-        Set<Integer> unheard = unheard(pictures);
+    private void returnMachines(Map<String, MachineStatus> pictures, long now) {
+        returnPendingUntilMs.values().removeIf(until -> now > until);
+        reserve.refresh(pictures, now);
+        Set<Integer> unheard = mostlySilentShards(pictures);
         for (MachineStatus p : pictures.values()) {
             if (deleting.contains(p.machine())
-                    || recentlyGone.containsKey(p.machine())
-                    || retiring.containsKey(p.machine())) {
+                    || recentlyDeleted.containsKey(p.machine())
+                    || returnPendingUntilMs.containsKey(p.machine())) {
                 continue;
             }
             boolean idle = !reserve.keeps(p.machine())
                     && p.idleSinceMs() >= 0
-                    && now - p.idleSinceMs() > linger(p)
+                    && now - p.idleSinceMs() > idleTimeoutMs(p)
                     && view.claims(p.machine()).isEmpty();
             // Cut off ourselves, we would delete machines that are well: others hear them.
-            boolean silent = store.healthy() && silent(p) && !unheard.contains(p.shard());
+            boolean silent = store.healthy() && isSilentTooLong(p) && !unheard.contains(p.shard());
             if (silent) {
                 LOG.info("machine {} silent for {} ms, deleted to free its tasks", p.machine(), p.silentMs());
-                delete(p.machine());
+                queueDeletion(p.machine());
             } else if (idle
                     || p.faulty()
                     || p.beingReturned() && view.claims(p.machine()).isEmpty()) {
-                retiring.put(p.machine(), now + 5_000);
-                retire.accept(p.machine(), false);
+                returnPendingUntilMs.put(p.machine(), now + 5_000);
+                requestReturn.accept(p.machine(), false);
             }
         }
     }
@@ -705,7 +711,7 @@
      * How long an idle machine is kept: what it would take to have one like it again, which is booting and fetching what
      * the present jobs need.
      */
-    private double linger(MachineStatus p) {
+    private double idleTimeoutMs(MachineStatus p) {
         Catalog.MachineType t = catalog.type(p.type());
         if (t == null) {
             return 60_000;
@@ -713,14 +719,14 @@
         double fetch = meanImageGb / t.fetchGbPerS();
         // Waiting is dear on dear machines: cheap ones stay longer, dear ones go sooner.
         double cheapness = t.spotPricePerHour() > 0 ? Math.sqrt(t.pricePerHour() / t.spotPricePerHour()) : 1;
-        return 1000 * (lingerBoot * t.bootS() + lingerFetch * fetch) * (p.spot() ? cheapness : 1 / cheapness);
+        return 1000 * (lingerBoots * t.bootS() + lingerFetches * fetch) * (p.spot() ? cheapness : 1 / cheapness);
     }
 
     /**
      * Shards most of whose machines fell silent: that is mostly their owner's link or their zone's, and they are well. Without this, a
      * buyer that its own workers could not reach deleted two dozen of them a second before somebody took them over.
      */
-    private static Set<Integer> unheard(Map<String, MachineStatus> pictures) {
+    private static Set<Integer> mostlySilentShards(Map<String, MachineStatus> pictures) {
         Map<Integer, int[]> counts = new HashMap<>();
         for (MachineStatus p : pictures.values()) {
             int[] c = counts.computeIfAbsent(p.shard(), k -> new int[2]);
@@ -729,7 +735,7 @@
         }
         Set<Integer> l = new HashSet<>();
         counts.forEach((shard, c) -> {
-            if (c[1] >= FEW_SILENT && 2 * c[1] > c[0]) {
+            if (c[1] >= MIN_SILENT_FOR_SHARD_FAULT && 2 * c[1] > c[0]) {
                 l.add(shard);
             }
         });
@@ -737,77 +743,77 @@
     }
 
     /** A machine that says nothing is mostly lost; deleting it is the quickest proof that its tasks are gone. */
-    private boolean silent(MachineStatus p) {
+    private boolean isSilentTooLong(MachineStatus p) {
         double s = p.silentMs() / 1000.0;
-        double bound = p.spot() ? settings.reportS() * silentSpotS : settings.leaseS() * silentShare;
+        double bound = p.spot() ? settings.reportS() * silentSpotReports : settings.leaseS() * silentLeaseShare;
         return s > bound && !view.claims(p.machine()).isEmpty();
     }
 
     /** The owner's answer to a wish to return a machine. */
-    public void retired(String machine, boolean agreed) {
-        if (agreed && isBuyer()) {
+    public void onReturnReply(String machine, boolean agreed) {
+        if (agreed && isActive()) {
             LOG.info("machine {} is returned", machine);
-            MachineStatus p = known.get(machine);
+            MachineStatus p = lastStatuses.get(machine);
             if (p != null) {
-                orders.recordReturn(kind(p.type(), p.zone(), p.spot()), effects.now());
+                orders.recordReturn(kindIndex(p.type(), p.zone(), p.spot()), effects.now());
             }
-            delete(machine);
+            queueDeletion(machine);
         }
     }
 
-    private int kind(int type, int zone, boolean spot) {
+    private int kindIndex(int type, int zone, boolean spot) {
         return (type * catalog.zones.size() + zone) * 2 + (spot ? 1 : 0);
     }
 
-    private void delete(String machine) {
+    private void queueDeletion(String machine) {
         if (deleting.add(machine)) {
-            toDelete.add(machine);
+            deletionQueue.add(machine);
         }
     }
 
-    private void deleteNow() {
-        if (toDelete.isEmpty()) {
+    private void sendDeletions() {
+        if (deletionQueue.isEmpty()) {
             return;
         }
-        List<String> names = new ArrayList<>(toDelete.subList(0, Math.min(100, toDelete.size())));
+        List<String> names = new ArrayList<>(deletionQueue.subList(0, Math.min(100, deletionQueue.size())));
         boolean sent = cloud.call("POST", Wire.RENTALS_DELETE, Map.of(Wire.MACHINES, names), (status, m) -> {
             if (status == 200) {
                 counters.returns += names.size();
                 for (String n : names) {
-                    recentlyGone.put(n, effects.now());
+                    recentlyDeleted.put(n, effects.now());
                     deleting.remove(n);
-                    gone.accept(n);
+                    onDeleted.accept(n);
                 }
             } else {
                 names.forEach(n -> {
-                    if (!toDelete.contains(n)) {
-                        toDelete.add(n);
+                    if (!deletionQueue.contains(n)) {
+                        deletionQueue.add(n);
                     }
                 });
             }
         });
         if (sent) {
-            toDelete.removeAll(names);
+            deletionQueue.removeAll(names);
         }
     }
 
     /** A change made of two functions. */
-    private record Simple(
-            int rank, int maxWrites, java.util.function.Predicate<Transaction> write, Consumer<Boolean> over)
+    private record FunctionChange(
+            int rank, int maxWrites, java.util.function.Predicate<Transaction> builder, Consumer<Boolean> onFinished)
             implements Change {
         @Override
         public boolean build(Transaction tx) {
-            return write.test(tx);
+            return builder.test(tx);
         }
 
         @Override
         public void committed(long revision) {
-            over.accept(true);
+            onFinished.accept(true);
         }
 
         @Override
         public void dropped() {
-            over.accept(false);
+            onFinished.accept(false);
         }
     }
 }
--- a/src/main/java/birchusher/fleet/Consolidation.java
+++ b/src/main/java/birchusher/fleet/Consolidation.java
@@ -27,14 +27,14 @@
     private final Catalog catalog;
     private final StoreView view;
     private final long moveAfterMs;
-    private final BiConsumer<String, Boolean> retire;
-    private final Function<Map<String, MachineStatus>, List<Slot>> free;
-    private final ToLongFunction<Claim> runningFor;
-    private final ToDoubleFunction<MachineStatus> linger;
+    private final BiConsumer<String, Boolean> requestReturn;
+    private final Function<Map<String, MachineStatus>, List<Slot>> freeSlots;
+    private final ToLongFunction<Claim> runningForMs;
+    private final ToDoubleFunction<MachineStatus> idleTimeoutMs;
     /** Machines whose replicas fit elsewhere, since when. */
-    private final Map<String, Long> sparse = new HashMap<>();
+    private final Map<String, Long> movableSinceMs = new HashMap<>();
 
-    private long nextMove;
+    private long nextCheckMs;
 
     Consolidation(
             Catalog catalog,
@@ -47,10 +47,10 @@
         this.catalog = catalog;
         this.view = view;
         this.moveAfterMs = moveAfterMs;
-        this.retire = retire;
-        this.free = free;
-        this.runningFor = runningFor;
-        this.linger = linger;
+        this.requestReturn = retire;
+        this.freeSlots = free;
+        this.runningForMs = runningFor;
+        this.idleTimeoutMs = linger;
     }
 
     /**
@@ -58,15 +58,15 @@
      * and have for a while, is emptied; a move costs a replica about a second.
      */
     void tick(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        if (now < nextMove) {
+        if (now < nextCheckMs) {
             return;
         }
-        nextMove = now + 2_000;
+        nextCheckMs = now + 2_000;
         if (!plan.unplaced().isEmpty()) {
             // Room is short: whatever is free is wanted, but what was thinly used before still is.
             return;
         }
-        List<Slot> slots = free.apply(pictures);
+        List<Slot> slots = freeSlots.apply(pictures);
         slots.removeIf(s -> view.claims(s.machine()).isEmpty());
         // The fullest first, so that what moves does not keep another thinly used machine.
         slots.sort(Comparator.comparingDouble(Slot::freeShare));
@@ -77,16 +77,16 @@
             if (p.beingReturned()
                     || !p.usable()
                     || catalog.type(p.type()) == null
-                    || !restless(p)
+                    || !runsOnlyMovableReplicas(p)
                     || !fitsElsewhere(p, slots, false)) {
-                sparse.remove(p.machine());
-            } else if (now - sparse.computeIfAbsent(p.machine(), k -> now)
-                    > Math.max(moveAfterMs, linger.applyAsDouble(p))) {
+                movableSinceMs.remove(p.machine());
+            } else if (now - movableSinceMs.computeIfAbsent(p.machine(), k -> now)
+                    > Math.max(moveAfterMs, idleTimeoutMs.applyAsDouble(p))) {
                 ripe.add(p);
             }
         }
-        sparse.keySet().retainAll(pictures.keySet());
-        ripe.sort(Comparator.comparingDouble(this::worth).reversed());
+        movableSinceMs.keySet().retainAll(pictures.keySet());
+        ripe.sort(Comparator.comparingDouble(this::savingPerReplica).reversed());
         for (MachineStatus p : ripe) {
             // A few at once in a large fleet; each machine's replicas still move one after the other.
             if (leaving >= 1 + pictures.size() / 50) {
@@ -94,27 +94,27 @@
             }
             if (fitsElsewhere(p, slots, true)) {
                 leaving++;
-                sparse.remove(p.machine());
+                movableSinceMs.remove(p.machine());
                 LOG.info(
                         "machine {} is emptied, its {} replicas fit elsewhere",
                         p.machine(),
                         view.claims(p.machine()).size());
-                retire.accept(p.machine(), true);
+                requestReturn.accept(p.machine(), true);
             }
         }
     }
 
     /** What returning a machine saves, for each replica that has to move. */
-    private double worth(MachineStatus p) {
+    private double savingPerReplica(MachineStatus p) {
         Catalog.MachineType t = catalog.type(p.type());
         return (p.spot() ? t.spotPricePerHour() : t.pricePerHour())
                 / Math.max(1, view.claims(p.machine()).size());
     }
 
     /** Whether nothing but replicas runs there, each for long enough to be moved. */
-    private boolean restless(MachineStatus p) {
+    private boolean runsOnlyMovableReplicas(MachineStatus p) {
         for (Claim c : view.claims(p.machine()).values()) {
-            if (!c.job().spec.isService() || runningFor.applyAsLong(c) < moveAfterMs) {
+            if (!c.job().spec.isService() || runningForMs.applyAsLong(c) < moveAfterMs) {
                 return false;
             }
         }
--- a/src/main/java/birchusher/fleet/Reserve.java
+++ b/src/main/java/birchusher/fleet/GangReserve.java
@@ -21,23 +21,23 @@
  * boots need them all at once. As many places as such gangs lately took in one boot time, and one gang more; places of work that
  * yields count, so nothing is kept while the fleet is busy. Nothing is bought for this.
  */
-final class Reserve {
-    private static final long WINDOW_MS = 300_000;
-    private static final int MAX_SEEN = 400;
-    private static final long LOOK_MS = 1_000;
+final class GangReserve {
+    private static final long ARRIVAL_WINDOW_MS = 300_000;
+    private static final int MAX_RECENT_GANGS = 400;
+    private static final long REFRESH_INTERVAL_MS = 1_000;
 
-    private record Seen(JobSpec spec, long at) {}
+    private record RecentGang(JobSpec spec, long seenAtMs) {}
 
     private final Catalog catalog;
     private final StoreView view;
     /** Per class the shortest time within which its jobs are to start. */
     private final Int2DoubleOpenHashMap startWithinS = new Int2DoubleOpenHashMap();
 
-    private final Map<String, Seen> lately = new LinkedHashMap<>();
-    private Set<String> kept = Set.of();
-    private long nextLook;
+    private final Map<String, RecentGang> recentGangs = new LinkedHashMap<>();
+    private Set<String> keptMachines = Set.of();
+    private long nextRefreshMs;
 
-    Reserve(Catalog catalog, StoreView view, List<Settings.Objective> objectives) {
+    GangReserve(Catalog catalog, StoreView view, List<Settings.Objective> objectives) {
         this.catalog = catalog;
         this.view = view;
         for (Settings.Objective o : objectives) {
@@ -48,29 +48,31 @@
     }
 
     boolean keeps(String machine) {
-        return kept.contains(machine);
+        return keptMachines.contains(machine);
     }
 
-    void look(Map<String, MachineStatus> pictures, long now) {
-        if (now < nextLook) {
+    void refresh(Map<String, MachineStatus> pictures, long now) {
+        if (now < nextRefreshMs) {
             return;
         }
-        nextLook = now + LOOK_MS;
-        lately.values().removeIf(s -> now - s.at > WINDOW_MS);
+        nextRefreshMs = now + REFRESH_INTERVAL_MS;
+        recentGangs.values().removeIf(s -> now - s.seenAtMs > ARRIVAL_WINDOW_MS);
         for (Job j : view.jobs()) {
-            if (j.spec.isMultiTaskGang() && startWithinS.containsKey(j.spec.jobClass()) && lately.size() < MAX_SEEN) {
-                lately.putIfAbsent(j.spec.id(), new Seen(j.spec, now));
+            if (j.spec.isMultiTaskGang()
+                    && startWithinS.containsKey(j.spec.jobClass())
+                    && recentGangs.size() < MAX_RECENT_GANGS) {
+                recentGangs.putIfAbsent(j.spec.id(), new RecentGang(j.spec, now));
             }
         }
         Map<Integer, List<JobSpec>> byClass = new HashMap<>();
-        lately.values().forEach(s -> byClass.computeIfAbsent(s.spec.jobClass(), k -> new ArrayList<>())
+        recentGangs.values().forEach(s -> byClass.computeIfAbsent(s.spec.jobClass(), k -> new ArrayList<>())
                 .add(s.spec));
         Set<String> keep = new HashSet<>();
-        byClass.values().forEach(l -> keepFor(l, pictures, keep));
-        kept = keep;
+        byClass.values().forEach(l -> keepForClass(l, pictures, keep));
+        keptMachines = keep;
     }
 
-    private void keepFor(List<JobSpec> gangs, Map<String, MachineStatus> pictures, Set<String> keep) {
+    private void keepForClass(List<JobSpec> gangs, Map<String, MachineStatus> pictures, Set<String> keep) {
         JobSpec largest = gangs.get(0);
         double tasks = 0;
         for (JobSpec s : gangs) {
@@ -96,17 +98,17 @@
             if (view.claims(p.machine()).isEmpty()) {
                 idle.computeIfAbsent(zone, k -> new ArrayList<>()).add(p);
             } else {
-                places.merge(zone, places(p, t, largest), Integer::sum);
+                places.merge(zone, taskCapacity(p, t, largest), Integer::sum);
             }
         }
-        double inABoot = tasks * Math.min(1, bootS * 1000 / WINDOW_MS);
+        double inABoot = tasks * Math.min(1, bootS * 1000 / ARRIVAL_WINDOW_MS);
         int wanted = (int) Math.ceil(Math.max(largest.tasks(), inABoot + tasks / gangs.size()));
         int best = -1;
         int most = -1;
         for (Map.Entry<Integer, List<MachineStatus>> e : idle.entrySet()) {
             int n = places.getOrDefault(e.getKey(), 0);
             for (MachineStatus p : e.getValue()) {
-                n += places(p, catalog.type(p.type()), largest);
+                n += taskCapacity(p, catalog.type(p.type()), largest);
             }
             if (n > most) {
                 most = n;
@@ -118,13 +120,13 @@
             if (have >= wanted) {
                 return;
             }
-            have += places(p, catalog.type(p.type()), largest);
+            have += taskCapacity(p, catalog.type(p.type()), largest);
             keep.add(p.machine());
         }
     }
 
     /** For how many such tasks a machine has room, or would have once work that yields has left. */
-    private int places(MachineStatus p, Catalog.MachineType t, JobSpec s) {
+    private int taskCapacity(MachineStatus p, Catalog.MachineType t, JobSpec s) {
         double cpus = t.cpus();
         double gpus = t.gpus();
         double mem = t.memoryGb();
--- a/src/main/java/birchusher/fleet/MachineList.java
+++ b/src/main/java/birchusher/fleet/MachineList.java
@@ -20,15 +20,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineList.class);
 
     /** What the autoscaler knows of a machine. */
-    interface Known {
+    interface FleetState {
         /** Deleted lately, or about to be. */
-        boolean leaves(String machine);
+        boolean isBeingDeleted(String machine);
 
         /** In the picture of the fleet. */
-        boolean known(String machine);
+        boolean hasStatus(String machine);
 
         /** Rented and not up yet, as far as can be told. */
-        boolean awaited(String machine);
+        boolean mayBeBooting(String machine);
 
         void delete(String machine);
     }
@@ -40,13 +40,13 @@
     private final Membership membership;
     private final CloudClient cloud;
     private final double giveUpBoots;
-    private final Known autoscaler;
+    private final FleetState fleet;
     /** Listed machines that report to nobody, since when. */
-    private final Map<String, Long> strangers = new HashMap<>();
+    private final Map<String, Long> unreportedSinceMs = new HashMap<>();
 
-    private final Set<String> running = new HashSet<>();
-    private boolean listing;
-    private long nextList;
+    private final Set<String> unreportedRunning = new HashSet<>();
+    private boolean listInProgress;
+    private long nextListMs;
 
     MachineList(
             Effects effects,
@@ -56,7 +56,7 @@
             Membership membership,
             CloudClient cloud,
             double giveUpBoots,
-            Known autoscaler) {
+            FleetState autoscaler) {
         this.effects = effects;
         settings = s;
         this.catalog = catalog;
@@ -64,28 +64,28 @@
         this.membership = membership;
         this.cloud = cloud;
         this.giveUpBoots = giveUpBoots;
-        this.autoscaler = autoscaler;
+        this.fleet = autoscaler;
     }
 
     /** The strangers that are listed as running. */
-    Set<String> running() {
-        return running;
+    Set<String> unreportedRunning() {
+        return unreportedRunning;
     }
 
     void tick() {
-        if (effects.now() < nextList || listing) {
+        if (effects.now() < nextListMs || listInProgress) {
             return;
         }
-        listing = true;
-        nextList = effects.now() + Math.max(4_000, Math.round(settings.listLagS() * 500));
-        page("", new HashSet<>());
+        listInProgress = true;
+        nextListMs = effects.now() + Math.max(4_000, Math.round(settings.listLagS() * 500));
+        requestPage("", new HashSet<>());
     }
 
-    private void page(String after, Set<String> seen) {
+    private void requestPage(String after, Set<String> seen) {
         boolean sent = cloud.call(
                 "GET", Wire.RENTALS + "?" + Wire.AFTER + "=" + after + "&" + Wire.LIMIT + "=500", null, (status, m) -> {
                     if (status != 200) {
-                        listing = false;
+                        listInProgress = false;
                         return;
                     }
                     String last = after;
@@ -93,50 +93,50 @@
                         Map<String, Object> x = Fields.map(o, "machine");
                         last = Fields.text(x, Wire.ID);
                         seen.add(last);
-                        listed(last, Fields.text(x, Wire.STATE), Fields.amountOr(x, Wire.AGE, 0));
+                        processListed(last, Fields.text(x, Wire.STATE), Fields.amountOr(x, Wire.AGE, 0));
                     }
                     if (Boolean.TRUE.equals(m.get(Wire.MORE)) && !last.equals(after)) {
-                        page(last, seen);
+                        requestPage(last, seen);
                     } else {
-                        listing = false;
-                        strangers.keySet().retainAll(seen);
-                        running.retainAll(strangers.keySet());
+                        listInProgress = false;
+                        unreportedSinceMs.keySet().retainAll(seen);
+                        unreportedRunning.retainAll(unreportedSinceMs.keySet());
                     }
                 });
         if (!sent) {
-            listing = false;
+            listInProgress = false;
         }
     }
 
-    private void listed(String machine, String state, double ageS) {
+    private void processListed(String machine, String state, double ageS) {
         long now = effects.now();
-        if (autoscaler.leaves(machine)) {
+        if (fleet.isBeingDeleted(machine)) {
             return;
         }
         if (state.equals("failed")) {
             // It stopped on its own: nothing runs there, and deleting it says so.
-            autoscaler.delete(machine);
+            fleet.delete(machine);
             return;
         }
-        if (autoscaler.known(machine)) {
-            strangers.remove(machine);
-            running.remove(machine);
+        if (fleet.hasStatus(machine)) {
+            unreportedSinceMs.remove(machine);
+            unreportedRunning.remove(machine);
             return;
         }
-        if (autoscaler.awaited(machine)) {
+        if (fleet.mayBeBooting(machine)) {
             return;
         }
         for (int i = 1; i < membership.memberCount(); i++) {
             if (!membership.isConnected(i)) {
                 // It may well report to a controller that we can't hear.
-                strangers.clear();
-                running.clear();
+                unreportedSinceMs.clear();
+                unreportedRunning.clear();
                 return;
             }
         }
-        long since = strangers.computeIfAbsent(machine, k -> now);
+        long since = unreportedSinceMs.computeIfAbsent(machine, k -> now);
         if (state.equals("running")) {
-            running.add(machine);
+            unreportedRunning.add(machine);
         }
         double bootS = 60;
         for (Catalog.MachineType t : catalog.types()) {
@@ -145,7 +145,7 @@
         long patience = Math.round(1000 * (state.equals("running") ? settings.leaseS() + 20 : bootS * giveUpBoots));
         if (now - since > patience && view.claims(machine).isEmpty()) {
             LOG.info("machine {} is listed as {} but reports to nobody, deleted", machine, state);
-            autoscaler.delete(machine);
+            fleet.delete(machine);
         }
     }
 }
--- a/src/main/java/birchusher/fleet/Demand.java
+++ b/src/main/java/birchusher/fleet/RentalPolicy.java
@@ -13,35 +13,35 @@
  * waited, and where no objective speaks for its class nothing at all, except to let it begin. Without this, a third of the fleet was
  * rented at four times the price for work that its users only wanted on idle machines.
  */
-final class Demand {
+final class RentalPolicy {
     /** How many tasks to rent for, and whether only spot machines will do. */
-    record Of(int tasks, boolean spotOnly) {}
+    record RentalLimit(int tasks, boolean spotOnly) {}
 
     private final Catalog catalog;
-    private final IntOpenHashSet spokenFor = new IntOpenHashSet();
+    private final IntOpenHashSet classesWithObjective = new IntOpenHashSet();
     private final long beginByMs;
 
-    Demand(Catalog catalog, List<Settings.Objective> objectives, long beginByMs) {
+    RentalPolicy(Catalog catalog, List<Settings.Objective> objectives, long beginByMs) {
         this.catalog = catalog;
         this.beginByMs = beginByMs;
         for (Settings.Objective o : objectives) {
             if (o.cls() != null) {
-                spokenFor.add(catalog.classes.add(o.cls()));
+                classesWithObjective.add(catalog.classes.add(o.cls()));
             }
         }
     }
 
     /** @param tasks those of the job that found no room */
-    Of of(Job j, int tasks, long wall) {
+    RentalLimit limitFor(Job j, int tasks, long wall) {
         JobSpec s = j.spec;
         Settings.Team team = catalog.team(s.team());
         if (s.priority() != Priority.LOW || team.cpus() > 0 || team.gpus() > 0) {
-            return new Of(tasks, false);
+            return new RentalLimit(tasks, false);
         }
         boolean waited = wall - j.acceptedAtMs > beginByMs;
-        if (spokenFor.contains(s.jobClass())) {
-            return new Of(tasks, s.allowsSpot() && !waited);
+        if (classesWithObjective.contains(s.jobClass())) {
+            return new RentalLimit(tasks, s.allowsSpot() && !waited);
         }
-        return new Of(!waited || j.hasStarted() ? 0 : s.isGang() ? tasks : Math.min(1, tasks), s.allowsSpot());
+        return new RentalLimit(!waited || j.hasStarted() ? 0 : s.isGang() ? tasks : Math.min(1, tasks), s.allowsSpot());
     }
 }
--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -28,7 +28,7 @@
 /** The users' side: submissions, polls, cancellations and the final states. */
 public final class JobApi {
     private static final Logger LOG = LoggerFactory.getLogger(JobApi.class);
-    private static final long COMMIT_MS = 2_500;
+    private static final long COMMIT_TIMEOUT_MS = 2_500;
 
     private final Effects effects;
     private final Catalog catalog;
@@ -38,9 +38,9 @@
     private final Membership membership;
     private final int chunkSize;
     private final int txnOps;
-    private final boolean cancelsLate;
-    private final Set<String> ending = new HashSet<>();
-    private long nextSweep;
+    private final boolean confirmsCancelWhenStopped;
+    private final Set<String> endingJobs = new HashSet<>();
+    private long nextSweepMs;
 
     public JobApi(
             Effects effects,
@@ -57,8 +57,8 @@
         this.store = store;
         this.membership = membership;
         txnOps = s.txnOps();
-        cancelsLate = s.cancelsLate();
-        if (cancelsLate) {
+        confirmsCancelWhenStopped = s.cancelsLate();
+        if (confirmsCancelWhenStopped) {
             LOG.warn(
                     "cancel_s {} leaves too little beyond lease_s {}: cancellations are confirmed only when the job's tasks are gone",
                     s.cancelS(),
@@ -68,7 +68,7 @@
         chunkSize = (int) Math.max(16, Math.min(500, (s.valueKb() * 1024 - 512) / Chunk.CLAIM_BYTES));
     }
 
-    private static Map<String, Object> answer(String id, String state, int done, int running) {
+    private static Map<String, Object> stateBody(String id, String state, int done, int running) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put(Wire.ID, id);
         m.put(Wire.STATE, state);
@@ -77,22 +77,25 @@
         return m;
     }
 
-    static Map<String, Object> ended(String id, StoreView.EndedJob e) {
-        return e.done() ? answer(id, Wire.DONE, e.tasks(), 0) : answer(id, Wire.CANCELLED, 0, 0);
+    static Map<String, Object> endedBody(String id, StoreView.EndedJob e) {
+        return e.done() ? stateBody(id, Wire.DONE, e.tasks(), 0) : stateBody(id, Wire.CANCELLED, 0, 0);
     }
 
     /** What may be told of a job without asking anybody: final states are final. Null if it has none yet. */
     private Map<String, Object> finalState(String id) {
         StoreView.EndedJob e = view.endedJob(id);
         if (e != null) {
-            return ended(id, e);
+            return endedBody(id, e);
         }
         Job j = view.job(id);
         if (j != null
-                && (j.state() == Job.State.DONE || j.state() == Job.State.OPEN && j.allDone() && asNewAsItsPlaces(j))) {
-            return answer(id, Wire.DONE, j.spec.tasks(), 0);
+                && (j.state() == Job.State.DONE
+                        || j.state() == Job.State.OPEN && j.allDone() && viewCoversClaimRows(j))) {
+            return stateBody(id, Wire.DONE, j.spec.tasks(), 0);
         }
-        return j != null && j.state() == Job.State.CANCELLED && mayTell(j) ? answer(id, Wire.CANCELLED, 0, 0) : null;
+        return j != null && j.state() == Job.State.CANCELLED && mayConfirmCancel(j)
+                ? stateBody(id, Wire.CANCELLED, 0, 0)
+                : null;
     }
 
     /**
@@ -101,7 +104,7 @@
      * controller told its user cancelled, and then another told done. Once the view has everything up to the last end, the job's row
      * tells which came first; no cancellation is written after it, as each conditions on a row of tasks that was not full.
      */
-    private boolean asNewAsItsPlaces(Job j) {
+    private boolean viewCoversClaimRows(Job j) {
         for (int i = 0; i < j.chunks.size(); i++) {
             if (view.version(Keys.placement(j.spec.id(), i)) > view.appliedRevision()) {
                 return false;
@@ -111,19 +114,20 @@
     }
 
     /** Where leases are too long for a cancellation's time, it is told only when no task is left, as far as a view of its own age shows. */
-    private boolean mayTell(Job j) {
-        return !cancelsLate || j.claimCount() == 0 && view.appliedRevision() >= view.version(Keys.JOB + j.spec.id());
+    private boolean mayConfirmCancel(Job j) {
+        return !confirmsCancelWhenStopped
+                || j.claimCount() == 0 && view.appliedRevision() >= view.version(Keys.JOB + j.spec.id());
     }
 
-    private static Map<String, Object> open(Job j) {
+    private static Map<String, Object> openBody(Job j) {
         int running = j.claimCount();
-        return answer(j.spec.id(), running > 0 ? Wire.RUNNING : Wire.QUEUED, j.doneCount(), running);
+        return stateBody(j.spec.id(), running > 0 ? Wire.RUNNING : Wire.QUEUED, j.doneCount(), running);
     }
 
     /** What a poll may be told of a job that is in the view, if the view is new enough. */
-    Map<String, Object> told(Job j) {
+    Map<String, Object> currentState(Job j) {
         Map<String, Object> known = finalState(j.spec.id());
-        return known != null ? known : open(j);
+        return known != null ? known : openBody(j);
     }
 
     // ---- polls
@@ -138,16 +142,16 @@
             effects.answer(exchange, 200, known);
             return;
         }
-        lookUp(exchange, id, () -> effects.answer(exchange, 404, Map.of("error", "no such job")));
+        answerFromFreshView(exchange, id, () -> effects.answer(exchange, 404, Map.of("error", "no such job")));
     }
 
     /** Answers a job's state from a view that is as new as this moment; {@code unknown} if it was never accepted. */
-    private void lookUp(long exchange, String id, Runnable unknown) {
-        lookUp(exchange, id, j -> effects.answer(exchange, 200, open(j)), unknown);
+    private void answerFromFreshView(long exchange, String id, Runnable unknown) {
+        answerFromFreshView(exchange, id, j -> effects.answer(exchange, 200, openBody(j)), unknown);
     }
 
     /** The same, with what is to be done with a job that has no final state. */
-    private void lookUp(long exchange, String id, Consumer<Job> unfinished, Runnable unknown) {
+    private void answerFromFreshView(long exchange, String id, Consumer<Job> unfinished, Runnable unknown) {
         boolean asked = store.whenUpToDate(ok -> {
             if (!ok) {
                 effects.refuseWithRetry(exchange, 503, 2);
@@ -164,7 +168,7 @@
                 return;
             }
             if (view.unreadable(id)) {
-                effects.answer(exchange, 200, answer(id, Wire.QUEUED, 0, 0));
+                effects.answer(exchange, 200, stateBody(id, Wire.QUEUED, 0, 0));
                 return;
             }
             if (store.allEndedJobsKnown()) {
@@ -221,7 +225,7 @@
         }
         if (id != null && view.job(id) != null) {
             String jobId = id;
-            lookUp(exchange, jobId, () -> effects.refuseWithRetry(exchange, 503, 1));
+            answerFromFreshView(exchange, jobId, () -> effects.refuseWithRetry(exchange, 503, 1));
             return;
         }
         if (bad != null && id == null) {
@@ -237,20 +241,20 @@
         if (why != null) {
             // A repeat of an accepted id is answered with its state, whatever its body has become.
             int status = bad != null ? 400 : 422;
-            lookUp(exchange, id, () -> effects.answer(exchange, status, Map.of("error", why)));
+            answerFromFreshView(exchange, id, () -> effects.answer(exchange, status, Map.of("error", why)));
             return;
         }
-        if (!store.enqueue(new Accept(exchange, spec))) {
+        if (!store.enqueue(new AcceptJob(exchange, spec))) {
             effects.refuseWithRetry(exchange, 503, 2);
         }
     }
 
-    private final class Accept implements Change {
+    private final class AcceptJob implements Change {
         private final long exchange;
         private final JobSpec spec;
-        private final long until = effects.now() + COMMIT_MS;
+        private final long deadlineMs = effects.now() + COMMIT_TIMEOUT_MS;
 
-        Accept(long exchange, JobSpec spec) {
+        AcceptJob(long exchange, JobSpec spec) {
             this.exchange = exchange;
             this.spec = spec;
         }
@@ -267,7 +271,7 @@
 
         @Override
         public long expiresAtMs() {
-            return until;
+            return deadlineMs;
         }
 
         @Override
@@ -276,18 +280,18 @@
                     || view.unreadable(spec.id())
                     || view.endedJob(spec.id()) != null
                     || tx.writes(Keys.JOB + spec.id())
-                    || effects.now() > until) {
+                    || effects.now() > deadlineMs) {
                 return false;
             }
             tx.requireUnchanged(Keys.ENDED_JOB + spec.id());
-            tx.put(Keys.JOB + spec.id(), row(spec, chunkSize, effects.wallTime(), Job.State.OPEN));
+            tx.put(Keys.JOB + spec.id(), jobRow(spec, chunkSize, effects.wallTime(), Job.State.OPEN));
             return true;
         }
 
         @Override
         public void committed(long revision) {
             LOG.info("job {} accepted: {} {} tasks, {}", spec.id(), spec.shape(), spec.tasks(), spec.priority());
-            effects.answer(exchange, 201, answer(spec.id(), Wire.QUEUED, 0, 0));
+            effects.answer(exchange, 201, stateBody(spec.id(), Wire.QUEUED, 0, 0));
         }
 
         @Override
@@ -301,11 +305,11 @@
 
         @Override
         public void dropped() {
-            lookUp(exchange, spec.id(), () -> effects.refuseWithRetry(exchange, 503, 1));
+            answerFromFreshView(exchange, spec.id(), () -> effects.refuseWithRetry(exchange, 503, 1));
         }
     }
 
-    private Map<String, Object> row(JobSpec s, int chunk, long acceptedAt, Job.State state) {
+    private Map<String, Object> jobRow(JobSpec s, int chunk, long acceptedAt, Job.State state) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("s", state.name());
         m.put("k", chunk);
@@ -333,7 +337,7 @@
         if (view.job(id) == null) {
             // Accepted elsewhere a moment ago, it is to be cancelled like any other: its state alone was no answer to a
             // cancellation.
-            lookUp(
+            answerFromFreshView(
                     exchange,
                     id,
                     j -> cancel(exchange, j),
@@ -344,17 +348,17 @@
     }
 
     private void cancel(long exchange, Job j) {
-        if (!store.enqueue(new Cancel(exchange, j.spec.id()))) {
+        if (!store.enqueue(new CancelJob(exchange, j.spec.id()))) {
             effects.refuseWithRetry(exchange, 503, 1);
         }
     }
 
-    private final class Cancel implements Change {
+    private final class CancelJob implements Change {
         private final long exchange;
         private final String id;
-        private final long until = effects.now() + COMMIT_MS;
+        private final long deadlineMs = effects.now() + COMMIT_TIMEOUT_MS;
 
-        Cancel(long exchange, String id) {
+        CancelJob(long exchange, String id) {
             this.exchange = exchange;
             this.id = id;
         }
@@ -371,7 +375,7 @@
 
         @Override
         public long expiresAtMs() {
-            return until;
+            return deadlineMs;
         }
 
         @Override
@@ -381,7 +385,7 @@
                     || j.state() != Job.State.OPEN
                     || j.allDone()
                     || tx.writes(Keys.JOB + id)
-                    || effects.now() > until) {
+                    || effects.now() > deadlineMs) {
                 return false;
             }
             // Another controller may be about to see, and to tell, that the last task is done: then this must fail.
@@ -393,7 +397,7 @@
                 return false;
             }
             tx.requireUnchanged(Keys.placement(id, open));
-            tx.put(Keys.JOB + id, row(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.CANCELLED));
+            tx.put(Keys.JOB + id, jobRow(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.CANCELLED));
             return true;
         }
 
@@ -420,27 +424,27 @@
     /** Writes final states, and puts ended jobs away once nothing of them is on any machine. */
     public void tick() {
         long now = effects.now();
-        if (!store.loaded() || !store.healthy() || !membership.canAct() || now < nextSweep) {
+        if (!store.loaded() || !store.healthy() || !membership.canAct() || now < nextSweepMs) {
             return;
         }
-        nextSweep = now + 200;
+        nextSweepMs = now + 200;
         for (Job j : view.jobs()) {
             boolean over = (j.state() != Job.State.OPEN || j.allDone()) && j.claimCount() == 0;
-            if (over && membership.schedules(j.spec.id()) && ending.size() < 100 && ending.add(j.spec.id())) {
-                if (!store.enqueue(new End(j.spec.id(), Math.min(txnOps, j.chunks.size() + 2)))) {
-                    ending.remove(j.spec.id());
+            if (over && membership.schedules(j.spec.id()) && endingJobs.size() < 100 && endingJobs.add(j.spec.id())) {
+                if (!store.enqueue(new EndJob(j.spec.id(), Math.min(txnOps, j.chunks.size() + 2)))) {
+                    endingJobs.remove(j.spec.id());
                 }
             }
         }
     }
 
-    private final class End implements Change {
+    private final class EndJob implements Change {
         private final String id;
         private final int cost;
-        private boolean away;
+        private boolean archives;
         private boolean done;
 
-        End(String id, int cost) {
+        EndJob(String id, int cost) {
             this.id = id;
             this.cost = cost;
         }
@@ -475,8 +479,8 @@
             for (Chunk c : j.chunks) {
                 places += c == null ? 0 : 1;
             }
-            away = j.claimCount() == 0 && places + 2 <= txnOps;
-            if (away) {
+            archives = j.claimCount() == 0 && places + 2 <= txnOps;
+            if (archives) {
                 for (Chunk c : j.chunks) {
                     if (c != null) {
                         tx.remove(Keys.placement(id, c.index));
@@ -493,7 +497,7 @@
                         break;
                     }
                 }
-                tx.put(Keys.JOB + id, row(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.DONE));
+                tx.put(Keys.JOB + id, jobRow(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.DONE));
                 return true;
             }
             if (j.claimCount() > 0) {
@@ -511,15 +515,15 @@
 
         @Override
         public void committed(long revision) {
-            ending.remove(id);
-            if (away) {
+            endingJobs.remove(id);
+            if (archives) {
                 LOG.info("job {} ended: {}", id, done ? "done" : "cancelled");
             }
         }
 
         @Override
         public void dropped() {
-            ending.remove(id);
+            endingJobs.remove(id);
         }
     }
 }
--- a/src/main/java/birchusher/jobs/Listing.java
+++ b/src/main/java/birchusher/jobs/QueryApi.java
@@ -26,9 +26,9 @@
  * What people ask beside the published paths: lists of jobs, one job in full, the teams. Like polls, all is answered from a view
  * that is as new as the question, so nothing here is older than what was answered before. Everything is paged.
  */
-public final class Listing {
-    private static final int MAX_JOBS = 200;
-    private static final int MAX_TASKS = 500;
+public final class QueryApi {
+    private static final int MAX_JOBS_PER_PAGE = 200;
+    private static final int MAX_TASKS_PER_PAGE = 500;
 
     private final Effects effects;
     private final Catalog catalog;
@@ -36,16 +36,16 @@
     private final StoreView view;
     private final StoreClient store;
     private final JobApi jobApi;
-    private final Events events;
+    private final TaskEvents events;
 
-    public Listing(
+    public QueryApi(
             Effects effects,
             Catalog catalog,
             JobCodec codec,
             StoreView view,
             StoreClient store,
             JobApi jobApi,
-            Events events) {
+            TaskEvents events) {
         this.effects = effects;
         this.catalog = catalog;
         this.codec = codec;
@@ -55,7 +55,7 @@
         this.events = events;
     }
 
-    private void fresh(long exchange, Runnable then) {
+    private void withFreshView(long exchange, Runnable then) {
         boolean asked = store.whenUpToDate(ok -> {
             if (ok) {
                 then.run();
@@ -68,7 +68,7 @@
         }
     }
 
-    private static int most(Target t, int most) throws Target.Bad {
+    private static int pageLimit(Target t, int most) throws Target.Bad {
         long n = t.count(Wire.LIMIT, most);
         if (n < 1 || n > most) {
             throw new InvalidInputException(Wire.LIMIT + ": 1 to " + most);
@@ -86,7 +86,7 @@
         String team = t.text(Wire.TEAM, null);
         String cls = t.text(Wire.CLASS, null);
         String after = t.text(Wire.AFTER, "");
-        int most = most(t, MAX_JOBS);
+        int most = pageLimit(t, MAX_JOBS_PER_PAGE);
         if (stage != null
                 && !List.of(Wire.QUEUED, Wire.RUNNING, Wire.DONE, Wire.CANCELLED)
                         .contains(stage)) {
@@ -99,23 +99,23 @@
         Predicate<Job> wanted = j -> j.spec.id().compareTo(after) > 0
                 && (team == null || team.equals(catalog.teams.name(j.spec.team())))
                 && (cls == null || cls.equals(catalog.classes.name(j.spec.jobClass())));
-        fresh(exchange, () -> {
-            TreeMap<String, Map<String, Object>> rows = live(wanted, stage);
+        withFreshView(exchange, () -> {
+            TreeMap<String, Map<String, Object>> rows = liveJobs(wanted, stage);
             if (ended) {
-                putAway(exchange, rows, stage, after, most);
+                addArchivedJobs(exchange, rows, stage, after, most);
             } else {
-                answer(exchange, rows, most, false);
+                sendPage(exchange, rows, most, false);
             }
         });
     }
 
-    private TreeMap<String, Map<String, Object>> live(Predicate<Job> wanted, String stage) {
+    private TreeMap<String, Map<String, Object>> liveJobs(Predicate<Job> wanted, String stage) {
         TreeMap<String, Map<String, Object>> rows = new TreeMap<>();
         for (Job j : view.jobs()) {
             if (!wanted.test(j)) {
                 continue;
             }
-            Map<String, Object> m = new LinkedHashMap<>(jobApi.told(j));
+            Map<String, Object> m = new LinkedHashMap<>(jobApi.currentState(j));
             if (stage == null || stage.equals(m.get(Wire.STATE))) {
                 m.put(Wire.TEAM, catalog.teams.name(j.spec.team()));
                 m.put(Wire.CLASS, catalog.classes.name(j.spec.jobClass()));
@@ -126,7 +126,7 @@
     }
 
     /** Adds a page of the jobs that were put away; what is live and behind that page has to wait for a later one. */
-    private void putAway(
+    private void addArchivedJobs(
             long exchange, TreeMap<String, Map<String, Object>> rows, String stage, String after, int most) {
         boolean sent =
                 store.readPage(Keys.ENDED_JOB, after.isEmpty() ? "" : Keys.ENDED_JOB + after, most, (status, m) -> {
@@ -139,8 +139,8 @@
                     for (Object o : Fields.list(m, Wire.ITEMS)) {
                         Map<String, Object> row = Fields.map(o, "row");
                         last = Fields.text(row, Wire.KEY).substring(Keys.ENDED_JOB.length());
-                        Map<String, Object> told =
-                                JobApi.ended(last, StoreView.readEndedJob(Fields.map(row.get(Wire.VALUE), "value")));
+                        Map<String, Object> told = JobApi.endedBody(
+                                last, StoreView.readEndedJob(Fields.map(row.get(Wire.VALUE), "value")));
                         if (stage.equals(told.get(Wire.STATE))) {
                             rows.put(last, told);
                         }
@@ -150,14 +150,14 @@
                         // A page may hold none of that stage: its last id says where to go on.
                         rows.putIfAbsent(last, Map.of());
                     }
-                    answer(exchange, rows, most, more);
+                    sendPage(exchange, rows, most, more);
                 });
         if (!sent) {
             effects.refuseWithRetry(exchange, 503, 1);
         }
     }
 
-    private void answer(long exchange, TreeMap<String, Map<String, Object>> rows, int most, boolean more) {
+    private void sendPage(long exchange, TreeMap<String, Map<String, Object>> rows, int most, boolean more) {
         List<Object> l = new ArrayList<>();
         String last = "";
         for (Map.Entry<String, Map<String, Object>> e : rows.entrySet()) {
@@ -178,15 +178,15 @@
      */
     public void describe(long exchange, String id, Target t) throws Target.Bad {
         long from = t.count(Wire.AFTER, 0);
-        int most = most(t, MAX_TASKS);
-        fresh(exchange, () -> {
+        int most = pageLimit(t, MAX_TASKS_PER_PAGE);
+        withFreshView(exchange, () -> {
             Job j = view.job(id);
             if (j == null) {
                 // The same answer as to a poll, looked up in the same way.
                 jobApi.poll(exchange, id);
                 return;
             }
-            Map<String, Object> m = new HashMap<>(jobApi.told(j));
+            Map<String, Object> m = new HashMap<>(jobApi.currentState(j));
             m.put("job", codec.write(j.spec));
             m.put("accepted_ms", j.acceptedAtMs);
             m.put("attempts", j.lastAttempt());
@@ -207,7 +207,7 @@
                 }
             }
             m.put("pieces", tasks);
-            m.put("events", events.of(effects.now(), id));
+            m.put("events", events.latestOf(effects.now(), id));
             m.put("next", i);
             m.put(Wire.MORE, i < j.spec.tasks());
             effects.answer(exchange, 200, m);
@@ -216,7 +216,7 @@
 
     /** {@code GET /v2/teams}: what each team uses, is guaranteed and may use at most (0: no limit). */
     public void teams(long exchange, Collection<Settings.Team> teams) {
-        fresh(exchange, () -> {
+        withFreshView(exchange, () -> {
             List<Object> l = new ArrayList<>();
             for (Settings.Team t : teams) {
                 int i = catalog.teams.find(t.name());
--- a/src/test/java/birchusher/fleet/ReserveTest.java
+++ b/src/test/java/birchusher/fleet/GangReserveTest.java
@@ -21,7 +21,7 @@
  * Seen on vernis-fjord: of 39 large machines 27 were returned as idle in the 40 s before a gang came that was to start in 6 s;
  * machines boot in 40 s.
  */
-class ReserveTest {
+class GangReserveTest {
     private final Catalog catalog = new Catalog(SettingsReader.read(TestJobs.SETTINGS
             .replace("\"zones\":[\"z\"]", "\"zones\":[\"z\",\"y\"]")
             .getBytes(StandardCharsets.UTF_8)));
@@ -31,7 +31,7 @@
     private final Map<String, MachineStatus> fleet = new LinkedHashMap<>();
     private long revision;
 
-    ReserveTest() {
+    GangReserveTest() {
         catalog.addTypes(List.of(type));
         for (int i = 0; i < 20; i++) {
             int zone = i < 12 ? 1 : 0;
@@ -58,12 +58,12 @@
         }
     }
 
-    private Reserve reserve(double withinS) {
-        return new Reserve(
+    private GangReserve reserve(double withinS) {
+        return new GangReserve(
                 catalog, view, withinS > 0 ? List.of(new Settings.Objective("wait", "l", withinS, 0.8)) : List.of());
     }
 
-    private void gang(String id, long tasks) {
+    private void addGang(String id, long tasks) {
         Map<String, Object> m = TestJobs.job();
         m.putAll(Map.of(
                 "name_id",
@@ -85,33 +85,33 @@
         view.put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 100L, "t", 0L, "j", m)), ++revision);
     }
 
-    private long kept(Reserve r, long now) {
-        r.look(fleet, now);
+    private long countKept(GangReserve r, long now) {
+        r.refresh(fleet, now);
         return fleet.keySet().stream().filter(r::keeps).count();
     }
 
     @Test
-    void placesForTheNextGangAreKeptInOneZoneForAWhileAfterGangsCame() {
-        Reserve r = reserve(6);
-        gang("wk-a", 8);
-        gang("wk-b", 4);
+    void machinesForTheNextGangAreKeptInOneZoneWhileGangsAreRecent() {
+        GangReserve r = reserve(6);
+        addGang("wk-a", 8);
+        addGang("wk-b", 4);
         // Twelve tasks in five minutes are 1.6 in a boot time, and one more gang has six: the largest decides.
-        assertThat(kept(r, 1_000)).isEqualTo(8);
+        assertThat(countKept(r, 1_000)).isEqualTo(8);
         assertThat(fleet.values().stream().filter(p -> r.keeps(p.machine())).allMatch(p -> p.zone() == 1))
                 .isTrue();
         view.remove(Keys.JOB + "wk-a", ++revision);
         view.remove(Keys.JOB + "wk-b", ++revision);
-        assertThat(kept(r, 200_000)).isEqualTo(8);
-        assertThat(kept(r, 302_000)).isZero();
+        assertThat(countKept(r, 200_000)).isEqualTo(8);
+        assertThat(countKept(r, 302_000)).isZero();
     }
 
     @Test
-    void nothingIsKeptForGangsThatMayWaitForABootOrForSingleTasks() {
-        gang("wk-a", 8);
-        assertThat(kept(reserve(60), 1_000)).isZero();
-        assertThat(kept(reserve(0), 1_000)).isZero();
+    void nothingIsKeptForGangsThatCanWaitForABootOrForSingleTasks() {
+        addGang("wk-a", 8);
+        assertThat(countKept(reserve(60), 1_000)).isZero();
+        assertThat(countKept(reserve(0), 1_000)).isZero();
         view.remove(Keys.JOB + "wk-a", ++revision);
-        gang("wk-one", 1);
-        assertThat(kept(reserve(6), 1_000)).isZero();
+        addGang("wk-one", 1);
+        assertThat(countKept(reserve(6), 1_000)).isZero();
     }
 }
