--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -1,6 +1,6 @@
 package birchusher.fleet;
 
-import birchusher.cloud.CloudLink;
+import birchusher.cloud.CloudClient;
 import birchusher.core.Effects;
 import birchusher.core.Fields;
 import birchusher.membership.Membership;
@@ -8,16 +8,16 @@
 import birchusher.model.JobSpec;
 import birchusher.placement.Planner;
 import birchusher.placement.Slot;
-import birchusher.recovery.Orders;
+import birchusher.recovery.ActionCounters;
 import birchusher.settings.Settings;
 import birchusher.settings.Tuning;
 import birchusher.store.Change;
 import birchusher.store.Claim;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.StoreLink;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import birchusher.wire.Wire;
 import birchusher.workers.Counters;
 import birchusher.workers.MachineStatus;
@@ -45,70 +45,71 @@
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
     /** A kind of machine counts as at most so many times as dear for what does not come up. */
-    private static final double MIN_SHARE = 0.25;
+    private static final double MIN_BOOTED_SHARE = 0.25;
     /** Fewer machines that are silent at once are silent each by itself. */
-    private static final int FEW_SILENT = 4;
+    private static final int MIN_SILENT_FOR_SHARD_FAULT = 4;
 
     /** A rental as its row tells it; {@code hosts} null: not answered yet. */
-    public record Ask(String name, int type, int zone, boolean spot, int count, long at, List<String> hosts) {}
+    public record RentalRequest(
+            String name, int type, int zone, boolean spot, int count, long requestedAtMs, List<String> hosts) {}
 
-    private record Kind(int type, int zone, boolean spot) {}
+    private record MachineKind(int type, int zone, boolean spot) {}
 
     private final Effects effects;
     private final Catalog catalog;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final Membership membership;
-    private final CloudLink cloud;
+    private final CloudClient cloud;
     private final Counters counters;
-    private final Orders orders;
+    private final ActionCounters orders;
     /** Until then nothing is rented, returned or emptied: the next reports may show that it was there, or needed. */
     private final BooleanSupplier fleetKnown;
     /** Tasks that are expected to find their old room again. */
-    private final IntSupplier returning;
+    private final IntSupplier tasksToRestore;
 
     private final Settings settings;
-    private final BiConsumer<String, Boolean> retire;
+    private final BiConsumer<String, Boolean> requestReturn;
     private final Consolidation consolidation;
-    private final Reserve reserve;
-    private final Consumer<String> gone;
-    private final Map<Kind, Long> refusedUntil = new HashMap<>();
-    private final Set<String> busyAsks = new HashSet<>();
-    private final Map<String, Long> retryAsk = new HashMap<>();
+    private final GangReserve reserve;
+    private final Consumer<String> onDeleted;
+    private final Map<MachineKind, Long> refusedUntilMs = new HashMap<>();
+    private final Set<String> requestsInProgress = new HashSet<>();
+    private final Map<String, Long> retryAtMs = new HashMap<>();
     private final Set<String> deleting = new HashSet<>();
-    private final Map<String, Long> retiring = new HashMap<>();
-    private final MachineList list;
-    private Map<String, MachineStatus> known = Map.of();
-    private final Map<String, Long> recentlyGone = new LinkedHashMap<>();
-    private final List<String> toDelete = new ArrayList<>();
+    private final Map<String, Long> returnPendingUntilMs = new HashMap<>();
+    private final MachineList machineList;
+    private Map<String, MachineStatus> lastStatuses = Map.of();
+    private final Map<String, Long> recentlyDeleted = new LinkedHashMap<>();
+    private final List<String> deletionQueue = new ArrayList<>();
     /** Over the present jobs, once a tick: every machine's linger needs it. */
     private double meanImageGb;
 
-    private final Boots boots;
-    private final Demand demand;
-    private final double lingerBoot;
-    private final double lingerFetch;
-    private final double giveUp;
-    private final double silentSpotS;
-    private final double silentShare;
-    private boolean claiming;
-    private boolean reserving;
-    private boolean was;
-    private long nextTypes;
-    private long nextTick;
-    private long buyerSince;
-    private long lostAt = -1_000_000;
+    private final BootStatistics bootStatistics;
+    private final RentalPolicy rentalPolicy;
+    private final double lingerBoots;
+    private final double lingerFetches;
+    private final double giveUpBoots;
+    private final double silentSpotReports;
+    private final double silentLeaseShare;
+    private boolean takingRole;
+    private boolean recordingRequests;
+    private boolean wasActive;
+    private long nextTypesMs;
+    private long nextTickMs;
+    private long activeSinceMs;
+    private long roleLostAtMs = -1_000_000;
 
     public Autoscaler(
             Effects effects,
             Settings s,
             Catalog catalog,
-            View view,
-            StoreLink store,
+            StoreView view,
+            StoreClient store,
             Membership membership,
-            CloudLink cloud,
+            CloudClient cloud,
             Counters counters,
-            Orders orders,
+            ActionCounters orders,
             BooleanSupplier fleetKnown,
             IntSupplier returning,
             Tuning t,
@@ -126,138 +127,140 @@
         this.counters = counters;
         this.orders = orders;
         this.fleetKnown = fleetKnown;
-        this.returning = returning;
-        this.retire = retire;
-        this.gone = gone;
-        reserve = new Reserve(catalog, view, s.objectives());
-        consolidation =
-                new Consolidation(catalog, view, t.ms("fleet.move-after-s"), retire, free, runningFor, this::linger);
-        lingerBoot = t.num("fleet.linger-boots");
-        lingerFetch = t.num("fleet.linger-fetches");
-        giveUp = t.num("fleet.give-up-boots");
-        boots = new Boots(giveUp);
-        demand = new Demand(catalog, s.objectives(), t.ms("placement.begin-by-s"));
-        silentSpotS = t.num("fleet.silent-spot-reports");
-        silentShare = t.num("fleet.silent-share");
-        list = new MachineList(effects, s, catalog, view, membership, cloud, giveUp, new MachineList.Known() {
-            @Override
-            public boolean leaves(String machine) {
-                return Autoscaler.this.leaves(machine);
-            }
+        this.tasksToRestore = returning;
+        this.requestReturn = retire;
+        this.onDeleted = gone;
+        reserve = new GangReserve(catalog, view, s.objectives());
+        consolidation = new Consolidation(
+                catalog, view, t.ms("fleet.move-after-s"), retire, free, runningFor, this::idleTimeoutMs);
+        lingerBoots = t.num("fleet.linger-boots");
+        lingerFetches = t.num("fleet.linger-fetches");
+        giveUpBoots = t.num("fleet.give-up-boots");
+        bootStatistics = new BootStatistics(giveUpBoots);
+        rentalPolicy = new RentalPolicy(catalog, s.objectives(), t.ms("placement.begin-by-s"));
+        silentSpotReports = t.num("fleet.silent-spot-reports");
+        silentLeaseShare = t.num("fleet.silent-share");
+        machineList = new MachineList(
+                effects, s, catalog, view, membership, cloud, giveUpBoots, new MachineList.FleetState() {
+                    @Override
+                    public boolean isBeingDeleted(String machine) {
+                        return Autoscaler.this.isBeingDeleted(machine);
+                    }
 
-            @Override
-            public boolean known(String machine) {
-                return known.containsKey(machine);
-            }
+                    @Override
+                    public boolean hasStatus(String machine) {
+                        return lastStatuses.containsKey(machine);
+                    }
 
-            @Override
-            public boolean awaited(String machine) {
-                return asks().stream().anyMatch(a -> a.hosts() == null) || askedHosts.contains(machine);
-            }
+                    @Override
+                    public boolean mayBeBooting(String machine) {
+                        return rentalRequests().stream().anyMatch(a -> a.hosts() == null)
+                                || requestedHosts.contains(machine);
+                    }
 
-            @Override
-            public void delete(String machine) {
-                Autoscaler.this.delete(machine);
-            }
-        });
+                    @Override
+                    public void delete(String machine) {
+                        Autoscaler.this.queueDeletion(machine);
+                    }
+                });
     }
 
     /** Whether a machine was deleted lately, or is about to be. */
-    public boolean leaves(String machine) {
-        return recentlyGone.containsKey(machine) || deleting.contains(machine);
+    public boolean isBeingDeleted(String machine) {
+        return recentlyDeleted.containsKey(machine) || deleting.contains(machine);
     }
 
     /** Machines that the cloud lists as running and nobody tells of. */
-    public Set<String> strangers() {
-        return list.running();
+    public Set<String> unreportedRunning() {
+        return machineList.unreportedRunning();
     }
 
-    public boolean isBuyer() {
-        Map<String, Object> row = view.row(Keys.BUYER);
-        return membership.holding()
+    public boolean isActive() {
+        Map<String, Object> row = view.row(Keys.AUTOSCALER);
+        return membership.canAct()
                 && row != null
                 && membership.memberName(0).equals(row.get("m"))
                 && Fields.countOr(row, "i", 0) == membership.incarnation();
     }
 
     /** Machines whose deletion was confirmed lately, to be told to their owners. */
-    public List<String> recentlyGone() {
-        recentlyGone.values().removeIf(at -> effects.now() - at > 30_000);
-        return List.copyOf(recentlyGone.keySet());
+    public List<String> recentlyDeleted() {
+        recentlyDeleted.values().removeIf(at -> effects.now() - at > 30_000);
+        return List.copyOf(recentlyDeleted.keySet());
     }
 
     public void tick(Map<String, MachineStatus> pictures, Planner.Plan plan) {
         long now = effects.now();
-        if (!store.loaded() || now < nextTick) {
+        if (!store.loaded() || now < nextTickMs) {
             return;
         }
-        nextTick = now + 250;
-        types(now);
-        boolean mine = isBuyer();
-        if (mine && !was) {
-            buyerSince = now;
+        nextTickMs = now + 250;
+        refreshTypes(now);
+        boolean mine = isActive();
+        if (mine && !wasActive) {
+            activeSinceMs = now;
             LOG.info("we are the autoscaler");
         }
-        if (was && !mine) {
+        if (wasActive && !mine) {
             // Somebody took it while cut off from us; taking it back at once would be a fight.
-            lostAt = now;
+            roleLostAtMs = now;
         }
-        was = mine;
+        wasActive = mine;
         if (!mine) {
-            become();
+            tryTakeRole();
             return;
         }
         meanImageGb = view.jobs().stream()
                 .mapToDouble(j -> j.spec.imageGb())
                 .average()
                 .orElse(0);
-        settleAsks(pictures, now);
-        known = pictures;
-        list.tick();
+        processRequests(pictures, now);
+        lastStatuses = pictures;
+        machineList.tick();
         if (!fleetKnown.getAsBoolean()) {
-            deleteNow();
+            sendDeletions();
             return;
         }
-        giveBack(pictures, now);
-        if (catalog.typesKnown() && !reserving && now - buyerSince > 1_500) {
-            buy(plan, pictures, now);
+        returnMachines(pictures, now);
+        if (catalog.typesKnown() && !recordingRequests && now - activeSinceMs > 1_500) {
+            requestMachines(plan, pictures, now);
         }
         consolidation.tick(plan, pictures, now);
-        deleteNow();
+        sendDeletions();
     }
 
     // ---- machine types
 
-    private void types(long now) {
-        Map<String, Object> row = view.row(Keys.TYPES);
+    private void refreshTypes(long now) {
+        Map<String, Object> row = view.row(Keys.MACHINE_TYPES);
         if (!catalog.typesKnown() && row != null) {
-            learn(Fields.list(row, "l"));
+            learnTypes(Fields.list(row, "l"));
         }
-        boolean wanted = !catalog.typesKnown() || was && now >= nextTypes;
-        if (!wanted || now < nextTypes) {
+        boolean wanted = !catalog.typesKnown() || wasActive && now >= nextTypesMs;
+        if (!wanted || now < nextTypesMs) {
             return;
         }
-        nextTypes = now + 1_000;
+        nextTypesMs = now + 1_000;
         cloud.call("GET", Wire.MACHINE_TYPES, null, (status, m) -> {
             if (status != 200) {
                 return;
             }
-            nextTypes = effects.now() + 60_000;
+            nextTypesMs = effects.now() + 60_000;
             List<?> list = Fields.list(m, Wire.TYPE_LIST);
-            learn(list);
-            if (view.row(Keys.TYPES) == null && !list.isEmpty()) {
-                put(Keys.TYPES, Map.of("l", list));
+            learnTypes(list);
+            if (view.row(Keys.MACHINE_TYPES) == null && !list.isEmpty()) {
+                putRow(Keys.MACHINE_TYPES, Map.of("l", list));
             }
         });
     }
 
-    private void learn(List<?> list) {
-        List<Catalog.Type> types = new ArrayList<>();
+    private void learnTypes(List<?> list) {
+        List<Catalog.MachineType> types = new ArrayList<>();
         for (Object o : list) {
             types.add(Catalog.type(catalog.typeNames, catalog.zones, Fields.map(o, "type"), Wire.TYPE_FIELDS));
         }
         boolean first = !catalog.typesKnown();
-        catalog.learn(types);
+        catalog.addTypes(types);
         if (first) {
             LOG.info("{} machine types known", types.size());
         }
@@ -265,13 +268,13 @@
 
     // ---- becoming the autoscaler
 
-    private void become() {
-        Map<String, Object> row = view.row(Keys.BUYER);
-        if (claiming || !membership.holding() || !store.healthy() || effects.now() - lostAt < 20_000) {
+    private void tryTakeRole() {
+        Map<String, Object> row = view.row(Keys.AUTOSCALER);
+        if (takingRole || !membership.canAct() || !store.healthy() || effects.now() - roleLostAtMs < 20_000) {
             return;
         }
-        int holder = row == null ? -1 : membership.index(String.valueOf(row.get("m")));
-        if (holder > 0 && membership.seen(holder)) {
+        int holder = row == null ? -1 : membership.memberIndex(String.valueOf(row.get("m")));
+        if (holder > 0 && membership.isAlive(holder)) {
             return;
         }
         // An earlier life of ours held it: the others hear us and wait for us, so we must not wait for any of them.
@@ -279,29 +282,29 @@
         // after all had crashed together nobody rented or returned a machine any more, unless the lowest name had been
         // the autoscaler.
         for (int i = 1; holder != 0 && i < membership.memberCount(); i++) {
-            if (membership.live(i) && membership.memberName(i).compareTo(membership.memberName(0)) < 0) {
+            if (membership.isConnected(i) && membership.memberName(i).compareTo(membership.memberName(0)) < 0) {
                 return;
             }
         }
-        claiming = true;
-        store.offer(new Simple(
+        takingRole = true;
+        store.enqueue(new FunctionChange(
                 3,
                 1,
                 tx -> {
-                    Map<String, Object> now = view.row(Keys.BUYER);
-                    tx.require(Keys.SEAT + membership.memberName(0));
-                    tx.put(Keys.BUYER, buyerRow(now == null ? 1 : Fields.countOr(now, "n", 1)));
+                    Map<String, Object> now = view.row(Keys.AUTOSCALER);
+                    tx.requireUnchanged(Keys.MEMBER_LEASE + membership.memberName(0));
+                    tx.put(Keys.AUTOSCALER, autoscalerRow(now == null ? 1 : Fields.countOr(now, "n", 1)));
                     return true;
                 },
-                ok -> claiming = false));
+                ok -> takingRole = false));
     }
 
-    private Map<String, Object> buyerRow(long next) {
+    private Map<String, Object> autoscalerRow(long next) {
         return Map.of("m", membership.memberName(0), "i", membership.incarnation(), "n", next);
     }
 
-    private void put(String key, Map<String, Object> value) {
-        store.offer(new Simple(
+    private void putRow(String key, Map<String, Object> value) {
+        store.enqueue(new FunctionChange(
                 3,
                 1,
                 tx -> {
@@ -313,19 +316,20 @@
 
     // ---- rentals
 
-    private List<Ask> asks = List.of();
-    private Set<String> askedHosts = Set.of();
-    private long asksAt = -1;
+    private List<RentalRequest> rentalRequests = List.of();
+    private Set<String> requestedHosts = Set.of();
+    private long requestsReadAtChange = -1;
 
     /** The rental rows, read again only when one of them has changed. */
-    public List<Ask> asks() {
-        if (asksAt == view.askChanges()) {
-            return asks;
+    public List<RentalRequest> rentalRequests() {
+        if (requestsReadAtChange == view.rentalRequestChangeCount()) {
+            return rentalRequests;
         }
-        List<Ask> l = new ArrayList<>();
+        List<RentalRequest> l = new ArrayList<>();
         Set<String> all = new HashSet<>();
         boolean whole = true;
-        for (Map.Entry<String, Map<String, Object>> e : view.rowsUnder(Keys.ASK).entrySet()) {
+        for (Map.Entry<String, Map<String, Object>> e :
+                view.rowsUnder(Keys.RENTAL_REQUEST).entrySet()) {
             Map<String, Object> m = e.getValue();
             int type = catalog.typeNames.find(Fields.text(m, "y"));
             int zone = catalog.zones.find(Fields.text(m, "z"));
@@ -338,8 +342,8 @@
                 all.addAll(hosts);
             }
             if (zone >= 0 && catalog.type(type) != null) {
-                l.add(new Ask(
-                        e.getKey().substring(Keys.ASK.length()),
+                l.add(new RentalRequest(
+                        e.getKey().substring(Keys.RENTAL_REQUEST.length()),
                         type,
                         zone,
                         Boolean.TRUE.equals(m.get("s")),
@@ -350,28 +354,28 @@
                 whole = false;
             }
         }
-        asks = l;
-        askedHosts = all;
+        rentalRequests = l;
+        requestedHosts = all;
         // A type that is not known yet will be: such rows are looked at again.
-        asksAt = whole ? view.askChanges() : -1;
+        requestsReadAtChange = whole ? view.rentalRequestChangeCount() : -1;
         return l;
     }
 
     /** Room on machines that are rented and not up yet. */
-    public List<Slot> coming(Map<String, MachineStatus> pictures) {
+    public List<Slot> bootingSlots(Map<String, MachineStatus> pictures) {
         List<Slot> l = new ArrayList<>();
-        for (Ask a : asks()) {
-            Catalog.Type t = catalog.type(a.type());
+        for (RentalRequest a : rentalRequests()) {
+            Catalog.MachineType t = catalog.type(a.type());
             int n = a.hosts() == null ? a.count() : a.hosts().size();
-            double ageS = Math.max(0, (effects.wall() - a.at()) / 1000.0);
-            int kind = kind(a.type(), a.zone(), a.spot());
-            boolean overdue = ageS > t.bootS() * boots.overdue(kind);
-            long eta = Math.round(boots.etaS(kind, ageS, t.bootS()) * 1000);
+            double ageS = Math.max(0, (effects.wallTime() - a.requestedAtMs()) / 1000.0);
+            int kind = kindIndex(a.type(), a.zone(), a.spot());
+            boolean overdue = ageS > t.bootS() * bootStatistics.overdueBoots(kind);
+            long eta = Math.round(bootStatistics.etaS(kind, ageS, t.bootS()) * 1000);
             for (int i = 0; i < n; i++) {
                 String host = a.hosts() == null ? a.name() + "/" + i : a.hosts().get(i);
                 if (pictures.containsKey(host)) {
-                    boots.up(kind, host, ageS, t.bootS());
-                } else if (!overdue && !deleting.contains(host) && !recentlyGone.containsKey(host)) {
+                    bootStatistics.recordBooted(kind, host, ageS, t.bootS());
+                } else if (!overdue && !deleting.contains(host) && !recentlyDeleted.containsKey(host)) {
                     l.add(new Slot(
                             host,
                             t,
@@ -386,28 +390,28 @@
                             false,
                             t.cpus(),
                             t.gpus(),
-                            t.mem()));
+                            t.memoryGb()));
                 }
             }
         }
         return l;
     }
 
-    private void settleAsks(Map<String, MachineStatus> pictures, long now) {
-        for (Ask a : asks()) {
+    private void processRequests(Map<String, MachineStatus> pictures, long now) {
+        for (RentalRequest a : rentalRequests()) {
             if (a.hosts() == null) {
-                if (!busyAsks.contains(a.name()) && now >= retryAsk.getOrDefault(a.name(), 0L)) {
-                    rent(a);
+                if (!requestsInProgress.contains(a.name()) && now >= retryAtMs.getOrDefault(a.name(), 0L)) {
+                    sendRequest(a);
                 }
                 continue;
             }
-            double ageS = (effects.wall() - a.at()) / 1000.0;
+            double ageS = (effects.wallTime() - a.requestedAtMs()) / 1000.0;
             boolean allUp = true;
             List<String> late = new ArrayList<>();
             for (String h : a.hosts()) {
-                boolean up = pictures.containsKey(h) || recentlyGone.containsKey(h);
+                boolean up = pictures.containsKey(h) || recentlyDeleted.containsKey(h);
                 allUp &= up;
-                if (!up && ageS > catalog.type(a.type()).bootS() * giveUp) {
+                if (!up && ageS > catalog.type(a.type()).bootS() * giveUpBoots) {
                     late.add(h);
                 }
             }
@@ -415,34 +419,34 @@
                 for (String h : late) {
                     if (view.claims(h).isEmpty() && !deleting.contains(h)) {
                         LOG.info("machine {} did not come up in {} s, given up", h, Math.round(ageS));
-                        boots.never(kind(a.type(), a.zone(), a.spot()), h);
-                        delete(h);
+                        bootStatistics.recordNeverBooted(kindIndex(a.type(), a.zone(), a.spot()), h);
+                        queueDeletion(h);
                     }
                 }
-            } else if (allUp && busyAsks.add(a.name())) {
-                store.offer(new Simple(
+            } else if (allUp && requestsInProgress.add(a.name())) {
+                store.enqueue(new FunctionChange(
                         3,
                         1,
                         tx -> {
-                            if (view.row(Keys.ASK + a.name()) == null) {
+                            if (view.row(Keys.RENTAL_REQUEST + a.name()) == null) {
                                 return false;
                             }
-                            tx.remove(Keys.ASK + a.name());
+                            tx.remove(Keys.RENTAL_REQUEST + a.name());
                             return true;
                         },
-                        ok -> busyAsks.remove(a.name())));
+                        ok -> requestsInProgress.remove(a.name())));
             }
         }
     }
 
-    private void rent(Ask a) {
-        busyAsks.add(a.name());
-        boolean sent = cloud.call("POST", Wire.RENTALS, body(a), (status, m) -> {
+    private void sendRequest(RentalRequest a) {
+        requestsInProgress.add(a.name());
+        boolean sent = cloud.call("POST", Wire.RENTALS, requestBody(a), (status, m) -> {
             if (status == 200) {
                 List<Object> hosts = new ArrayList<>(Fields.list(m, Wire.MACHINES));
                 counters.rentals += hosts.size();
-                orders.rent(
-                        kind(a.type(), a.zone(), a.spot()),
+                orders.recordRental(
+                        kindIndex(a.type(), a.zone(), a.spot()),
                         hosts.size(),
                         Math.round(catalog.type(a.type()).bootS() * 1000),
                         effects.now());
@@ -455,33 +459,33 @@
                         a.spot() ? " (spot)" : "",
                         hosts);
                 if (hosts.size() < a.count()) {
-                    refusedUntil.put(new Kind(a.type(), a.zone(), a.spot()), effects.now() + 15_000);
+                    refusedUntilMs.put(new MachineKind(a.type(), a.zone(), a.spot()), effects.now() + 15_000);
                 }
-                settle(a, hosts);
+                recordOutcome(a, hosts);
             } else if (status == 503 && "no capacity".equals(m.get("error"))) {
                 LOG.info(
                         "no {} in {}{}",
                         catalog.typeNames.name(a.type()),
                         catalog.zones.name(a.zone()),
                         a.spot() ? " (spot)" : "");
-                refusedUntil.put(new Kind(a.type(), a.zone(), a.spot()), effects.now() + 20_000);
-                settle(a, List.of());
+                refusedUntilMs.put(new MachineKind(a.type(), a.zone(), a.spot()), effects.now() + 20_000);
+                recordOutcome(a, List.of());
             } else if (status == 400) {
                 LOG.error("rental {} refused as malformed", a.name());
-                settle(a, List.of());
+                recordOutcome(a, List.of());
             } else {
                 // Unclear or later: the same name again, so that nothing is rented twice.
-                busyAsks.remove(a.name());
-                retryAsk.put(a.name(), effects.now() + 1_500);
+                requestsInProgress.remove(a.name());
+                retryAtMs.put(a.name(), effects.now() + 1_500);
             }
         });
         if (!sent) {
-            busyAsks.remove(a.name());
-            retryAsk.put(a.name(), effects.now() + 500);
+            requestsInProgress.remove(a.name());
+            retryAtMs.put(a.name(), effects.now() + 500);
         }
     }
 
-    private Map<String, Object> body(Ask a) {
+    private Map<String, Object> requestBody(RentalRequest a) {
         return Map.of(
                 Wire.REQUEST,
                 a.name(),
@@ -495,32 +499,32 @@
                 a.count());
     }
 
-    private void settle(Ask a, List<Object> hosts) {
-        store.offer(new Simple(
+    private void recordOutcome(RentalRequest a, List<Object> hosts) {
+        store.enqueue(new FunctionChange(
                 3,
                 1,
                 tx -> {
-                    String key = Keys.ASK + a.name();
+                    String key = Keys.RENTAL_REQUEST + a.name();
                     if (view.row(key) == null) {
                         return false;
                     }
                     if (hosts.isEmpty()) {
                         tx.remove(key);
                     } else {
-                        tx.put(key, askRow(a, hosts));
+                        tx.put(key, requestRow(a, hosts));
                     }
                     return true;
                 },
-                ok -> busyAsks.remove(a.name())));
+                ok -> requestsInProgress.remove(a.name())));
     }
 
-    private Map<String, Object> askRow(Ask a, List<Object> hosts) {
+    private Map<String, Object> requestRow(RentalRequest a, List<Object> hosts) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("y", catalog.typeNames.name(a.type()));
         m.put("z", catalog.zones.name(a.zone()));
         m.put("s", a.spot());
         m.put("n", a.count());
-        m.put("t", a.at());
+        m.put("t", a.requestedAtMs());
         if (hosts != null) {
             m.put("h", hosts);
         }
@@ -528,16 +532,16 @@
     }
 
     /** Buys for what found no room, neither now nor soon. */
-    private void buy(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        refusedUntil.values().removeIf(until -> now > until);
-        for (Ask a : asks()) {
+    private void requestMachines(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
+        refusedUntilMs.values().removeIf(until -> now > until);
+        for (RentalRequest a : rentalRequests()) {
             if (a.hosts() == null) {
                 return;
             }
         }
-        Map<Kind, Integer> wanted = new LinkedHashMap<>();
+        Map<MachineKind, Integer> wanted = new LinkedHashMap<>();
         List<double[]> room = new ArrayList<>();
-        List<Kind> kinds = new ArrayList<>();
+        List<MachineKind> kinds = new ArrayList<>();
         int[] perZone = new int[catalog.zones.size()];
         pictures.values().forEach(p -> {
             if (p.zone() >= 0) {
@@ -545,34 +549,34 @@
             }
         });
         int opened = 0;
-        int expected = returning.getAsInt();
-        for (Planner.Unplaced u : plan.wanted(effects.wall())) {
+        int expected = tasksToRestore.getAsInt();
+        for (Planner.UnplacedTasks u : plan.rentalDemand(effects.wallTime())) {
             JobSpec s = u.job().spec;
             Map<Integer, Integer> zones = tasksByZone(u.job());
-            Demand.Of may = demand.of(u.job(), u.tasks(), effects.wall());
+            RentalPolicy.RentalLimit may = rentalPolicy.limitFor(u.job(), u.taskCount(), effects.wallTime());
             int spared = Math.min(may.tasks(), expected);
             expected -= spared;
             for (int n = spared; n < Math.min(may.tasks(), 400); n++) {
                 int at = -1;
                 for (int i = 0; i < room.size() && at < 0; i++) {
                     double[] r = room.get(i);
-                    Kind k = kinds.get(i);
+                    MachineKind k = kinds.get(i);
                     if (s.allowsZone(zones, k.zone)
-                            && s.allows(k.type)
-                            && (!k.spot || s.spot())
-                            && r[0] >= s.cpus() - Catalog.EPS
-                            && r[1] >= s.gpus() - Catalog.EPS
-                            && r[2] >= s.mem() - Catalog.EPS) {
+                            && s.allowsType(k.type)
+                            && (!k.spot || s.allowsSpot())
+                            && r[0] >= s.cpus() - Catalog.EPSILON
+                            && r[1] >= s.gpus() - Catalog.EPSILON
+                            && r[2] >= s.memoryGb() - Catalog.EPSILON) {
                         at = i;
                     }
                 }
                 if (at < 0) {
-                    Kind k = choose(s, zones, perZone, may.spotOnly());
+                    MachineKind k = cheapestKind(s, zones, perZone, may.spotOnly());
                     if (k == null || opened >= 100) {
                         break;
                     }
-                    Catalog.Type t = catalog.type(k.type);
-                    room.add(new double[] {t.cpus(), t.gpus(), t.mem()});
+                    Catalog.MachineType t = catalog.type(k.type);
+                    room.add(new double[] {t.cpus(), t.gpus(), t.memoryGb()});
                     kinds.add(k);
                     wanted.merge(k, 1, Integer::sum);
                     perZone[k.zone]++;
@@ -583,7 +587,7 @@
                 double[] r = room.get(at);
                 r[0] -= s.cpus();
                 r[1] -= s.gpus();
-                r[2] -= s.mem();
+                r[2] -= s.memoryGb();
             }
         }
         if (!wanted.isEmpty()) {
@@ -596,33 +600,35 @@
      * waiting task from.
      */
     private Map<Integer, Integer> tasksByZone(Job job) {
-        return Planner.zones(job, membership::zoneOf, job.chunks::get, claim -> !job.placed(claim.task()));
+        return Planner.tasksByZone(job, membership::zoneOf, job.chunks::get, claim -> !job.isPlaced(claim.task()));
     }
 
     /** The cheapest kind of machine per task that is not known to be sold out; among equals the emptiest zone. */
-    private Kind choose(JobSpec s, Map<Integer, Integer> tasksByZone, int[] perZone, boolean spotOnly) {
-        Kind best = null;
+    private MachineKind cheapestKind(JobSpec s, Map<Integer, Integer> tasksByZone, int[] perZone, boolean spotOnly) {
+        MachineKind best = null;
         double bestPrice = Double.MAX_VALUE;
-        for (Catalog.Type t : catalog.types()) {
-            if (!s.allows(t.index()) || !t.fits(s)) {
+        for (Catalog.MachineType t : catalog.types()) {
+            if (!s.allowsType(t.index()) || !t.fits(s)) {
                 continue;
             }
             double fit = t.cpus() / Math.max(1e-9, s.cpus());
             fit = s.gpus() > 0 ? Math.min(fit, t.gpus() / s.gpus()) : fit;
-            fit = Math.max(1, Math.floor(s.mem() > 0 ? Math.min(fit, t.mem() / s.mem()) : fit));
+            fit = Math.max(1, Math.floor(s.memoryGb() > 0 ? Math.min(fit, t.memoryGb() / s.memoryGb()) : fit));
             for (int zone : t.zones()) {
                 if (!s.allowsZone(tasksByZone, zone)) {
                     continue;
                 }
-                for (int spot = s.spot() ? 1 : 0; spot >= (spotOnly ? 1 : 0); spot--) {
-                    Kind k = new Kind(t.index(), zone, spot == 1);
-                    if (refusedUntil.containsKey(k)) {
+                for (int spot = s.allowsSpot() ? 1 : 0; spot >= (spotOnly ? 1 : 0); spot--) {
+                    MachineKind k = new MachineKind(t.index(), zone, spot == 1);
+                    if (refusedUntilMs.containsKey(k)) {
                         continue;
                     }
                     // What mostly does not come up is tried less, and tried again: a few that come make up for it.
-                    double price = (k.spot ? t.spotPrice() * 1.1 : t.price())
+                    double price = (k.spot ? t.spotPricePerHour() * 1.1 : t.pricePerHour())
                                     / fit
-                                    / Math.max(MIN_SHARE, boots.share(kind(k.type, k.zone, k.spot)))
+                                    / Math.max(
+                                            MIN_BOOTED_SHARE,
+                                            bootStatistics.bootedShare(kindIndex(k.type, k.zone, k.spot)))
                             + perZone[zone] * 1e-4;
                     if (price < bestPrice) {
                         bestPrice = price;
@@ -635,20 +641,20 @@
     }
 
     /** Records the request names before any of them is used. */
-    private void reserve(Map<Kind, Integer> wanted) {
-        reserving = true;
-        long at = effects.wall();
+    private void reserve(Map<MachineKind, Integer> wanted) {
+        recordingRequests = true;
+        long at = effects.wallTime();
         int max = Math.max(1, settings.txnOps() - 1);
         long[] first = {-1};
-        store.offer(new Simple(
+        store.enqueue(new FunctionChange(
                 3,
                 Math.min(settings.txnOps(), wanted.size() + 1),
                 tx -> {
-                    if (!isBuyer() || tx.writes(Keys.BUYER)) {
+                    if (!isActive() || tx.writes(Keys.AUTOSCALER)) {
                         return false;
                     }
-                    tx.require(Keys.SEAT + membership.memberName(0));
-                    long next = Fields.countOr(view.row(Keys.BUYER), "n", 1);
+                    tx.requireUnchanged(Keys.MEMBER_LEASE + membership.memberName(0));
+                    long next = Fields.countOr(view.row(Keys.AUTOSCALER), "n", 1);
                     first[0] = first[0] < 0 ? next : first[0];
                     if (next != first[0]) {
                         // Carried out, and only the answer was lost: worked out again, it named and rented all of it a
@@ -656,46 +662,47 @@
                         return false;
                     }
                     int used = 0;
-                    for (Map.Entry<Kind, Integer> e : wanted.entrySet()) {
+                    for (Map.Entry<MachineKind, Integer> e : wanted.entrySet()) {
                         if (used++ >= max) {
                             break;
                         }
-                        Kind k = e.getKey();
-                        Ask a = new Ask("r-" + next++, k.type, k.zone, k.spot, Math.min(50, e.getValue()), at, null);
-                        tx.put(Keys.ASK + a.name(), askRow(a, null));
+                        MachineKind k = e.getKey();
+                        RentalRequest a = new RentalRequest(
+                                "r-" + next++, k.type, k.zone, k.spot, Math.min(50, e.getValue()), at, null);
+                        tx.put(Keys.RENTAL_REQUEST + a.name(), requestRow(a, null));
                     }
-                    tx.put(Keys.BUYER, buyerRow(next));
+                    tx.put(Keys.AUTOSCALER, autoscalerRow(next));
                     return true;
                 },
-                ok -> reserving = false));
+                ok -> recordingRequests = false));
     }
 
     // ---- returns
 
-    private void giveBack(Map<String, MachineStatus> pictures, long now) {
-        retiring.values().removeIf(until -> now > until);
-        reserve.look(pictures, now);
-        Set<Integer> unheard = unheard(pictures);
+    private void returnMachines(Map<String, MachineStatus> pictures, long now) {
+        returnPendingUntilMs.values().removeIf(until -> now > until);
+        reserve.refresh(pictures, now);
+        Set<Integer> unheard = mostlySilentShards(pictures);
         for (MachineStatus p : pictures.values()) {
             if (deleting.contains(p.machine())
-                    || recentlyGone.containsKey(p.machine())
-                    || retiring.containsKey(p.machine())) {
+                    || recentlyDeleted.containsKey(p.machine())
+                    || returnPendingUntilMs.containsKey(p.machine())) {
                 continue;
             }
             boolean idle = !reserve.keeps(p.machine())
-                    && p.idleSince() >= 0
-                    && now - p.idleSince() > linger(p)
+                    && p.idleSinceMs() >= 0
+                    && now - p.idleSinceMs() > idleTimeoutMs(p)
                     && view.claims(p.machine()).isEmpty();
             // Cut off ourselves, we would delete machines that are well: others hear them.
-            boolean silent = store.healthy() && silent(p) && !unheard.contains(p.shard());
+            boolean silent = store.healthy() && isSilentTooLong(p) && !unheard.contains(p.shard());
             if (silent) {
                 LOG.info("machine {} silent for {} ms, deleted to free its tasks", p.machine(), p.silentMs());
-                delete(p.machine());
+                queueDeletion(p.machine());
             } else if (idle
-                    || p.condemned()
-                    || p.leaving() && view.claims(p.machine()).isEmpty()) {
-                retiring.put(p.machine(), now + 5_000);
-                retire.accept(p.machine(), false);
+                    || p.faulty()
+                    || p.beingReturned() && view.claims(p.machine()).isEmpty()) {
+                returnPendingUntilMs.put(p.machine(), now + 5_000);
+                requestReturn.accept(p.machine(), false);
             }
         }
     }
@@ -704,22 +711,22 @@
      * How long an idle machine is kept: what it would take to have one like it again, which is booting and fetching what
      * the present jobs need.
      */
-    private double linger(MachineStatus p) {
-        Catalog.Type t = catalog.type(p.type());
+    private double idleTimeoutMs(MachineStatus p) {
+        Catalog.MachineType t = catalog.type(p.type());
         if (t == null) {
             return 60_000;
         }
         double fetch = meanImageGb / t.fetchGbPerS();
         // Waiting is dear on dear machines: cheap ones stay longer, dear ones go sooner.
-        double cheapness = t.spotPrice() > 0 ? Math.sqrt(t.price() / t.spotPrice()) : 1;
-        return 1000 * (lingerBoot * t.bootS() + lingerFetch * fetch) * (p.spot() ? cheapness : 1 / cheapness);
+        double cheapness = t.spotPricePerHour() > 0 ? Math.sqrt(t.pricePerHour() / t.spotPricePerHour()) : 1;
+        return 1000 * (lingerBoots * t.bootS() + lingerFetches * fetch) * (p.spot() ? cheapness : 1 / cheapness);
     }
 
     /**
      * Shards most of whose machines fell silent: that is mostly their owner's link or their zone's, and they are well. Without this, a
      * buyer that its own workers could not reach deleted two dozen of them a second before somebody took them over.
      */
-    private static Set<Integer> unheard(Map<String, MachineStatus> pictures) {
+    private static Set<Integer> mostlySilentShards(Map<String, MachineStatus> pictures) {
         Map<Integer, int[]> counts = new HashMap<>();
         for (MachineStatus p : pictures.values()) {
             int[] c = counts.computeIfAbsent(p.shard(), k -> new int[2]);
@@ -728,7 +735,7 @@
         }
         Set<Integer> l = new HashSet<>();
         counts.forEach((shard, c) -> {
-            if (c[1] >= FEW_SILENT && 2 * c[1] > c[0]) {
+            if (c[1] >= MIN_SILENT_FOR_SHARD_FAULT && 2 * c[1] > c[0]) {
                 l.add(shard);
             }
         });
@@ -736,76 +743,77 @@
     }
 
     /** A machine that says nothing is mostly lost; deleting it is the quickest proof that its tasks are gone. */
-    private boolean silent(MachineStatus p) {
+    private boolean isSilentTooLong(MachineStatus p) {
         double s = p.silentMs() / 1000.0;
-        double bound = p.spot() ? settings.reportS() * silentSpotS : settings.leaseS() * silentShare;
+        double bound = p.spot() ? settings.reportS() * silentSpotReports : settings.leaseS() * silentLeaseShare;
         return s > bound && !view.claims(p.machine()).isEmpty();
     }
 
     /** The owner's answer to a wish to return a machine. */
-    public void retired(String machine, boolean agreed) {
-        if (agreed && isBuyer()) {
+    public void onReturnReply(String machine, boolean agreed) {
+        if (agreed && isActive()) {
             LOG.info("machine {} is returned", machine);
-            MachineStatus p = known.get(machine);
+            MachineStatus p = lastStatuses.get(machine);
             if (p != null) {
-                orders.giveBack(kind(p.type(), p.zone(), p.spot()), effects.now());
+                orders.recordReturn(kindIndex(p.type(), p.zone(), p.spot()), effects.now());
             }
-            delete(machine);
+            queueDeletion(machine);
         }
     }
 
-    private int kind(int type, int zone, boolean spot) {
+    private int kindIndex(int type, int zone, boolean spot) {
         return (type * catalog.zones.size() + zone) * 2 + (spot ? 1 : 0);
     }
 
-    private void delete(String machine) {
+    private void queueDeletion(String machine) {
         if (deleting.add(machine)) {
-            toDelete.add(machine);
+            deletionQueue.add(machine);
         }
     }
 
-    private void deleteNow() {
-        if (toDelete.isEmpty()) {
+    private void sendDeletions() {
+        if (deletionQueue.isEmpty()) {
             return;
         }
-        List<String> names = new ArrayList<>(toDelete.subList(0, Math.min(100, toDelete.size())));
+        List<String> names = new ArrayList<>(deletionQueue.subList(0, Math.min(100, deletionQueue.size())));
         boolean sent = cloud.call("POST", Wire.RENTALS_DELETE, Map.of(Wire.MACHINES, names), (status, m) -> {
             if (status == 200) {
                 counters.returns += names.size();
                 for (String n : names) {
-                    recentlyGone.put(n, effects.now());
+                    recentlyDeleted.put(n, effects.now());
                     deleting.remove(n);
-                    gone.accept(n);
+                    onDeleted.accept(n);
                 }
             } else {
                 names.forEach(n -> {
-                    if (!toDelete.contains(n)) {
-                        toDelete.add(n);
+                    if (!deletionQueue.contains(n)) {
+                        deletionQueue.add(n);
                     }
                 });
             }
         });
         if (sent) {
-            toDelete.removeAll(names);
+            deletionQueue.removeAll(names);
         }
     }
 
     /** A change made of two functions. */
-    private record Simple(int rank, int cost, java.util.function.Predicate<Tx> write, Consumer<Boolean> over)
+    private record FunctionChange(
+            int rank, int maxWrites, java.util.function.Predicate<Transaction> builder, Consumer<Boolean> onFinished)
             implements Change {
         @Override
-        public boolean build(Tx tx) {
-            return write.test(tx);
+        public boolean build(Transaction tx) {
+            return builder.test(tx);
         }
 
         @Override
         public void committed(long revision) {
-            over.accept(true);
+            onFinished.accept(true);
         }
 
         @Override
         public void dropped() {
-            over.accept(false);
+            onFinished.accept(false);
         }
     }
 }
--- a/src/main/java/birchusher/fleet/Consolidation.java
+++ b/src/main/java/birchusher/fleet/Consolidation.java
@@ -5,7 +5,7 @@
 import birchusher.placement.Planner;
 import birchusher.placement.Slot;
 import birchusher.store.Claim;
-import birchusher.store.View;
+import birchusher.store.StoreView;
 import birchusher.workers.MachineStatus;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -25,20 +25,20 @@
     private static final Logger LOG = LoggerFactory.getLogger(Consolidation.class);
 
     private final Catalog catalog;
-    private final View view;
+    private final StoreView view;
     private final long moveAfterMs;
-    private final BiConsumer<String, Boolean> retire;
-    private final Function<Map<String, MachineStatus>, List<Slot>> free;
-    private final ToLongFunction<Claim> runningFor;
-    private final ToDoubleFunction<MachineStatus> linger;
+    private final BiConsumer<String, Boolean> requestReturn;
+    private final Function<Map<String, MachineStatus>, List<Slot>> freeSlots;
+    private final ToLongFunction<Claim> runningForMs;
+    private final ToDoubleFunction<MachineStatus> idleTimeoutMs;
     /** Machines whose replicas fit elsewhere, since when. */
-    private final Map<String, Long> sparse = new HashMap<>();
+    private final Map<String, Long> movableSinceMs = new HashMap<>();
 
-    private long nextMove;
+    private long nextCheckMs;
 
     Consolidation(
             Catalog catalog,
-            View view,
+            StoreView view,
             long moveAfterMs,
             BiConsumer<String, Boolean> retire,
             Function<Map<String, MachineStatus>, List<Slot>> free,
@@ -47,10 +47,10 @@
         this.catalog = catalog;
         this.view = view;
         this.moveAfterMs = moveAfterMs;
-        this.retire = retire;
-        this.free = free;
-        this.runningFor = runningFor;
-        this.linger = linger;
+        this.requestReturn = retire;
+        this.freeSlots = free;
+        this.runningForMs = runningFor;
+        this.idleTimeoutMs = linger;
     }
 
     /**
@@ -58,35 +58,35 @@
      * and have for a while, is emptied; a move costs a replica about a second.
      */
     void tick(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        if (now < nextMove) {
+        if (now < nextCheckMs) {
             return;
         }
-        nextMove = now + 2_000;
+        nextCheckMs = now + 2_000;
         if (!plan.unplaced().isEmpty()) {
             // Room is short: whatever is free is wanted, but what was thinly used before still is.
             return;
         }
-        List<Slot> slots = free.apply(pictures);
+        List<Slot> slots = freeSlots.apply(pictures);
         slots.removeIf(s -> view.claims(s.machine()).isEmpty());
         // The fullest first, so that what moves does not keep another thinly used machine.
         slots.sort(Comparator.comparingDouble(Slot::freeShare));
         List<MachineStatus> ripe = new ArrayList<>();
         int leaving = 0;
         for (MachineStatus p : pictures.values()) {
-            leaving += p.leaving() ? 1 : 0;
-            if (p.leaving()
+            leaving += p.beingReturned() ? 1 : 0;
+            if (p.beingReturned()
                     || !p.usable()
                     || catalog.type(p.type()) == null
-                    || !restless(p)
+                    || !runsOnlyMovableReplicas(p)
                     || !fitsElsewhere(p, slots, false)) {
-                sparse.remove(p.machine());
-            } else if (now - sparse.computeIfAbsent(p.machine(), k -> now)
-                    > Math.max(moveAfterMs, linger.applyAsDouble(p))) {
+                movableSinceMs.remove(p.machine());
+            } else if (now - movableSinceMs.computeIfAbsent(p.machine(), k -> now)
+                    > Math.max(moveAfterMs, idleTimeoutMs.applyAsDouble(p))) {
                 ripe.add(p);
             }
         }
-        sparse.keySet().retainAll(pictures.keySet());
-        ripe.sort(Comparator.comparingDouble(this::worth).reversed());
+        movableSinceMs.keySet().retainAll(pictures.keySet());
+        ripe.sort(Comparator.comparingDouble(this::savingPerReplica).reversed());
         for (MachineStatus p : ripe) {
             // A few at once in a large fleet; each machine's replicas still move one after the other.
             if (leaving >= 1 + pictures.size() / 50) {
@@ -94,27 +94,27 @@
             }
             if (fitsElsewhere(p, slots, true)) {
                 leaving++;
-                sparse.remove(p.machine());
+                movableSinceMs.remove(p.machine());
                 LOG.info(
                         "machine {} is emptied, its {} replicas fit elsewhere",
                         p.machine(),
                         view.claims(p.machine()).size());
-                retire.accept(p.machine(), true);
+                requestReturn.accept(p.machine(), true);
             }
         }
     }
 
     /** What returning a machine saves, for each replica that has to move. */
-    private double worth(MachineStatus p) {
-        Catalog.Type t = catalog.type(p.type());
-        return (p.spot() ? t.spotPrice() : t.price())
+    private double savingPerReplica(MachineStatus p) {
+        Catalog.MachineType t = catalog.type(p.type());
+        return (p.spot() ? t.spotPricePerHour() : t.pricePerHour())
                 / Math.max(1, view.claims(p.machine()).size());
     }
 
     /** Whether nothing but replicas runs there, each for long enough to be moved. */
-    private boolean restless(MachineStatus p) {
+    private boolean runsOnlyMovableReplicas(MachineStatus p) {
         for (Claim c : view.claims(p.machine()).values()) {
-            if (!c.job().spec.service() || runningFor.applyAsLong(c) < moveAfterMs) {
+            if (!c.job().spec.isService() || runningForMs.applyAsLong(c) < moveAfterMs) {
                 return false;
             }
         }
@@ -123,7 +123,7 @@
 
     /** Whether a machine's replicas find room and image elsewhere; if so, and asked to, that room is taken for them. */
     private boolean fitsElsewhere(MachineStatus p, List<Slot> slots, boolean take) {
-        Map<Slot, Slot.Mark> tried = new LinkedHashMap<>();
+        Map<Slot, Slot.Snapshot> tried = new LinkedHashMap<>();
         boolean all = true;
         for (Claim c : view.claims(p.machine()).values()) {
             JobSpec j = c.job().spec;
@@ -132,7 +132,7 @@
             for (Slot s : slots) {
                 if (s.fits(j)
                         && s.allows(j)
-                        && s.startDelay(j) <= 0
+                        && s.startDelayMs(j) <= 0
                         && (s.zone() == p.zone() || j.tasks() == 1)
                         && !s.machine().equals(p.machine())) {
                     to = s;
@@ -143,13 +143,13 @@
                 all = false;
                 break;
             }
-            tried.putIfAbsent(to, to.mark());
-            to.take(j);
+            tried.putIfAbsent(to, to.snapshot());
+            to.allocate(j);
         }
         if (all && take) {
             slots.removeIf(s -> s.machine().equals(p.machine()));
         } else {
-            tried.forEach(Slot::reset);
+            tried.forEach(Slot::restore);
         }
         return all;
     }
--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -2,7 +2,7 @@
 
 import birchusher.core.Effects;
 import birchusher.core.Fields;
-import birchusher.core.Fields.Bad;
+import birchusher.core.Fields.InvalidInputException;
 import birchusher.membership.Membership;
 import birchusher.model.Catalog;
 import birchusher.model.JobSpec;
@@ -11,9 +11,9 @@
 import birchusher.store.Chunk;
 import birchusher.store.Job;
 import birchusher.store.Keys;
-import birchusher.store.StoreLink;
-import birchusher.store.Tx;
-import birchusher.store.View;
+import birchusher.store.StoreClient;
+import birchusher.store.StoreView;
+import birchusher.store.Transaction;
 import birchusher.wire.JobCodec;
 import birchusher.wire.Pack;
 import birchusher.wire.Wire;
@@ -28,27 +28,27 @@
 /** The users' side: submissions, polls, cancellations and the final states. */
 public final class JobApi {
     private static final Logger LOG = LoggerFactory.getLogger(JobApi.class);
-    private static final long COMMIT_MS = 2_500;
+    private static final long COMMIT_TIMEOUT_MS = 2_500;
 
     private final Effects effects;
     private final Catalog catalog;
     private final JobCodec codec;
-    private final View view;
-    private final StoreLink store;
+    private final StoreView view;
+    private final StoreClient store;
     private final Membership membership;
     private final int chunkSize;
     private final int txnOps;
-    private final boolean cancelsLate;
-    private final Set<String> ending = new HashSet<>();
-    private long nextSweep;
+    private final boolean confirmsCancelWhenStopped;
+    private final Set<String> endingJobs = new HashSet<>();
+    private long nextSweepMs;
 
     public JobApi(
             Effects effects,
             Settings s,
             Catalog catalog,
             JobCodec codec,
-            View view,
-            StoreLink store,
+            StoreView view,
+            StoreClient store,
             Membership membership) {
         this.effects = effects;
         this.catalog = catalog;
@@ -57,8 +57,8 @@
         this.store = store;
         this.membership = membership;
         txnOps = s.txnOps();
-        cancelsLate = s.cancelsLate();
-        if (cancelsLate) {
+        confirmsCancelWhenStopped = s.cancelsLate();
+        if (confirmsCancelWhenStopped) {
             LOG.warn(
                     "cancel_s {} leaves too little beyond lease_s {}: cancellations are confirmed only when the job's tasks are gone",
                     s.cancelS(),
@@ -68,7 +68,7 @@
         chunkSize = (int) Math.max(16, Math.min(500, (s.valueKb() * 1024 - 512) / Chunk.CLAIM_BYTES));
     }
 
-    private static Map<String, Object> answer(String id, String state, int done, int running) {
+    private static Map<String, Object> stateBody(String id, String state, int done, int running) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put(Wire.ID, id);
         m.put(Wire.STATE, state);
@@ -77,22 +77,25 @@
         return m;
     }
 
-    static Map<String, Object> ended(String id, View.Ended e) {
-        return e.done() ? answer(id, Wire.DONE, e.tasks(), 0) : answer(id, Wire.CANCELLED, 0, 0);
+    static Map<String, Object> endedBody(String id, StoreView.EndedJob e) {
+        return e.done() ? stateBody(id, Wire.DONE, e.tasks(), 0) : stateBody(id, Wire.CANCELLED, 0, 0);
     }
 
     /** What may be told of a job without asking anybody: final states are final. Null if it has none yet. */
     private Map<String, Object> finalState(String id) {
-        View.Ended e = view.ended(id);
+        StoreView.EndedJob e = view.endedJob(id);
         if (e != null) {
-            return ended(id, e);
+            return endedBody(id, e);
         }
         Job j = view.job(id);
         if (j != null
-                && (j.state() == Job.State.DONE || j.state() == Job.State.OPEN && j.allDone() && asNewAsItsPlaces(j))) {
-            return answer(id, Wire.DONE, j.spec.tasks(), 0);
+                && (j.state() == Job.State.DONE
+                        || j.state() == Job.State.OPEN && j.allDone() && viewCoversClaimRows(j))) {
+            return stateBody(id, Wire.DONE, j.spec.tasks(), 0);
         }
-        return j != null && j.state() == Job.State.CANCELLED && mayTell(j) ? answer(id, Wire.CANCELLED, 0, 0) : null;
+        return j != null && j.state() == Job.State.CANCELLED && mayConfirmCancel(j)
+                ? stateBody(id, Wire.CANCELLED, 0, 0)
+                : null;
     }
 
     /**
@@ -101,9 +104,9 @@
      * controller told its user cancelled, and then another told done. Once the view has everything up to the last end, the job's row
      * tells which came first; no cancellation is written after it, as each conditions on a row of tasks that was not full.
      */
-    private boolean asNewAsItsPlaces(Job j) {
+    private boolean viewCoversClaimRows(Job j) {
         for (int i = 0; i < j.chunks.size(); i++) {
-            if (view.version(Keys.place(j.spec.id(), i)) > view.applied()) {
+            if (view.version(Keys.placement(j.spec.id(), i)) > view.appliedRevision()) {
                 return false;
             }
         }
@@ -111,19 +114,20 @@
     }
 
     /** Where leases are too long for a cancellation's time, it is told only when no task is left, as far as a view of its own age shows. */
-    private boolean mayTell(Job j) {
-        return !cancelsLate || j.claimCount() == 0 && view.applied() >= view.version(Keys.JOB + j.spec.id());
+    private boolean mayConfirmCancel(Job j) {
+        return !confirmsCancelWhenStopped
+                || j.claimCount() == 0 && view.appliedRevision() >= view.version(Keys.JOB + j.spec.id());
     }
 
-    private static Map<String, Object> open(Job j) {
+    private static Map<String, Object> openBody(Job j) {
         int running = j.claimCount();
-        return answer(j.spec.id(), running > 0 ? Wire.RUNNING : Wire.QUEUED, j.doneCount(), running);
+        return stateBody(j.spec.id(), running > 0 ? Wire.RUNNING : Wire.QUEUED, j.doneCount(), running);
     }
 
     /** What a poll may be told of a job that is in the view, if the view is new enough. */
-    Map<String, Object> told(Job j) {
+    Map<String, Object> currentState(Job j) {
         Map<String, Object> known = finalState(j.spec.id());
-        return known != null ? known : open(j);
+        return known != null ? known : openBody(j);
     }
 
     // ---- polls
@@ -138,19 +142,19 @@
             effects.answer(exchange, 200, known);
             return;
         }
-        lookUp(exchange, id, () -> effects.answer(exchange, 404, Map.of("error", "no such job")));
+        answerFromFreshView(exchange, id, () -> effects.answer(exchange, 404, Map.of("error", "no such job")));
     }
 
     /** Answers a job's state from a view that is as new as this moment; {@code unknown} if it was never accepted. */
-    private void lookUp(long exchange, String id, Runnable unknown) {
-        lookUp(exchange, id, j -> effects.answer(exchange, 200, open(j)), unknown);
+    private void answerFromFreshView(long exchange, String id, Runnable unknown) {
+        answerFromFreshView(exchange, id, j -> effects.answer(exchange, 200, openBody(j)), unknown);
     }
 
     /** The same, with what is to be done with a job that has no final state. */
-    private void lookUp(long exchange, String id, Consumer<Job> unfinished, Runnable unknown) {
-        boolean asked = store.fresh(ok -> {
+    private void answerFromFreshView(long exchange, String id, Consumer<Job> unfinished, Runnable unknown) {
+        boolean asked = store.whenUpToDate(ok -> {
             if (!ok) {
-                effects.later(exchange, 503, 2);
+                effects.refuseWithRetry(exchange, 503, 2);
                 return;
             }
             Map<String, Object> last = finalState(id);
@@ -164,35 +168,35 @@
                 return;
             }
             if (view.unreadable(id)) {
-                effects.answer(exchange, 200, answer(id, Wire.QUEUED, 0, 0));
+                effects.answer(exchange, 200, stateBody(id, Wire.QUEUED, 0, 0));
                 return;
             }
-            if (store.knowsAllEnds()) {
+            if (store.allEndedJobsKnown()) {
                 unknown.run();
                 return;
             }
-            boolean sent = store.get(Keys.END + id, (status, m) -> {
+            boolean sent = store.get(Keys.ENDED_JOB + id, (status, m) -> {
                 if (status == 200) {
                     // Kept, so that what users are told from here is known to be known here.
-                    view.put(Keys.END + id, m.get(Wire.VALUE), Fields.count(m, Wire.VERSION));
+                    view.put(Keys.ENDED_JOB + id, m.get(Wire.VALUE), Fields.count(m, Wire.VERSION));
                     Map<String, Object> kept = finalState(id);
                     if (kept != null) {
                         effects.answer(exchange, 200, kept);
                     } else {
-                        effects.later(exchange, 503, 2);
+                        effects.refuseWithRetry(exchange, 503, 2);
                     }
                 } else if (status == 404) {
                     unknown.run();
                 } else {
-                    effects.later(exchange, 503, 2);
+                    effects.refuseWithRetry(exchange, 503, 2);
                 }
             });
             if (!sent) {
-                effects.later(exchange, 503, 1);
+                effects.refuseWithRetry(exchange, 503, 1);
             }
         });
         if (!asked) {
-            effects.later(exchange, 503, 2);
+            effects.refuseWithRetry(exchange, 503, 2);
         }
     }
 
@@ -200,7 +204,7 @@
 
     public void submit(long exchange, byte[] body) {
         JobSpec spec = null;
-        Bad bad = null;
+        InvalidInputException bad = null;
         JobCodec.Never never = null;
         String id = null;
         try {
@@ -209,7 +213,7 @@
             if (catalog.typesKnown()) {
                 spec = codec.read(m);
             }
-        } catch (Bad e) {
+        } catch (InvalidInputException e) {
             bad = e;
         } catch (JobCodec.Never e) {
             never = e;
@@ -221,7 +225,7 @@
         }
         if (id != null && view.job(id) != null) {
             String jobId = id;
-            lookUp(exchange, jobId, () -> effects.later(exchange, 503, 1));
+            answerFromFreshView(exchange, jobId, () -> effects.refuseWithRetry(exchange, 503, 1));
             return;
         }
         if (bad != null && id == null) {
@@ -229,27 +233,28 @@
             return;
         }
         if (spec == null && bad == null && never == null || !store.healthy()) {
-            effects.later(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
-        String why = bad != null ? bad.getMessage() : never != null ? never.getMessage() : catalog.misfit(spec);
+        String why =
+                bad != null ? bad.getMessage() : never != null ? never.getMessage() : catalog.unschedulableReason(spec);
         if (why != null) {
             // A repeat of an accepted id is answered with its state, whatever its body has become.
             int status = bad != null ? 400 : 422;
-            lookUp(exchange, id, () -> effects.answer(exchange, status, Map.of("error", why)));
+            answerFromFreshView(exchange, id, () -> effects.answer(exchange, status, Map.of("error", why)));
             return;
         }
-        if (!store.offer(new Accept(exchange, spec))) {
-            effects.later(exchange, 503, 2);
+        if (!store.enqueue(new AcceptJob(exchange, spec))) {
+            effects.refuseWithRetry(exchange, 503, 2);
         }
     }
 
-    private final class Accept implements Change {
+    private final class AcceptJob implements Change {
         private final long exchange;
         private final JobSpec spec;
-        private final long until = effects.now() + COMMIT_MS;
+        private final long deadlineMs = effects.now() + COMMIT_TIMEOUT_MS;
 
-        Accept(long exchange, JobSpec spec) {
+        AcceptJob(long exchange, JobSpec spec) {
             this.exchange = exchange;
             this.spec = spec;
         }
@@ -260,38 +265,38 @@
         }
 
         @Override
-        public int cost() {
+        public int maxWrites() {
             return 1;
         }
 
         @Override
-        public long expires() {
-            return until;
+        public long expiresAtMs() {
+            return deadlineMs;
         }
 
         @Override
-        public boolean build(Tx tx) {
+        public boolean build(Transaction tx) {
             if (view.job(spec.id()) != null
                     || view.unreadable(spec.id())
-                    || view.ended(spec.id()) != null
+                    || view.endedJob(spec.id()) != null
                     || tx.writes(Keys.JOB + spec.id())
-                    || effects.now() > until) {
+                    || effects.now() > deadlineMs) {
                 return false;
             }
-            tx.require(Keys.END + spec.id());
-            tx.put(Keys.JOB + spec.id(), row(spec, chunkSize, effects.wall(), Job.State.OPEN));
+            tx.requireUnchanged(Keys.ENDED_JOB + spec.id());
+            tx.put(Keys.JOB + spec.id(), jobRow(spec, chunkSize, effects.wallTime(), Job.State.OPEN));
             return true;
         }
 
         @Override
         public void committed(long revision) {
             LOG.info("job {} accepted: {} {} tasks, {}", spec.id(), spec.shape(), spec.tasks(), spec.priority());
-            effects.answer(exchange, 201, answer(spec.id(), Wire.QUEUED, 0, 0));
+            effects.answer(exchange, 201, stateBody(spec.id(), Wire.QUEUED, 0, 0));
         }
 
         @Override
-        public boolean refused(Set<String> failed) {
-            if (failed.contains(Keys.END + spec.id()) || failed.contains(Keys.JOB + spec.id())) {
+        public boolean settledByConflict(Set<String> failed) {
+            if (failed.contains(Keys.ENDED_JOB + spec.id()) || failed.contains(Keys.JOB + spec.id())) {
                 dropped();
                 return true;
             }
@@ -300,11 +305,11 @@
 
         @Override
         public void dropped() {
-            lookUp(exchange, spec.id(), () -> effects.later(exchange, 503, 1));
+            answerFromFreshView(exchange, spec.id(), () -> effects.refuseWithRetry(exchange, 503, 1));
         }
     }
 
-    private Map<String, Object> row(JobSpec s, int chunk, long acceptedAt, Job.State state) {
+    private Map<String, Object> jobRow(JobSpec s, int chunk, long acceptedAt, Job.State state) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("s", state.name());
         m.put("k", chunk);
@@ -326,13 +331,13 @@
             return;
         }
         if (!store.healthy() || view.unreadable(id)) {
-            effects.later(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
         if (view.job(id) == null) {
             // Accepted elsewhere a moment ago, it is to be cancelled like any other: its state alone was no answer to a
             // cancellation.
-            lookUp(
+            answerFromFreshView(
                     exchange,
                     id,
                     j -> cancel(exchange, j),
@@ -343,17 +348,17 @@
     }
 
     private void cancel(long exchange, Job j) {
-        if (!store.offer(new Cancel(exchange, j.spec.id()))) {
-            effects.later(exchange, 503, 1);
+        if (!store.enqueue(new CancelJob(exchange, j.spec.id()))) {
+            effects.refuseWithRetry(exchange, 503, 1);
         }
     }
 
-    private final class Cancel implements Change {
+    private final class CancelJob implements Change {
         private final long exchange;
         private final String id;
-        private final long until = effects.now() + COMMIT_MS;
+        private final long deadlineMs = effects.now() + COMMIT_TIMEOUT_MS;
 
-        Cancel(long exchange, String id) {
+        CancelJob(long exchange, String id) {
             this.exchange = exchange;
             this.id = id;
         }
@@ -364,35 +369,35 @@
         }
 
         @Override
-        public int cost() {
+        public int maxWrites() {
             return 1;
         }
 
         @Override
-        public long expires() {
-            return until;
+        public long expiresAtMs() {
+            return deadlineMs;
         }
 
         @Override
-        public boolean build(Tx tx) {
+        public boolean build(Transaction tx) {
             Job j = view.job(id);
             if (j == null
                     || j.state() != Job.State.OPEN
                     || j.allDone()
                     || tx.writes(Keys.JOB + id)
-                    || effects.now() > until) {
+                    || effects.now() > deadlineMs) {
                 return false;
             }
             // Another controller may be about to see, and to tell, that the last task is done: then this must fail.
             int open = 0;
-            while (j.chunks.get(open) != null && j.chunks.get(open).full()) {
+            while (j.chunks.get(open) != null && j.chunks.get(open).allDone()) {
                 open++;
             }
-            if (tx.hasChunk(id, open)) {
+            if (tx.editsChunk(id, open)) {
                 return false;
             }
-            tx.require(Keys.place(id, open));
-            tx.put(Keys.JOB + id, row(j.spec, j.chunkSize, j.acceptedAt, Job.State.CANCELLED));
+            tx.requireUnchanged(Keys.placement(id, open));
+            tx.put(Keys.JOB + id, jobRow(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.CANCELLED));
             return true;
         }
 
@@ -409,7 +414,7 @@
                 effects.answer(exchange, 200, known);
             } else {
                 // Not settled in time, or the job ended meanwhile: the repeat will find out.
-                effects.later(exchange, 503, 1);
+                effects.refuseWithRetry(exchange, 503, 1);
             }
         }
     }
@@ -419,27 +424,27 @@
     /** Writes final states, and puts ended jobs away once nothing of them is on any machine. */
     public void tick() {
         long now = effects.now();
-        if (!store.loaded() || !store.healthy() || !membership.holding() || now < nextSweep) {
+        if (!store.loaded() || !store.healthy() || !membership.canAct() || now < nextSweepMs) {
             return;
         }
-        nextSweep = now + 200;
+        nextSweepMs = now + 200;
         for (Job j : view.jobs()) {
             boolean over = (j.state() != Job.State.OPEN || j.allDone()) && j.claimCount() == 0;
-            if (over && membership.drives(j.spec.id()) && ending.size() < 100 && ending.add(j.spec.id())) {
-                if (!store.offer(new End(j.spec.id(), Math.min(txnOps, j.chunks.size() + 2)))) {
-                    ending.remove(j.spec.id());
+            if (over && membership.schedules(j.spec.id()) && endingJobs.size() < 100 && endingJobs.add(j.spec.id())) {
+                if (!store.enqueue(new EndJob(j.spec.id(), Math.min(txnOps, j.chunks.size() + 2)))) {
+                    endingJobs.remove(j.spec.id());
                 }
             }
         }
     }
 
-    private final class End implements Change {
+    private final class EndJob implements Change {
         private final String id;
         private final int cost;
-        private boolean away;
+        private boolean archives;
         private boolean done;
 
-        End(String id, int cost) {
+        EndJob(String id, int cost) {
             this.id = id;
             this.cost = cost;
         }
@@ -451,17 +456,17 @@
 
         /** Polls are answered from the done set; the row is only put away. */
         @Override
-        public long patienceMs() {
+        public long maxDelayMs() {
             return 1_000;
         }
 
         @Override
-        public int cost() {
+        public int maxWrites() {
             return cost;
         }
 
         @Override
-        public boolean build(Tx tx) {
+        public boolean build(Transaction tx) {
             Job j = view.job(id);
             if (j == null || tx.writes(Keys.JOB + id)) {
                 return false;
@@ -474,25 +479,25 @@
             for (Chunk c : j.chunks) {
                 places += c == null ? 0 : 1;
             }
-            away = j.claimCount() == 0 && places + 2 <= txnOps;
-            if (away) {
+            archives = j.claimCount() == 0 && places + 2 <= txnOps;
+            if (archives) {
                 for (Chunk c : j.chunks) {
                     if (c != null) {
-                        tx.remove(Keys.place(id, c.index));
+                        tx.remove(Keys.placement(id, c.index));
                     }
                 }
                 tx.remove(Keys.JOB + id);
-                tx.put(Keys.END + id, View.endedRow(done, j.spec.tasks()));
+                tx.put(Keys.ENDED_JOB + id, StoreView.endedJobRow(done, j.spec.tasks()));
                 return true;
             }
             if (j.state() == Job.State.OPEN) {
                 for (Chunk c : j.chunks) {
-                    tx.require(Keys.place(id, c.index));
+                    tx.requireUnchanged(Keys.placement(id, c.index));
                     if (tx.conditionCount() > 3 * txnOps) {
                         break;
                     }
                 }
-                tx.put(Keys.JOB + id, row(j.spec, j.chunkSize, j.acceptedAt, Job.State.DONE));
+                tx.put(Keys.JOB + id, jobRow(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.DONE));
                 return true;
             }
             if (j.claimCount() > 0) {
@@ -501,24 +506,24 @@
             int n = 0;
             for (Chunk c : j.chunks) {
                 if (c != null && n++ < txnOps - 1) {
-                    tx.remove(Keys.place(id, c.index));
+                    tx.remove(Keys.placement(id, c.index));
                 }
             }
-            tx.require(Keys.JOB + id);
+            tx.requireUnchanged(Keys.JOB + id);
             return true;
         }
 
         @Override
         public void committed(long revision) {
-            ending.remove(id);
-            if (away) {
+            endingJobs.remove(id);
+            if (archives) {
                 LOG.info("job {} ended: {}", id, done ? "done" : "cancelled");
             }
         }
 
         @Override
         public void dropped() {
-            ending.remove(id);
+            endingJobs.remove(id);
         }
     }
 }
