--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -38,21 +38,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents and returns machines. One controller at a time does this; its row in the store also counts the request names,
- * so that a name is recorded before it is used and none is used twice.
+ * Rents machines from the cloud and returns them. One controller at a time has the autoscaler role, which a row in
+ * the state service records. That row also counts the names of rental requests: a name is recorded before it is used
+ * and no name is used twice.
+ *
+ * <p>Not thread-safe: all calls and callbacks run on the controller's event loop. Times are steady milliseconds
+ * unless stated otherwise.
  */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
-    /** A kind of machine counts as at most so many times as dear for what does not come up. */
+    /**
+     * Lower bound of the booted share in prices: a kind whose machines rarely come up counts as at most four times as
+     * expensive.
+     */
     private static final double MIN_BOOTED_SHARE = 0.25;
-    /** Fewer machines that are silent at once are silent each by itself. */
+    /**
+     * Number of silent machines in a shard from which on a network fault of its owner or zone is suspected; fewer are
+     * judged singly.
+     */
     private static final int MIN_SILENT_FOR_SHARD_FAULT = 4;
 
-    /** A rental as its row tells it; {@code hosts} null: not answered yet. */
+    /**
+     * A rental request as stored in its row. {@code type} and {@code zone} are indexes in the {@link Catalog},
+     * {@code requestedAtMs} is wall-clock time, and {@code hosts} is null until the cloud has answered.
+     */
     public record RentalRequest(
             String name, int type, int zone, boolean spot, int count, long requestedAtMs, List<String> hosts) {}
 
+    /** Machines that the cloud offers and refuses together: a type in a zone, spot or not. */
     private record MachineKind(int type, int zone, boolean spot) {}
 
     private final Effects effects;
@@ -62,27 +76,41 @@
     private final Membership membership;
     private final CloudClient cloud;
     private final Counters counters;
-    private final ActionCounters orders;
-    /** Until then nothing is rented, returned or emptied: the next reports may show that it was there, or needed. */
-    private final BooleanSupplier fleetKnown;
-    /** Tasks that are expected to find their old room again. */
+    private final ActionCounters actionCounters;
+    /**
+     * False while restart recovery waits for reports. Until it is true nothing is rented, returned or drained,
+     * because the next reports may show that a machine exists already or is needed.
+     */
+    private final BooleanSupplier inventoryComplete;
+    /** Number of tasks that are expected to be restored to their previous capacity. */
     private final IntSupplier tasksToRestore;
 
     private final Settings settings;
+    /**
+     * Asks the owner of a machine whether it may be returned; true: although tasks run there, which are then moved.
+     */
     private final BiConsumer<String, Boolean> requestReturn;
+
     private final Consolidation consolidation;
-    private final GangReserve reserve;
+    private final GangReserve gangReserve;
     private final Consumer<String> onDeleted;
     private final Map<MachineKind, Long> refusedUntilMs = new HashMap<>();
+    /** Names of rental requests with a call to the cloud or a change of their row in progress. */
     private final Set<String> requestsInProgress = new HashSet<>();
+
     private final Map<String, Long> retryAtMs = new HashMap<>();
+    /** Machines whose deletion is queued or in progress. */
     private final Set<String> deleting = new HashSet<>();
+
     private final Map<String, Long> returnPendingUntilMs = new HashMap<>();
     private final MachineList machineList;
     private Map<String, MachineStatus> lastStatuses = Map.of();
     private final Map<String, Long> recentlyDeleted = new LinkedHashMap<>();
     private final List<String> deletionQueue = new ArrayList<>();
-    /** Over the present jobs, once a tick: every machine's linger needs it. */
+    /**
+     * Mean image size of the present jobs in GB, computed once a tick because the idle timeout of every machine needs
+     * it.
+     */
     private double meanImageGb;
 
     private final BootStatistics bootStatistics;
@@ -102,46 +130,52 @@
 
     public Autoscaler(
             Effects effects,
-            Settings s,
+            Settings settings,
             Catalog catalog,
             StoreView view,
             StoreClient store,
             Membership membership,
             CloudClient cloud,
             Counters counters,
-            ActionCounters orders,
-            BooleanSupplier fleetKnown,
-            IntSupplier returning,
-            Tuning t,
-            BiConsumer<String, Boolean> retire,
-            Consumer<String> gone,
-            Function<Map<String, MachineStatus>, List<Slot>> free,
-            ToLongFunction<Claim> runningFor) {
+            ActionCounters actionCounters,
+            BooleanSupplier inventoryComplete,
+            IntSupplier tasksToRestore,
+            Tuning tuning,
+            BiConsumer<String, Boolean> requestReturn,
+            Consumer<String> onDeleted,
+            Function<Map<String, MachineStatus>, List<Slot>> freeSlots,
+            ToLongFunction<Claim> runningForMs) {
         this.effects = effects;
-        this.settings = s;
+        this.settings = settings;
         this.catalog = catalog;
         this.view = view;
         this.store = store;
         this.membership = membership;
         this.cloud = cloud;
         this.counters = counters;
-        this.orders = orders;
-        this.fleetKnown = fleetKnown;
-        this.tasksToRestore = returning;
-        this.requestReturn = retire;
-        this.onDeleted = gone;
-        reserve = new GangReserve(catalog, view, s.objectives());
+        this.actionCounters = actionCounters;
+        this.inventoryComplete = inventoryComplete;
+        this.tasksToRestore = tasksToRestore;
+        this.requestReturn = requestReturn;
+        this.onDeleted = onDeleted;
+        gangReserve = new GangReserve(catalog, view, settings.objectives());
         consolidation = new Consolidation(
-                catalog, view, t.ms("fleet.move-after-s"), retire, free, runningFor, this::idleTimeoutMs);
-        lingerBoots = t.num("fleet.linger-boots");
-        lingerFetches = t.num("fleet.linger-fetches");
-        giveUpBoots = t.num("fleet.give-up-boots");
+                catalog,
+                view,
+                tuning.ms("fleet.move-after-s"),
+                requestReturn,
+                freeSlots,
+                runningForMs,
+                this::idleTimeoutMs);
+        lingerBoots = tuning.num("fleet.linger-boots");
+        lingerFetches = tuning.num("fleet.linger-fetches");
+        giveUpBoots = tuning.num("fleet.give-up-boots");
         bootStatistics = new BootStatistics(giveUpBoots);
-        rentalPolicy = new RentalPolicy(catalog, s.objectives(), t.ms("placement.begin-by-s"));
-        silentSpotReports = t.num("fleet.silent-spot-reports");
-        silentLeaseShare = t.num("fleet.silent-share");
+        rentalPolicy = new RentalPolicy(catalog, settings.objectives(), tuning.ms("placement.begin-by-s"));
+        silentSpotReports = tuning.num("fleet.silent-spot-reports");
+        silentLeaseShare = tuning.num("fleet.silent-share");
         machineList = new MachineList(
-                effects, s, catalog, view, membership, cloud, giveUpBoots, new MachineList.FleetState() {
+                effects, settings, catalog, view, membership, cloud, giveUpBoots, new MachineList.FleetState() {
                     @Override
                     public boolean isBeingDeleted(String machine) {
                         return Autoscaler.this.isBeingDeleted(machine);
@@ -154,7 +188,7 @@
 
                     @Override
                     public boolean mayBeBooting(String machine) {
-                        return rentalRequests().stream().anyMatch(a -> a.hosts() == null)
+                        return rentalRequests().stream().anyMatch(request -> request.hosts() == null)
                                 || requestedHosts.contains(machine);
                     }
 
@@ -165,16 +199,20 @@
                 });
     }
 
-    /** Whether a machine was deleted lately, or is about to be. */
+    /** Whether the machine was deleted recently, or its deletion is queued or in progress. */
     public boolean isBeingDeleted(String machine) {
         return recentlyDeleted.containsKey(machine) || deleting.contains(machine);
     }
 
-    /** Machines that the cloud lists as running and nobody tells of. */
+    /** Returns the machines that the cloud lists as running although they report to no controller. */
     public Set<String> unreportedRunning() {
         return machineList.unreportedRunning();
     }
 
+    /**
+     * Whether this controller has the autoscaler role: the role's row names its present incarnation, and its member
+     * lease holds.
+     */
     public boolean isActive() {
         Map<String, Object> row = view.row(Keys.AUTOSCALER);
         return membership.canAct()
@@ -183,70 +221,78 @@
                 && Fields.countOr(row, "i", 0) == membership.incarnation();
     }
 
-    /** Machines whose deletion was confirmed lately, to be told to their owners. */
+    /** Returns the machines whose deletion the cloud confirmed within the last 30 s, for notifying their owners. */
     public List<String> recentlyDeleted() {
-        recentlyDeleted.values().removeIf(at -> effects.now() - at > 30_000);
+        recentlyDeleted.values().removeIf(deletedAtMs -> effects.now() - deletedAtMs > 30_000);
         return List.copyOf(recentlyDeleted.keySet());
     }
 
-    public void tick(Map<String, MachineStatus> pictures, Planner.Plan plan) {
-        long now = effects.now();
-        if (!store.loaded() || now < nextTickMs) {
+    /**
+     * Does the periodic work, at most every 250 ms. Without the autoscaler role, only learns machine types and takes
+     * the role if it is free.
+     *
+     * @param statuses machine statuses by machine name
+     * @param plan the last plan, whose unplaced tasks are rented for
+     */
+    public void tick(Map<String, MachineStatus> statuses, Planner.Plan plan) {
+        long nowMs = effects.now();
+        if (!store.loaded() || nowMs < nextTickMs) {
             return;
         }
-        nextTickMs = now + 250;
-        refreshTypes(now);
-        boolean mine = isActive();
-        if (mine && !wasActive) {
-            activeSinceMs = now;
-            LOG.info("we are the autoscaler");
+        nextTickMs = nowMs + 250;
+        refreshTypes(nowMs);
+        boolean active = isActive();
+        if (active && !wasActive) {
+            activeSinceMs = nowMs;
+            LOG.info("this controller has taken the autoscaler role");
         }
-        if (wasActive && !mine) {
-            // Somebody took it while cut off from us; taking it back at once would be a fight.
-            roleLostAtMs = now;
+        if (wasActive && !active) {
+            // Another controller took the role while this one was partitioned; taking it back at once would make them
+            // alternate.
+            roleLostAtMs = nowMs;
         }
-        wasActive = mine;
-        if (!mine) {
+        wasActive = active;
+        if (!active) {
             tryTakeRole();
             return;
         }
         meanImageGb = view.jobs().stream()
-                .mapToDouble(j -> j.spec.imageGb())
+                .mapToDouble(job -> job.spec.imageGb())
                 .average()
                 .orElse(0);
-        processRequests(pictures, now);
-        lastStatuses = pictures;
+        processRequests(statuses, nowMs);
+        lastStatuses = statuses;
         machineList.tick();
-        if (!fleetKnown.getAsBoolean()) {
+        if (!inventoryComplete.getAsBoolean()) {
             sendDeletions();
             return;
         }
-        returnMachines(pictures, now);
-        if (catalog.typesKnown() && !recordingRequests && now - activeSinceMs > 1_500) {
-            requestMachines(plan, pictures, now);
+        returnMachines(statuses, nowMs);
+        if (catalog.typesKnown() && !recordingRequests && nowMs - activeSinceMs > 1_500) {
+            requestMachines(plan, statuses, nowMs);
         }
-        consolidation.tick(plan, pictures, now);
+        consolidation.tick(plan, statuses, nowMs);
         sendDeletions();
     }
 
     // ---- machine types
 
-    private void refreshTypes(long now) {
+    private void refreshTypes(long nowMs) {
         Map<String, Object> row = view.row(Keys.MACHINE_TYPES);
         if (!catalog.typesKnown() && row != null) {
             learnTypes(Fields.list(row, "l"));
         }
-        boolean wanted = !catalog.typesKnown() || wasActive && now >= nextTypesMs;
-        if (!wanted || now < nextTypesMs) {
+        boolean wanted = !catalog.typesKnown() || wasActive && nowMs >= nextTypesMs;
+        if (!wanted || nowMs < nextTypesMs) {
             return;
         }
-        nextTypesMs = now + 1_000;
-        cloud.call("GET", Wire.MACHINE_TYPES, null, (status, m) -> {
+        nextTypesMs = nowMs + 1_000;
+        cloud.call("GET", Wire.MACHINE_TYPES, null, (status, reply) -> {
             if (status != 200) {
                 return;
             }
             nextTypesMs = effects.now() + 60_000;
-            List<?> list = Fields.list(m, Wire.TYPE_LIST);
+            List<?> list = Fields.list(reply, Wire.TYPE_LIST);
             learnTypes(list);
             if (view.row(Keys.MACHINE_TYPES) == null && !list.isEmpty()) {
                 putRow(Keys.MACHINE_TYPES, Map.of("l", list));
@@ -256,13 +302,13 @@
 
     private void learnTypes(List<?> list) {
         List<Catalog.MachineType> types = new ArrayList<>();
-        for (Object o : list) {
-            types.add(Catalog.type(catalog.typeNames, catalog.zones, Fields.map(o, "type"), Wire.TYPE_FIELDS));
+        for (Object entry : list) {
+            types.add(Catalog.type(catalog.typeNames, catalog.zones, Fields.map(entry, "type"), Wire.TYPE_FIELDS));
         }
         boolean first = !catalog.typesKnown();
         catalog.addTypes(types);
         if (first) {
-            LOG.info("{} machine types known", types.size());
+            LOG.info("learned {} machine types", types.size());
         }
     }
 
@@ -277,10 +323,9 @@
         if (holder > 0 && membership.isAlive(holder)) {
             return;
         }
-        // An earlier life of ours held it: the others hear us and wait for us, so we must not wait for any of them.
-        // Without this,
-        // after all had crashed together nobody rented or returned a machine any more, unless the lowest name had been
-        // the autoscaler.
+        // If an earlier incarnation of this controller had the role, the others receive the heartbeats of this one
+        // and wait for it, so it must not wait for any of them. Otherwise, after all controllers had crashed
+        // together, none rented or returned machines any more unless the lowest name had been the autoscaler.
         for (int i = 1; holder != 0 && i < membership.memberCount(); i++) {
             if (membership.isConnected(i) && membership.memberName(i).compareTo(membership.memberName(0)) < 0) {
                 return;
@@ -291,16 +336,16 @@
                 3,
                 1,
                 tx -> {
-                    Map<String, Object> now = view.row(Keys.AUTOSCALER);
+                    Map<String, Object> current = view.row(Keys.AUTOSCALER);
                     tx.requireUnchanged(Keys.MEMBER_LEASE + membership.memberName(0));
-                    tx.put(Keys.AUTOSCALER, autoscalerRow(now == null ? 1 : Fields.countOr(now, "n", 1)));
+                    tx.put(Keys.AUTOSCALER, autoscalerRow(current == null ? 1 : Fields.countOr(current, "n", 1)));
                     return true;
                 },
                 ok -> takingRole = false));
     }
 
-    private Map<String, Object> autoscalerRow(long next) {
-        return Map.of("m", membership.memberName(0), "i", membership.incarnation(), "n", next);
+    private Map<String, Object> autoscalerRow(long nextNumber) {
+        return Map.of("m", membership.memberName(0), "i", membership.incarnation(), "n", nextNumber);
     }
 
     private void putRow(String key, Map<String, Object> value) {
@@ -320,332 +365,360 @@
     private Set<String> requestedHosts = Set.of();
     private long requestsReadAtChange = -1;
 
-    /** The rental rows, read again only when one of them has changed. */
+    /**
+     * Returns the rental requests in the state service. Their rows are parsed again only after one of them has
+     * changed.
+     */
     public List<RentalRequest> rentalRequests() {
         if (requestsReadAtChange == view.rentalRequestChangeCount()) {
             return rentalRequests;
         }
-        List<RentalRequest> l = new ArrayList<>();
-        Set<String> all = new HashSet<>();
-        boolean whole = true;
-        for (Map.Entry<String, Map<String, Object>> e :
+        List<RentalRequest> requests = new ArrayList<>();
+        Set<String> hostNames = new HashSet<>();
+        boolean complete = true;
+        for (Map.Entry<String, Map<String, Object>> entry :
                 view.rowsUnder(Keys.RENTAL_REQUEST).entrySet()) {
-            Map<String, Object> m = e.getValue();
-            int type = catalog.typeNames.find(Fields.text(m, "y"));
-            int zone = catalog.zones.find(Fields.text(m, "z"));
+            Map<String, Object> fields = entry.getValue();
+            int type = catalog.typeNames.find(Fields.text(fields, "y"));
+            int zone = catalog.zones.find(Fields.text(fields, "z"));
             List<String> hosts = null;
-            if (m.get("h") instanceof List<?> h) {
+            if (fields.get("h") instanceof List<?> hostList) {
                 hosts = new ArrayList<>();
-                for (Object o : h) {
-                    hosts.add(String.valueOf(o));
+                for (Object host : hostList) {
+                    hosts.add(String.valueOf(host));
                 }
-                all.addAll(hosts);
+                hostNames.addAll(hosts);
             }
             if (zone >= 0 && catalog.type(type) != null) {
-                l.add(new RentalRequest(
-                        e.getKey().substring(Keys.RENTAL_REQUEST.length()),
+                requests.add(new RentalRequest(
+                        entry.getKey().substring(Keys.RENTAL_REQUEST.length()),
                         type,
                         zone,
-                        Boolean.TRUE.equals(m.get("s")),
-                        (int) Fields.count(m, "n"),
-                        Fields.count(m, "t"),
+                        Boolean.TRUE.equals(fields.get("s")),
+                        (int) Fields.count(fields, "n"),
+                        Fields.count(fields, "t"),
                         hosts));
             } else {
-                whole = false;
+                complete = false;
             }
         }
-        rentalRequests = l;
-        requestedHosts = all;
-        // A type that is not known yet will be: such rows are looked at again.
-        requestsReadAtChange = whole ? view.rentalRequestChangeCount() : -1;
-        return l;
+        rentalRequests = requests;
+        requestedHosts = hostNames;
+        // Rows whose type is not known yet are parsed again, as the type will be learned.
+        requestsReadAtChange = complete ? view.rentalRequestChangeCount() : -1;
+        return requests;
     }
 
-    /** Room on machines that are rented and not up yet. */
-    public List<Slot> bootingSlots(Map<String, MachineStatus> pictures) {
-        List<Slot> l = new ArrayList<>();
-        for (RentalRequest a : rentalRequests()) {
-            Catalog.MachineType t = catalog.type(a.type());
-            int n = a.hosts() == null ? a.count() : a.hosts().size();
-            double ageS = Math.max(0, (effects.wallTime() - a.requestedAtMs()) / 1000.0);
-            int kind = kindIndex(a.type(), a.zone(), a.spot());
-            boolean overdue = ageS > t.bootS() * bootStatistics.overdueBoots(kind);
-            long eta = Math.round(bootStatistics.etaS(kind, ageS, t.bootS()) * 1000);
-            for (int i = 0; i < n; i++) {
-                String host = a.hosts() == null ? a.name() + "/" + i : a.hosts().get(i);
-                if (pictures.containsKey(host)) {
-                    bootStatistics.recordBooted(kind, host, ageS, t.bootS());
+    /**
+     * Returns the capacity of machines that are rented and have not reported yet, except overdue and deleted ones.
+     * Also records the boot time of those that have reported since.
+     */
+    public List<Slot> bootingSlots(Map<String, MachineStatus> statuses) {
+        List<Slot> slots = new ArrayList<>();
+        for (RentalRequest request : rentalRequests()) {
+            Catalog.MachineType type = catalog.type(request.type());
+            int count =
+                    request.hosts() == null ? request.count() : request.hosts().size();
+            double ageS = Math.max(0, (effects.wallTime() - request.requestedAtMs()) / 1000.0);
+            int kind = kindIndex(request.type(), request.zone(), request.spot());
+            boolean overdue = ageS > type.bootS() * bootStatistics.overdueBoots(kind);
+            long etaMs = Math.round(bootStatistics.etaS(kind, ageS, type.bootS()) * 1000);
+            for (int i = 0; i < count; i++) {
+                String host = request.hosts() == null
+                        ? request.name() + "/" + i
+                        : request.hosts().get(i);
+                if (statuses.containsKey(host)) {
+                    bootStatistics.recordBooted(kind, host, ageS, type.bootS());
                 } else if (!overdue && !deleting.contains(host) && !recentlyDeleted.containsKey(host)) {
-                    l.add(new Slot(
+                    slots.add(new Slot(
                             host,
-                            t,
-                            a.zone(),
-                            a.spot(),
+                            type,
+                            request.zone(),
+                            request.spot(),
                             0,
                             -1,
                             1,
                             new int[0],
                             new int[0],
-                            eta,
+                            etaMs,
                             false,
-                            t.cpus(),
-                            t.gpus(),
-                            t.memoryGb()));
+                            type.cpus(),
+                            type.gpus(),
+                            type.memoryGb()));
                 }
             }
         }
-        return l;
+        return slots;
     }
 
-    private void processRequests(Map<String, MachineStatus> pictures, long now) {
-        for (RentalRequest a : rentalRequests()) {
-            if (a.hosts() == null) {
-                if (!requestsInProgress.contains(a.name()) && now >= retryAtMs.getOrDefault(a.name(), 0L)) {
-                    sendRequest(a);
+    private void processRequests(Map<String, MachineStatus> statuses, long nowMs) {
+        for (RentalRequest request : rentalRequests()) {
+            if (request.hosts() == null) {
+                if (!requestsInProgress.contains(request.name())
+                        && nowMs >= retryAtMs.getOrDefault(request.name(), 0L)) {
+                    sendRequest(request);
                 }
                 continue;
             }
-            double ageS = (effects.wallTime() - a.requestedAtMs()) / 1000.0;
+            double ageS = (effects.wallTime() - request.requestedAtMs()) / 1000.0;
             boolean allUp = true;
-            List<String> late = new ArrayList<>();
-            for (String h : a.hosts()) {
-                boolean up = pictures.containsKey(h) || recentlyDeleted.containsKey(h);
+            List<String> lateHosts = new ArrayList<>();
+            for (String host : request.hosts()) {
+                boolean up = statuses.containsKey(host) || recentlyDeleted.containsKey(host);
                 allUp &= up;
-                if (!up && ageS > catalog.type(a.type()).bootS() * giveUpBoots) {
-                    late.add(h);
+                if (!up && ageS > catalog.type(request.type()).bootS() * giveUpBoots) {
+                    lateHosts.add(host);
                 }
             }
-            if (!late.isEmpty()) {
-                for (String h : late) {
-                    if (view.claims(h).isEmpty() && !deleting.contains(h)) {
-                        LOG.info("machine {} did not come up in {} s, given up", h, Math.round(ageS));
-                        bootStatistics.recordNeverBooted(kindIndex(a.type(), a.zone(), a.spot()), h);
-                        queueDeletion(h);
+            if (!lateHosts.isEmpty()) {
+                for (String host : lateHosts) {
+                    if (view.claims(host).isEmpty() && !deleting.contains(host)) {
+                        LOG.info(
+                                "machine {} has not come up {} s after it was requested, deleting it",
+                                host,
+                                Math.round(ageS));
+                        bootStatistics.recordNeverBooted(
+                                kindIndex(request.type(), request.zone(), request.spot()), host);
+                        queueDeletion(host);
                     }
                 }
-            } else if (allUp && requestsInProgress.add(a.name())) {
+            } else if (allUp && requestsInProgress.add(request.name())) {
                 store.enqueue(new FunctionChange(
                         3,
                         1,
                         tx -> {
-                            if (view.row(Keys.RENTAL_REQUEST + a.name()) == null) {
+                            if (view.row(Keys.RENTAL_REQUEST + request.name()) == null) {
                                 return false;
                             }
-                            tx.remove(Keys.RENTAL_REQUEST + a.name());
+                            tx.remove(Keys.RENTAL_REQUEST + request.name());
                             return true;
                         },
-                        ok -> requestsInProgress.remove(a.name())));
+                        ok -> requestsInProgress.remove(request.name())));
             }
         }
     }
 
-    private void sendRequest(RentalRequest a) {
-        requestsInProgress.add(a.name());
-        boolean sent = cloud.call("POST", Wire.RENTALS, requestBody(a), (status, m) -> {
+    private void sendRequest(RentalRequest request) {
+        requestsInProgress.add(request.name());
+        boolean sent = cloud.call("POST", Wire.RENTALS, requestBody(request), (status, reply) -> {
             if (status == 200) {
-                List<Object> hosts = new ArrayList<>(Fields.list(m, Wire.MACHINES));
+                List<Object> hosts = new ArrayList<>(Fields.list(reply, Wire.MACHINES));
                 counters.rentals += hosts.size();
-                orders.recordRental(
-                        kindIndex(a.type(), a.zone(), a.spot()),
+                actionCounters.recordRental(
+                        kindIndex(request.type(), request.zone(), request.spot()),
                         hosts.size(),
-                        Math.round(catalog.type(a.type()).bootS() * 1000),
+                        Math.round(catalog.type(request.type()).bootS() * 1000),
                         effects.now());
                 LOG.info(
-                        "rented {} of {} {} in {}{}: {}",
+                        "rented {} of {} requested machines of type {} in zone {}{}: {}",
                         hosts.size(),
-                        a.count(),
-                        catalog.typeNames.name(a.type()),
-                        catalog.zones.name(a.zone()),
-                        a.spot() ? " (spot)" : "",
+                        request.count(),
+                        catalog.typeNames.name(request.type()),
+                        catalog.zones.name(request.zone()),
+                        request.spot() ? " (spot)" : "",
                         hosts);
-                if (hosts.size() < a.count()) {
-                    refusedUntilMs.put(new MachineKind(a.type(), a.zone(), a.spot()), effects.now() + 15_000);
+                if (hosts.size() < request.count()) {
+                    refusedUntilMs.put(
+                            new MachineKind(request.type(), request.zone(), request.spot()), effects.now() + 15_000);
                 }
-                recordOutcome(a, hosts);
-            } else if (status == 503 && "no capacity".equals(m.get("error"))) {
+                recordOutcome(request, hosts);
+            } else if (status == 503 && "no capacity".equals(reply.get("error"))) {
                 LOG.info(
-                        "no {} in {}{}",
-                        catalog.typeNames.name(a.type()),
-                        catalog.zones.name(a.zone()),
-                        a.spot() ? " (spot)" : "");
-                refusedUntilMs.put(new MachineKind(a.type(), a.zone(), a.spot()), effects.now() + 20_000);
-                recordOutcome(a, List.of());
+                        "cloud has no capacity for type {} in zone {}{}",
+                        catalog.typeNames.name(request.type()),
+                        catalog.zones.name(request.zone()),
+                        request.spot() ? " (spot)" : "");
+                refusedUntilMs.put(
+                        new MachineKind(request.type(), request.zone(), request.spot()), effects.now() + 20_000);
+                recordOutcome(request, List.of());
             } else if (status == 400) {
-                LOG.error("rental {} refused as malformed", a.name());
-                recordOutcome(a, List.of());
+                LOG.error("cloud refused rental request {} as malformed", request.name());
+                recordOutcome(request, List.of());
             } else {
-                // Unclear or later: the same name again, so that nothing is rented twice.
-                requestsInProgress.remove(a.name());
-                retryAtMs.put(a.name(), effects.now() + 1_500);
+                // The outcome is unknown, or the cloud asked to retry later: retried under the same name, so that
+                // nothing is rented twice.
+                requestsInProgress.remove(request.name());
+                retryAtMs.put(request.name(), effects.now() + 1_500);
             }
         });
         if (!sent) {
-            requestsInProgress.remove(a.name());
-            retryAtMs.put(a.name(), effects.now() + 500);
+            requestsInProgress.remove(request.name());
+            retryAtMs.put(request.name(), effects.now() + 500);
         }
     }
 
-    private Map<String, Object> requestBody(RentalRequest a) {
+    private Map<String, Object> requestBody(RentalRequest request) {
         return Map.of(
                 Wire.REQUEST,
-                a.name(),
+                request.name(),
                 Wire.TYPE,
-                catalog.typeNames.name(a.type()),
+                catalog.typeNames.name(request.type()),
                 Wire.ZONE,
-                catalog.zones.name(a.zone()),
+                catalog.zones.name(request.zone()),
                 Wire.SPOT,
-                a.spot(),
+                request.spot(),
                 Wire.COUNT,
-                a.count());
+                request.count());
     }
 
-    private void recordOutcome(RentalRequest a, List<Object> hosts) {
+    private void recordOutcome(RentalRequest request, List<Object> hosts) {
         store.enqueue(new FunctionChange(
                 3,
                 1,
                 tx -> {
-                    String key = Keys.RENTAL_REQUEST + a.name();
+                    String key = Keys.RENTAL_REQUEST + request.name();
                     if (view.row(key) == null) {
                         return false;
                     }
                     if (hosts.isEmpty()) {
                         tx.remove(key);
                     } else {
-                        tx.put(key, requestRow(a, hosts));
+                        tx.put(key, requestRow(request, hosts));
                     }
                     return true;
                 },
-                ok -> requestsInProgress.remove(a.name())));
+                ok -> requestsInProgress.remove(request.name())));
     }
 
-    private Map<String, Object> requestRow(RentalRequest a, List<Object> hosts) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("y", catalog.typeNames.name(a.type()));
-        m.put("z", catalog.zones.name(a.zone()));
-        m.put("s", a.spot());
-        m.put("n", a.count());
-        m.put("t", a.requestedAtMs());
+    private Map<String, Object> requestRow(RentalRequest request, List<Object> hosts) {
+        Map<String, Object> row = new LinkedHashMap<>();
+        row.put("y", catalog.typeNames.name(request.type()));
+        row.put("z", catalog.zones.name(request.zone()));
+        row.put("s", request.spot());
+        row.put("n", request.count());
+        row.put("t", request.requestedAtMs());
         if (hosts != null) {
-            m.put("h", hosts);
+            row.put("h", hosts);
         }
-        return m;
+        return row;
     }
 
-    /** Buys for what found no room, neither now nor soon. */
-    private void requestMachines(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        refusedUntilMs.values().removeIf(until -> now > until);
-        for (RentalRequest a : rentalRequests()) {
-            if (a.hosts() == null) {
+    /** Requests machines for tasks that fit neither in free capacity nor in capacity expected soon. */
+    private void requestMachines(Planner.Plan plan, Map<String, MachineStatus> statuses, long nowMs) {
+        refusedUntilMs.values().removeIf(untilMs -> nowMs > untilMs);
+        for (RentalRequest request : rentalRequests()) {
+            if (request.hosts() == null) {
                 return;
             }
         }
         Map<MachineKind, Integer> wanted = new LinkedHashMap<>();
-        List<double[]> room = new ArrayList<>();
+        List<double[]> freeCapacity = new ArrayList<>();
         List<MachineKind> kinds = new ArrayList<>();
-        int[] perZone = new int[catalog.zones.size()];
-        pictures.values().forEach(p -> {
-            if (p.zone() >= 0) {
-                perZone[p.zone()]++;
+        int[] machinesByZone = new int[catalog.zones.size()];
+        statuses.values().forEach(status -> {
+            if (status.zone() >= 0) {
+                machinesByZone[status.zone()]++;
             }
         });
-        int opened = 0;
-        int expected = tasksToRestore.getAsInt();
-        for (Planner.UnplacedTasks u : plan.rentalDemand(effects.wallTime())) {
-            JobSpec s = u.job().spec;
-            Map<Integer, Integer> zones = tasksByZone(u.job());
-            RentalPolicy.RentalLimit may = rentalPolicy.limitFor(u.job(), u.taskCount(), effects.wallTime());
-            int spared = Math.min(may.tasks(), expected);
-            expected -= spared;
-            for (int n = spared; n < Math.min(may.tasks(), 400); n++) {
-                int at = -1;
-                for (int i = 0; i < room.size() && at < 0; i++) {
-                    double[] r = room.get(i);
-                    MachineKind k = kinds.get(i);
-                    if (s.allowsZone(zones, k.zone)
-                            && s.allowsType(k.type)
-                            && (!k.spot || s.allowsSpot())
-                            && r[0] >= s.cpus() - Catalog.EPSILON
-                            && r[1] >= s.gpus() - Catalog.EPSILON
-                            && r[2] >= s.memoryGb() - Catalog.EPSILON) {
-                        at = i;
+        int newMachines = 0;
+        int expectedRestores = tasksToRestore.getAsInt();
+        for (Planner.UnplacedTasks unplaced : plan.rentalDemand(effects.wallTime())) {
+            JobSpec spec = unplaced.job().spec;
+            Map<Integer, Integer> zones = tasksByZone(unplaced.job());
+            RentalPolicy.RentalLimit limit =
+                    rentalPolicy.limitFor(unplaced.job(), unplaced.taskCount(), effects.wallTime());
+            int restored = Math.min(limit.tasks(), expectedRestores);
+            expectedRestores -= restored;
+            for (int task = restored; task < Math.min(limit.tasks(), 400); task++) {
+                int machineIndex = -1;
+                for (int i = 0; i < freeCapacity.size() && machineIndex < 0; i++) {
+                    double[] free = freeCapacity.get(i);
+                    MachineKind kind = kinds.get(i);
+                    if (spec.allowsZone(zones, kind.zone)
+                            && spec.allowsType(kind.type)
+                            && (!kind.spot || spec.allowsSpot())
+                            && free[0] >= spec.cpus() - Catalog.EPSILON
+                            && free[1] >= spec.gpus() - Catalog.EPSILON
+                            && free[2] >= spec.memoryGb() - Catalog.EPSILON) {
+                        machineIndex = i;
                     }
                 }
-                if (at < 0) {
-                    MachineKind k = cheapestKind(s, zones, perZone, may.spotOnly());
-                    if (k == null || opened >= 100) {
+                if (machineIndex < 0) {
+                    MachineKind kind = cheapestKind(spec, zones, machinesByZone, limit.spotOnly());
+                    if (kind == null || newMachines >= 100) {
                         break;
                     }
-                    Catalog.MachineType t = catalog.type(k.type);
-                    room.add(new double[] {t.cpus(), t.gpus(), t.memoryGb()});
-                    kinds.add(k);
-                    wanted.merge(k, 1, Integer::sum);
-                    perZone[k.zone]++;
-                    opened++;
-                    at = room.size() - 1;
+                    Catalog.MachineType type = catalog.type(kind.type);
+                    freeCapacity.add(new double[] {type.cpus(), type.gpus(), type.memoryGb()});
+                    kinds.add(kind);
+                    wanted.merge(kind, 1, Integer::sum);
+                    machinesByZone[kind.zone]++;
+                    newMachines++;
+                    machineIndex = freeCapacity.size() - 1;
                 }
-                zones.merge(kinds.get(at).zone, 1, Integer::sum);
-                double[] r = room.get(at);
-                r[0] -= s.cpus();
-                r[1] -= s.gpus();
-                r[2] -= s.memoryGb();
+                zones.merge(kinds.get(machineIndex).zone, 1, Integer::sum);
+                double[] free = freeCapacity.get(machineIndex);
+                free[0] -= spec.cpus();
+                free[1] -= spec.gpus();
+                free[2] -= spec.memoryGb();
             }
         }
         if (!wanted.isEmpty()) {
-            reserve(wanted);
+            recordRequests(wanted);
         }
     }
 
     /**
-     * Where a job's tasks have places. Without it, one machine after the other was rented in a zone that the job's zone rule kept the
-     * waiting task from.
+     * Counts the placed tasks of a job by zone. Without it, one machine after the other was rented in a zone that the
+     * job's zone rule closed to the waiting task.
      */
     private Map<Integer, Integer> tasksByZone(Job job) {
         return Planner.tasksByZone(job, membership::zoneOf, job.chunks::get, claim -> !job.isPlaced(claim.task()));
     }
 
-    /** The cheapest kind of machine per task that is not known to be sold out; among equals the emptiest zone. */
-    private MachineKind cheapestKind(JobSpec s, Map<Integer, Integer> tasksByZone, int[] perZone, boolean spotOnly) {
-        MachineKind best = null;
-        double bestPrice = Double.MAX_VALUE;
-        for (Catalog.MachineType t : catalog.types()) {
-            if (!s.allowsType(t.index()) || !t.fits(s)) {
+    /**
+     * Returns the kind of machine with the lowest price per task that the cloud has not refused lately, or null; at
+     * equal prices the one in the zone with the fewest machines.
+     */
+    private MachineKind cheapestKind(
+            JobSpec spec, Map<Integer, Integer> tasksByZone, int[] machinesByZone, boolean spotOnly) {
+        MachineKind cheapest = null;
+        double lowestPrice = Double.MAX_VALUE;
+        for (Catalog.MachineType type : catalog.types()) {
+            if (!spec.allowsType(type.index()) || !type.fits(spec)) {
                 continue;
             }
-            double fit = t.cpus() / Math.max(1e-9, s.cpus());
-            fit = s.gpus() > 0 ? Math.min(fit, t.gpus() / s.gpus()) : fit;
-            fit = Math.max(1, Math.floor(s.memoryGb() > 0 ? Math.min(fit, t.memoryGb() / s.memoryGb()) : fit));
-            for (int zone : t.zones()) {
-                if (!s.allowsZone(tasksByZone, zone)) {
+            double tasksPerMachine = type.cpus() / Math.max(1e-9, spec.cpus());
+            tasksPerMachine = spec.gpus() > 0 ? Math.min(tasksPerMachine, type.gpus() / spec.gpus()) : tasksPerMachine;
+            tasksPerMachine = Math.max(
+                    1,
+                    Math.floor(
+                            spec.memoryGb() > 0
+                                    ? Math.min(tasksPerMachine, type.memoryGb() / spec.memoryGb())
+                                    : tasksPerMachine));
+            for (int zone : type.zones()) {
+                if (!spec.allowsZone(tasksByZone, zone)) {
                     continue;
                 }
-                for (int spot = s.allowsSpot() ? 1 : 0; spot >= (spotOnly ? 1 : 0); spot--) {
-                    MachineKind k = new MachineKind(t.index(), zone, spot == 1);
-                    if (refusedUntilMs.containsKey(k)) {
+                for (int spot = spec.allowsSpot() ? 1 : 0; spot >= (spotOnly ? 1 : 0); spot--) {
+                    MachineKind kind = new MachineKind(type.index(), zone, spot == 1);
+                    if (refusedUntilMs.containsKey(kind)) {
                         continue;
                     }
-                    // What mostly does not come up is tried less, and tried again: a few that come make up for it.
-                    double price = (k.spot ? t.spotPricePerHour() * 1.1 : t.pricePerHour())
-                                    / fit
+                    // Kinds whose machines rarely come up are requested less, but not abandoned: a few that come up
+                    // restore the share.
+                    double price = (kind.spot ? type.spotPricePerHour() * 1.1 : type.pricePerHour())
+                                    / tasksPerMachine
                                     / Math.max(
                                             MIN_BOOTED_SHARE,
-                                            bootStatistics.bootedShare(kindIndex(k.type, k.zone, k.spot)))
-                            + perZone[zone] * 1e-4;
-                    if (price < bestPrice) {
-                        bestPrice = price;
-                        best = k;
+                                            bootStatistics.bootedShare(kindIndex(kind.type, kind.zone, kind.spot)))
+                            + machinesByZone[zone] * 1e-4;
+                    if (price < lowestPrice) {
+                        lowestPrice = price;
+                        cheapest = kind;
                     }
                 }
             }
         }
-        return best;
+        return cheapest;
     }
 
-    /** Records the request names before any of them is used. */
-    private void reserve(Map<MachineKind, Integer> wanted) {
+    /** Writes the rows of new rental requests, so that their names are recorded before any of them is used. */
+    private void recordRequests(Map<MachineKind, Integer> wanted) {
         recordingRequests = true;
-        long at = effects.wallTime();
-        int max = Math.max(1, settings.txnOps() - 1);
-        long[] first = {-1};
+        long requestedAtMs = effects.wallTime();
+        int maxRequests = Math.max(1, settings.txnOps() - 1);
+        long[] firstNumber = {-1};
         store.enqueue(new FunctionChange(
                 3,
                 Math.min(settings.txnOps(), wanted.size() + 1),
@@ -654,24 +727,30 @@
                         return false;
                     }
                     tx.requireUnchanged(Keys.MEMBER_LEASE + membership.memberName(0));
-                    long next = Fields.countOr(view.row(Keys.AUTOSCALER), "n", 1);
-                    first[0] = first[0] < 0 ? next : first[0];
-                    if (next != first[0]) {
-                        // Carried out, and only the answer was lost: worked out again, it named and rented all of it a
-                        // second time.
+                    long nextNumber = Fields.countOr(view.row(Keys.AUTOSCALER), "n", 1);
+                    firstNumber[0] = firstNumber[0] < 0 ? nextNumber : firstNumber[0];
+                    if (nextNumber != firstNumber[0]) {
+                        // An earlier attempt was applied and only its response was lost. Built again, the change
+                        // would record and rent everything a second time.
                         return false;
                     }
-                    int used = 0;
-                    for (Map.Entry<MachineKind, Integer> e : wanted.entrySet()) {
-                        if (used++ >= max) {
+                    int recorded = 0;
+                    for (Map.Entry<MachineKind, Integer> entry : wanted.entrySet()) {
+                        if (recorded++ >= maxRequests) {
                             break;
                         }
-                        MachineKind k = e.getKey();
-                        RentalRequest a = new RentalRequest(
-                                "r-" + next++, k.type, k.zone, k.spot, Math.min(50, e.getValue()), at, null);
-                        tx.put(Keys.RENTAL_REQUEST + a.name(), requestRow(a, null));
+                        MachineKind kind = entry.getKey();
+                        RentalRequest request = new RentalRequest(
+                                "r-" + nextNumber++,
+                                kind.type,
+                                kind.zone,
+                                kind.spot,
+                                Math.min(50, entry.getValue()),
+                                requestedAtMs,
+                                null);
+                        tx.put(Keys.RENTAL_REQUEST + request.name(), requestRow(request, null));
                     }
-                    tx.put(Keys.AUTOSCALER, autoscalerRow(next));
+                    tx.put(Keys.AUTOSCALER, autoscalerRow(nextNumber));
                     return true;
                 },
                 ok -> recordingRequests = false));
@@ -679,88 +758,96 @@
 
     // ---- returns
 
-    private void returnMachines(Map<String, MachineStatus> pictures, long now) {
-        returnPendingUntilMs.values().removeIf(until -> now > until);
-        reserve.refresh(pictures, now);
-        Set<Integer> unheard = mostlySilentShards(pictures);
-        for (MachineStatus p : pictures.values()) {
-            if (deleting.contains(p.machine())
-                    || recentlyDeleted.containsKey(p.machine())
-                    || returnPendingUntilMs.containsKey(p.machine())) {
+    private void returnMachines(Map<String, MachineStatus> statuses, long nowMs) {
+        returnPendingUntilMs.values().removeIf(untilMs -> nowMs > untilMs);
+        gangReserve.refresh(statuses, nowMs);
+        Set<Integer> silentShards = mostlySilentShards(statuses);
+        for (MachineStatus status : statuses.values()) {
+            if (deleting.contains(status.machine())
+                    || recentlyDeleted.containsKey(status.machine())
+                    || returnPendingUntilMs.containsKey(status.machine())) {
                 continue;
             }
-            boolean idle = !reserve.keeps(p.machine())
-                    && p.idleSinceMs() >= 0
-                    && now - p.idleSinceMs() > idleTimeoutMs(p)
-                    && view.claims(p.machine()).isEmpty();
-            // Cut off ourselves, we would delete machines that are well: others hear them.
-            boolean silent = store.healthy() && isSilentTooLong(p) && !unheard.contains(p.shard());
+            boolean idle = !gangReserve.keeps(status.machine())
+                    && status.idleSinceMs() >= 0
+                    && nowMs - status.idleSinceMs() > idleTimeoutMs(status)
+                    && view.claims(status.machine()).isEmpty();
+            // A controller that is cut off itself would delete healthy machines that report to other controllers.
+            boolean silent = store.healthy() && isSilentTooLong(status) && !silentShards.contains(status.shard());
             if (silent) {
-                LOG.info("machine {} silent for {} ms, deleted to free its tasks", p.machine(), p.silentMs());
-                queueDeletion(p.machine());
+                LOG.info("machine {} silent for {} ms, deleted to free its tasks", status.machine(), status.silentMs());
+                queueDeletion(status.machine());
             } else if (idle
-                    || p.faulty()
-                    || p.beingReturned() && view.claims(p.machine()).isEmpty()) {
-                returnPendingUntilMs.put(p.machine(), now + 5_000);
-                requestReturn.accept(p.machine(), false);
+                    || status.faulty()
+                    || status.beingReturned() && view.claims(status.machine()).isEmpty()) {
+                returnPendingUntilMs.put(status.machine(), nowMs + 5_000);
+                requestReturn.accept(status.machine(), false);
             }
         }
     }
 
     /**
-     * How long an idle machine is kept: what it would take to have one like it again, which is booting and fetching what
-     * the present jobs need.
+     * Returns how long an idle machine is kept, in ms: about what it would take to get one like it again, which is
+     * booting it and fetching what the present jobs need.
      */
-    private double idleTimeoutMs(MachineStatus p) {
-        Catalog.MachineType t = catalog.type(p.type());
-        if (t == null) {
+    private double idleTimeoutMs(MachineStatus status) {
+        Catalog.MachineType type = catalog.type(status.type());
+        if (type == null) {
             return 60_000;
         }
-        double fetch = meanImageGb / t.fetchGbPerS();
-        // Waiting is dear on dear machines: cheap ones stay longer, dear ones go sooner.
-        double cheapness = t.spotPricePerHour() > 0 ? Math.sqrt(t.pricePerHour() / t.spotPricePerHour()) : 1;
-        return 1000 * (lingerBoots * t.bootS() + lingerFetches * fetch) * (p.spot() ? cheapness : 1 / cheapness);
+        double fetchS = meanImageGb / type.fetchGbPerS();
+        // Idle time costs more on expensive machines: cheap ones (spot) are kept longer, expensive ones are returned
+        // sooner.
+        double cheapness = type.spotPricePerHour() > 0 ? Math.sqrt(type.pricePerHour() / type.spotPricePerHour()) : 1;
+        return 1000
+                * (lingerBoots * type.bootS() + lingerFetches * fetchS)
+                * (status.spot() ? cheapness : 1 / cheapness);
     }
 
     /**
-     * Shards most of whose machines fell silent: that is mostly their owner's link or their zone's, and they are well. Without this, a
-     * buyer that its own workers could not reach deleted two dozen of them a second before somebody took them over.
+     * Returns the shards of which most machines are silent. The usual cause is a network fault of their owner or of
+     * their zone, and the machines are healthy. Without this check, an autoscaler that its own workers could not
+     * reach deleted two dozen of them one second before another controller took them over.
      */
-    private static Set<Integer> mostlySilentShards(Map<String, MachineStatus> pictures) {
+    private static Set<Integer> mostlySilentShards(Map<String, MachineStatus> statuses) {
         Map<Integer, int[]> counts = new HashMap<>();
-        for (MachineStatus p : pictures.values()) {
-            int[] c = counts.computeIfAbsent(p.shard(), k -> new int[2]);
-            c[0]++;
-            c[1] += p.silentMs() > 0 ? 1 : 0;
-        }
-        Set<Integer> l = new HashSet<>();
-        counts.forEach((shard, c) -> {
-            if (c[1] >= MIN_SILENT_FOR_SHARD_FAULT && 2 * c[1] > c[0]) {
-                l.add(shard);
+        for (MachineStatus status : statuses.values()) {
+            int[] shardCounts = counts.computeIfAbsent(status.shard(), key -> new int[2]);
+            shardCounts[0]++;
+            shardCounts[1] += status.silentMs() > 0 ? 1 : 0;
+        }
+        Set<Integer> silentShards = new HashSet<>();
+        counts.forEach((shard, shardCounts) -> {
+            if (shardCounts[1] >= MIN_SILENT_FOR_SHARD_FAULT && 2 * shardCounts[1] > shardCounts[0]) {
+                silentShards.add(shard);
             }
         });
-        return l;
+        return silentShards;
     }
 
-    /** A machine that says nothing is mostly lost; deleting it is the quickest proof that its tasks are gone. */
-    private boolean isSilentTooLong(MachineStatus p) {
-        double s = p.silentMs() / 1000.0;
-        double bound = p.spot() ? settings.reportS() * silentSpotReports : settings.leaseS() * silentLeaseShare;
-        return s > bound && !view.claims(p.machine()).isEmpty();
+    /**
+     * Whether a machine with claims has been silent for so long that it is deleted. Such a machine is usually lost,
+     * and deleting it is the quickest proof that its tasks are gone.
+     */
+    private boolean isSilentTooLong(MachineStatus status) {
+        double silentS = status.silentMs() / 1000.0;
+        double limitS = status.spot() ? settings.reportS() * silentSpotReports : settings.leaseS() * silentLeaseShare;
+        return silentS > limitS && !view.claims(status.machine()).isEmpty();
     }
 
-    /** The owner's answer to a wish to return a machine. */
+    /** Handles the owner's answer to a request to return a machine. */
     public void onReturnReply(String machine, boolean agreed) {
         if (agreed && isActive()) {
             LOG.info("machine {} is returned", machine);
-            MachineStatus p = lastStatuses.get(machine);
-            if (p != null) {
-                orders.recordReturn(kindIndex(p.type(), p.zone(), p.spot()), effects.now());
+            MachineStatus status = lastStatuses.get(machine);
+            if (status != null) {
+                actionCounters.recordReturn(kindIndex(status.type(), status.zone(), status.spot()), effects.now());
             }
             queueDeletion(machine);
         }
     }
 
+    /** Returns the number under which boot times and rentals of a kind of machine are counted. */
     private int kindIndex(int type, int zone, boolean spot) {
         return (type * catalog.zones.size() + zone) * 2 + (spot ? 1 : 0);
     }
@@ -775,29 +862,32 @@
         if (deletionQueue.isEmpty()) {
             return;
         }
-        List<String> names = new ArrayList<>(deletionQueue.subList(0, Math.min(100, deletionQueue.size())));
-        boolean sent = cloud.call("POST", Wire.RENTALS_DELETE, Map.of(Wire.MACHINES, names), (status, m) -> {
+        List<String> machines = new ArrayList<>(deletionQueue.subList(0, Math.min(100, deletionQueue.size())));
+        boolean sent = cloud.call("POST", Wire.RENTALS_DELETE, Map.of(Wire.MACHINES, machines), (status, reply) -> {
             if (status == 200) {
-                counters.returns += names.size();
-                for (String n : names) {
-                    recentlyDeleted.put(n, effects.now());
-                    deleting.remove(n);
-                    onDeleted.accept(n);
+                counters.returns += machines.size();
+                for (String machine : machines) {
+                    recentlyDeleted.put(machine, effects.now());
+                    deleting.remove(machine);
+                    onDeleted.accept(machine);
                 }
             } else {
-                names.forEach(n -> {
-                    if (!deletionQueue.contains(n)) {
-                        deletionQueue.add(n);
+                machines.forEach(machine -> {
+                    if (!deletionQueue.contains(machine)) {
+                        deletionQueue.add(machine);
                     }
                 });
             }
         });
         if (sent) {
-            deletionQueue.removeAll(names);
+            deletionQueue.removeAll(machines);
         }
     }
 
-    /** A change made of two functions. */
+    /**
+     * A {@link Change} made of two functions: one builds the transaction, the other receives whether it was
+     * committed.
+     */
     private record FunctionChange(
             int rank, int maxWrites, java.util.function.Predicate<Transaction> builder, Consumer<Boolean> onFinished)
             implements Change {
--- a/src/main/java/birchusher/fleet/BootStatistics.java
+++ b/src/main/java/birchusher/fleet/BootStatistics.java
@@ -8,14 +8,16 @@
 import java.util.Set;
 
 /**
- * How machines of each kind have come up lately, as parts of their type's stated boot time. Room on a machine that boots counts by
- * when it is likely to come; one that is later than nearly all others of its kind is not waited for, though it is used if it comes.
- * Without this, work waited three boot times for machines that never came, as their room stood in every plan.
+ * Recent boot times of each kind of machine (a type in a zone, spot or not), as multiples of the boot time that the
+ * type states. The planner counts capacity on a booting machine from the time at which it is likely to come up. A
+ * machine that is later than nearly all others of its kind is no longer planned with, though it is used if it comes
+ * up. Without this, tasks waited three boot times for machines that never came up, as every plan contained their
+ * capacity.
  */
 final class BootStatistics {
     private static final int MAX_SAMPLES_PER_KIND = 24;
     private static final int MIN_SAMPLES = 4;
-    /** By the protocol most machines are up by then. */
+    /** In boot times; by the cloud's protocol most machines are up by then. */
     private static final double DEFAULT_OVERDUE_BOOTS = 1.5;
 
     private static final double NEVER_BOOTED = -1;
@@ -23,11 +25,12 @@
 
     private final double giveUpBoots;
     private final Map<Integer, ArrayDeque<Double>> bootRatios = new HashMap<>();
-    /** Machines counted already. */
+    /** Machines that have given their sample, oldest first. */
     private final Set<String> countedMachines = new LinkedHashSet<>();
 
-    BootStatistics(double giveUp) {
-        this.giveUpBoots = giveUp;
+    /** @param giveUpBoots boot times after which a machine is deleted, the upper bound of {@link #overdueBoots} */
+    BootStatistics(double giveUpBoots) {
+        this.giveUpBoots = giveUpBoots;
     }
 
     private boolean markCounted(String machine) {
@@ -38,55 +41,69 @@
     }
 
     private void addSample(int kind, double ratio) {
-        ArrayDeque<Double> l = bootRatios.computeIfAbsent(kind, k -> new ArrayDeque<>());
-        l.addLast(ratio);
-        if (l.size() > MAX_SAMPLES_PER_KIND) {
-            l.removeFirst();
+        ArrayDeque<Double> samples = bootRatios.computeIfAbsent(kind, key -> new ArrayDeque<>());
+        samples.addLast(ratio);
+        if (samples.size() > MAX_SAMPLES_PER_KIND) {
+            samples.removeFirst();
         }
     }
 
+    /** Records that a machine came up after {@code ageS}; only the first record of a machine counts. */
     void recordBooted(int kind, String machine, double ageS, double bootS) {
         if (markCounted(machine)) {
             addSample(kind, ageS / Math.max(1e-3, bootS));
         }
     }
 
+    /** Records that a machine was given up; only the first record of a machine counts. */
     void recordNeverBooted(int kind, String machine) {
         if (markCounted(machine)) {
             addSample(kind, NEVER_BOOTED);
         }
     }
 
-    /** The ratios of those that came up, in order. */
+    /** Returns the boot ratios of the machines that came up, in ascending order. */
     private double[] bootedRatios(int kind) {
-        ArrayDeque<Double> l = bootRatios.get(kind);
-        return l == null
+        ArrayDeque<Double> samples = bootRatios.get(kind);
+        return samples == null
                 ? new double[0]
-                : l.stream().mapToDouble(d -> d).filter(d -> d >= 0).sorted().toArray();
+                : samples.stream()
+                        .mapToDouble(sample -> sample)
+                        .filter(sample -> sample >= 0)
+                        .sorted()
+                        .toArray();
     }
 
-    /** Which part of a kind's machines came up at all; 1 as long as few were seen. */
+    /** Returns the share of a kind's machines that came up at all; 1 as long as there are too few samples. */
     double bootedShare(int kind) {
-        ArrayDeque<Double> l = bootRatios.get(kind);
-        return l == null || l.size() < MIN_SAMPLES ? 1 : bootedRatios(kind).length / (double) l.size();
+        ArrayDeque<Double> samples = bootRatios.get(kind);
+        return samples == null || samples.size() < MIN_SAMPLES
+                ? 1
+                : bootedRatios(kind).length / (double) samples.size();
     }
 
-    /** After how many boot times a machine is no longer waited for. */
+    /** Returns after how many boot times a machine of this kind is overdue and no longer planned with. */
     double overdueBoots(int kind) {
-        double[] came = bootedRatios(kind);
-        double most = came.length < MIN_SAMPLES
+        double[] ratios = bootedRatios(kind);
+        double limit = ratios.length < MIN_SAMPLES
                 ? DEFAULT_OVERDUE_BOOTS
-                : Math.max(DEFAULT_OVERDUE_BOOTS, 1.1 * came[came.length - 1 - came.length / 10]);
-        return Math.min(giveUpBoots, most);
+                : Math.max(DEFAULT_OVERDUE_BOOTS, 1.1 * ratios[ratios.length - 1 - ratios.length / 10]);
+        return Math.min(giveUpBoots, limit);
     }
 
-    /** In how many s a machine that has been booting for so long should be up; the longer it is late, the less soon. */
+    /**
+     * Returns in how many seconds a machine that has been booting for {@code ageS} should be up, at least 1. The
+     * later it already is, the longer the estimate.
+     */
     double etaS(int kind, double ageS, double bootS) {
-        double[] came = bootedRatios(kind);
-        double typical = bootS
-                * (came.length < MIN_SAMPLES
+        double[] ratios = bootedRatios(kind);
+        double typicalS = bootS
+                * (ratios.length < MIN_SAMPLES
                         ? 1
-                        : Arrays.stream(came).skip(came.length / 2).findFirst().orElse(1));
-        return Math.max(1, Math.max(typical - ageS, 0.4 * (ageS - typical)));
+                        : Arrays.stream(ratios)
+                                .skip(ratios.length / 2)
+                                .findFirst()
+                                .orElse(1));
+        return Math.max(1, Math.max(typicalS - ageS, 0.4 * (ageS - typicalS)));
     }
 }
--- a/src/main/java/birchusher/fleet/Consolidation.java
+++ b/src/main/java/birchusher/fleet/Consolidation.java
@@ -20,7 +20,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Empties thinly used machines, so that they can be returned. */
+/** Drains sparsely used machines, so that they can be returned. */
 final class Consolidation {
     private static final Logger LOG = LoggerFactory.getLogger(Consolidation.class);
 
@@ -31,7 +31,7 @@
     private final Function<Map<String, MachineStatus>, List<Slot>> freeSlots;
     private final ToLongFunction<Claim> runningForMs;
     private final ToDoubleFunction<MachineStatus> idleTimeoutMs;
-    /** Machines whose replicas fit elsewhere, since when. */
+    /** Machines whose replicas all fit on other machines, with the time since which they do. */
     private final Map<String, Long> movableSinceMs = new HashMap<>();
 
     private long nextCheckMs;
@@ -40,117 +40,124 @@
             Catalog catalog,
             StoreView view,
             long moveAfterMs,
-            BiConsumer<String, Boolean> retire,
-            Function<Map<String, MachineStatus>, List<Slot>> free,
-            ToLongFunction<Claim> runningFor,
-            ToDoubleFunction<MachineStatus> linger) {
+            BiConsumer<String, Boolean> requestReturn,
+            Function<Map<String, MachineStatus>, List<Slot>> freeSlots,
+            ToLongFunction<Claim> runningForMs,
+            ToDoubleFunction<MachineStatus> idleTimeoutMs) {
         this.catalog = catalog;
         this.view = view;
         this.moveAfterMs = moveAfterMs;
-        this.requestReturn = retire;
-        this.freeSlots = free;
-        this.runningForMs = runningFor;
-        this.idleTimeoutMs = linger;
+        this.requestReturn = requestReturn;
+        this.freeSlots = freeSlots;
+        this.runningForMs = runningForMs;
+        this.idleTimeoutMs = idleTimeoutMs;
     }
 
     /**
-     * Replicas spread thinly keep whole machines rented. One whose few replicas all find room and their images elsewhere,
-     * and have for a while, is emptied; a move costs a replica about a second.
+     * Looks every 2 s for machines to drain. Replicas that are spread thinly keep whole machines rented. A machine is
+     * drained if all of its few replicas have for a while found capacity and their images on other machines. A move
+     * costs a replica about one second.
      */
-    void tick(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        if (now < nextCheckMs) {
+    void tick(Planner.Plan plan, Map<String, MachineStatus> statuses, long nowMs) {
+        if (nowMs < nextCheckMs) {
             return;
         }
-        nextCheckMs = now + 2_000;
+        nextCheckMs = nowMs + 2_000;
         if (!plan.unplaced().isEmpty()) {
-            // Room is short: whatever is free is wanted, but what was thinly used before still is.
+            // Capacity is short and all that is free is needed, but machines that were sparsely used before still
+            // are: their times stay.
             return;
         }
-        List<Slot> slots = freeSlots.apply(pictures);
-        slots.removeIf(s -> view.claims(s.machine()).isEmpty());
-        // The fullest first, so that what moves does not keep another thinly used machine.
+        List<Slot> slots = freeSlots.apply(statuses);
+        slots.removeIf(slot -> view.claims(slot.machine()).isEmpty());
+        // The fullest machines first, so that moved replicas do not keep another sparsely used machine rented.
         slots.sort(Comparator.comparingDouble(Slot::freeShare));
-        List<MachineStatus> ripe = new ArrayList<>();
-        int leaving = 0;
-        for (MachineStatus p : pictures.values()) {
-            leaving += p.beingReturned() ? 1 : 0;
-            if (p.beingReturned()
-                    || !p.usable()
-                    || catalog.type(p.type()) == null
-                    || !runsOnlyMovableReplicas(p)
-                    || !fitsElsewhere(p, slots, false)) {
-                movableSinceMs.remove(p.machine());
-            } else if (now - movableSinceMs.computeIfAbsent(p.machine(), k -> now)
-                    > Math.max(moveAfterMs, idleTimeoutMs.applyAsDouble(p))) {
-                ripe.add(p);
+        List<MachineStatus> candidates = new ArrayList<>();
+        int beingReturnedCount = 0;
+        for (MachineStatus status : statuses.values()) {
+            beingReturnedCount += status.beingReturned() ? 1 : 0;
+            if (status.beingReturned()
+                    || !status.usable()
+                    || catalog.type(status.type()) == null
+                    || !runsOnlyMovableReplicas(status)
+                    || !fitsElsewhere(status, slots, false)) {
+                movableSinceMs.remove(status.machine());
+            } else if (nowMs - movableSinceMs.computeIfAbsent(status.machine(), key -> nowMs)
+                    > Math.max(moveAfterMs, idleTimeoutMs.applyAsDouble(status))) {
+                candidates.add(status);
             }
         }
-        movableSinceMs.keySet().retainAll(pictures.keySet());
-        ripe.sort(Comparator.comparingDouble(this::savingPerReplica).reversed());
-        for (MachineStatus p : ripe) {
-            // A few at once in a large fleet; each machine's replicas still move one after the other.
-            if (leaving >= 1 + pictures.size() / 50) {
+        movableSinceMs.keySet().retainAll(statuses.keySet());
+        candidates.sort(Comparator.comparingDouble(this::savingPerReplica).reversed());
+        for (MachineStatus status : candidates) {
+            // In a large fleet, several machines are drained at once; the replicas of each machine still move one
+            // after the other.
+            if (beingReturnedCount >= 1 + statuses.size() / 50) {
                 return;
             }
-            if (fitsElsewhere(p, slots, true)) {
-                leaving++;
-                movableSinceMs.remove(p.machine());
+            if (fitsElsewhere(status, slots, true)) {
+                beingReturnedCount++;
+                movableSinceMs.remove(status.machine());
                 LOG.info(
-                        "machine {} is emptied, its {} replicas fit elsewhere",
-                        p.machine(),
-                        view.claims(p.machine()).size());
-                requestReturn.accept(p.machine(), true);
+                        "draining machine {}, its {} replicas fit on other machines",
+                        status.machine(),
+                        view.claims(status.machine()).size());
+                requestReturn.accept(status.machine(), true);
             }
         }
     }
 
-    /** What returning a machine saves, for each replica that has to move. */
-    private double savingPerReplica(MachineStatus p) {
-        Catalog.MachineType t = catalog.type(p.type());
-        return (p.spot() ? t.spotPricePerHour() : t.pricePerHour())
-                / Math.max(1, view.claims(p.machine()).size());
+    /** Returns the price that returning a machine saves, divided by the number of replicas that have to move. */
+    private double savingPerReplica(MachineStatus status) {
+        Catalog.MachineType type = catalog.type(status.type());
+        return (status.spot() ? type.spotPricePerHour() : type.pricePerHour())
+                / Math.max(1, view.claims(status.machine()).size());
     }
 
-    /** Whether nothing but replicas runs there, each for long enough to be moved. */
-    private boolean runsOnlyMovableReplicas(MachineStatus p) {
-        for (Claim c : view.claims(p.machine()).values()) {
-            if (!c.job().spec.isService() || runningForMs.applyAsLong(c) < moveAfterMs) {
+    /** Whether a machine has claims, all of them of service replicas that have run for long enough to be moved. */
+    private boolean runsOnlyMovableReplicas(MachineStatus status) {
+        for (Claim claim : view.claims(status.machine()).values()) {
+            if (!claim.job().spec.isService() || runningForMs.applyAsLong(claim) < moveAfterMs) {
                 return false;
             }
         }
-        return !view.claims(p.machine()).isEmpty();
+        return !view.claims(status.machine()).isEmpty();
     }
 
-    /** Whether a machine's replicas find room and image elsewhere; if so, and asked to, that room is taken for them. */
-    private boolean fitsElsewhere(MachineStatus p, List<Slot> slots, boolean take) {
-        Map<Slot, Slot.Snapshot> tried = new LinkedHashMap<>();
-        boolean all = true;
-        for (Claim c : view.claims(p.machine()).values()) {
-            JobSpec j = c.job().spec;
-            // A job spread over zones stays in its zone, so that its rule still holds after the move.
-            Slot to = null;
-            for (Slot s : slots) {
-                if (s.fits(j)
-                        && s.allows(j)
-                        && s.startDelayMs(j) <= 0
-                        && (s.zone() == p.zone() || j.tasks() == 1)
-                        && !s.machine().equals(p.machine())) {
-                    to = s;
+    /**
+     * Whether all replicas of a machine find capacity and their images on other machines. If so and {@code take} is
+     * set, that capacity is taken from {@code slots}, and the machine's own slots are removed; else {@code slots}
+     * stays as it was.
+     */
+    private boolean fitsElsewhere(MachineStatus status, List<Slot> slots, boolean take) {
+        Map<Slot, Slot.Snapshot> snapshots = new LinkedHashMap<>();
+        boolean allFit = true;
+        for (Claim claim : view.claims(status.machine()).values()) {
+            JobSpec spec = claim.job().spec;
+            // A job spread over zones stays in its zone, so that its zone rule still holds after the move.
+            Slot target = null;
+            for (Slot slot : slots) {
+                if (slot.fits(spec)
+                        && slot.allows(spec)
+                        && slot.startDelayMs(spec) <= 0
+                        && (slot.zone() == status.zone() || spec.tasks() == 1)
+                        && !slot.machine().equals(status.machine())) {
+                    target = slot;
                     break;
                 }
             }
-            if (to == null) {
-                all = false;
+            if (target == null) {
+                allFit = false;
                 break;
             }
-            tried.putIfAbsent(to, to.snapshot());
-            to.allocate(j);
+            snapshots.putIfAbsent(target, target.snapshot());
+            target.allocate(spec);
         }
-        if (all && take) {
-            slots.removeIf(s -> s.machine().equals(p.machine()));
+        if (allFit && take) {
+            slots.removeIf(slot -> slot.machine().equals(status.machine()));
         } else {
-            tried.forEach(Slot::restore);
+            snapshots.forEach(Slot::restore);
         }
-        return all;
+        return allFit;
     }
 }
--- a/src/main/java/birchusher/fleet/GangReserve.java
+++ b/src/main/java/birchusher/fleet/GangReserve.java
@@ -17,9 +17,10 @@
 import java.util.Set;
 
 /**
- * Which idle machines are kept although nothing needs them now: gangs of several tasks that are to start sooner than a machine
- * boots need them all at once. As many places as such gangs lately took in one boot time, and one gang more; places of work that
- * yields count, so nothing is kept while the fleet is busy. Nothing is bought for this.
+ * Keeps idle machines, although no task needs them at present, for gangs of several tasks that are to start sooner
+ * than a machine boots: such gangs need all their machines at once. The reserve has capacity for as many tasks as
+ * such gangs lately had in one boot time, plus one more gang. Capacity taken by tasks that yield to the gang counts,
+ * so nothing is kept while the fleet is busy. No machine is rented for the reserve.
  */
 final class GangReserve {
     private static final long ARRIVAL_WINDOW_MS = 300_000;
@@ -30,7 +31,7 @@
 
     private final Catalog catalog;
     private final StoreView view;
-    /** Per class the shortest time within which its jobs are to start. */
+    /** The shortest time in seconds within which jobs of a class are to start, by class. */
     private final Int2DoubleOpenHashMap startWithinS = new Int2DoubleOpenHashMap();
 
     private final Map<String, RecentGang> recentGangs = new LinkedHashMap<>();
@@ -40,107 +41,112 @@
     GangReserve(Catalog catalog, StoreView view, List<Settings.Objective> objectives) {
         this.catalog = catalog;
         this.view = view;
-        for (Settings.Objective o : objectives) {
-            if (o.cls() != null && o.kind().equals("wait")) {
-                startWithinS.mergeDouble(catalog.classes.add(o.cls()), o.withinS(), Math::min);
+        for (Settings.Objective objective : objectives) {
+            if (objective.cls() != null && objective.kind().equals("wait")) {
+                startWithinS.mergeDouble(catalog.classes.add(objective.cls()), objective.withinS(), Math::min);
             }
         }
     }
 
+    /** Whether the machine is to be kept though it is idle. */
     boolean keeps(String machine) {
         return keptMachines.contains(machine);
     }
 
-    void refresh(Map<String, MachineStatus> pictures, long now) {
-        if (now < nextRefreshMs) {
+    /** Determines anew which machines are kept, at most once per {@link #REFRESH_INTERVAL_MS}. */
+    void refresh(Map<String, MachineStatus> statuses, long nowMs) {
+        if (nowMs < nextRefreshMs) {
             return;
         }
-        nextRefreshMs = now + REFRESH_INTERVAL_MS;
-        recentGangs.values().removeIf(s -> now - s.seenAtMs > ARRIVAL_WINDOW_MS);
-        for (Job j : view.jobs()) {
-            if (j.spec.isMultiTaskGang()
-                    && startWithinS.containsKey(j.spec.jobClass())
+        nextRefreshMs = nowMs + REFRESH_INTERVAL_MS;
+        recentGangs.values().removeIf(gang -> nowMs - gang.seenAtMs > ARRIVAL_WINDOW_MS);
+        for (Job job : view.jobs()) {
+            if (job.spec.isMultiTaskGang()
+                    && startWithinS.containsKey(job.spec.jobClass())
                     && recentGangs.size() < MAX_RECENT_GANGS) {
-                recentGangs.putIfAbsent(j.spec.id(), new RecentGang(j.spec, now));
+                recentGangs.putIfAbsent(job.spec.id(), new RecentGang(job.spec, nowMs));
             }
         }
         Map<Integer, List<JobSpec>> byClass = new HashMap<>();
-        recentGangs.values().forEach(s -> byClass.computeIfAbsent(s.spec.jobClass(), k -> new ArrayList<>())
-                .add(s.spec));
-        Set<String> keep = new HashSet<>();
-        byClass.values().forEach(l -> keepForClass(l, pictures, keep));
-        keptMachines = keep;
+        recentGangs.values().forEach(gang -> byClass.computeIfAbsent(gang.spec.jobClass(), key -> new ArrayList<>())
+                .add(gang.spec));
+        Set<String> toKeep = new HashSet<>();
+        byClass.values().forEach(gangs -> keepForClass(gangs, statuses, toKeep));
+        keptMachines = toKeep;
     }
 
-    private void keepForClass(List<JobSpec> gangs, Map<String, MachineStatus> pictures, Set<String> keep) {
+    private void keepForClass(List<JobSpec> gangs, Map<String, MachineStatus> statuses, Set<String> toKeep) {
         JobSpec largest = gangs.get(0);
         double tasks = 0;
-        for (JobSpec s : gangs) {
-            largest = s.tasks() > largest.tasks() ? s : largest;
-            tasks += s.tasks();
+        for (JobSpec gang : gangs) {
+            largest = gang.tasks() > largest.tasks() ? gang : largest;
+            tasks += gang.tasks();
         }
         Map<Integer, List<MachineStatus>> idle = new HashMap<>();
-        Map<Integer, Integer> places = new HashMap<>();
+        Map<Integer, Integer> capacityByZone = new HashMap<>();
         double bootS = 0;
-        for (MachineStatus p : pictures.values()) {
-            Catalog.MachineType t = catalog.type(p.type());
-            if (!p.usable()
-                    || t == null
-                    || !largest.allowsType(t.index())
-                    || !t.fits(largest)
-                    || p.spot() && !largest.allowsSpot()
-                    || largest.zone() >= 0 && largest.zone() != p.zone()
-                    || t.bootS() <= startWithinS.get(largest.jobClass())) {
+        for (MachineStatus status : statuses.values()) {
+            Catalog.MachineType type = catalog.type(status.type());
+            if (!status.usable()
+                    || type == null
+                    || !largest.allowsType(type.index())
+                    || !type.fits(largest)
+                    || status.spot() && !largest.allowsSpot()
+                    || largest.zone() >= 0 && largest.zone() != status.zone()
+                    || type.bootS() <= startWithinS.get(largest.jobClass())) {
                 continue;
             }
-            bootS = Math.max(bootS, t.bootS());
-            int zone = largest.oneZone() ? p.zone() : 0;
-            if (view.claims(p.machine()).isEmpty()) {
-                idle.computeIfAbsent(zone, k -> new ArrayList<>()).add(p);
+            bootS = Math.max(bootS, type.bootS());
+            int zone = largest.oneZone() ? status.zone() : 0;
+            if (view.claims(status.machine()).isEmpty()) {
+                idle.computeIfAbsent(zone, key -> new ArrayList<>()).add(status);
             } else {
-                places.merge(zone, taskCapacity(p, t, largest), Integer::sum);
+                capacityByZone.merge(zone, taskCapacity(status, type, largest), Integer::sum);
             }
         }
-        double inABoot = tasks * Math.min(1, bootS * 1000 / ARRIVAL_WINDOW_MS);
-        int wanted = (int) Math.ceil(Math.max(largest.tasks(), inABoot + tasks / gangs.size()));
-        int best = -1;
-        int most = -1;
-        for (Map.Entry<Integer, List<MachineStatus>> e : idle.entrySet()) {
-            int n = places.getOrDefault(e.getKey(), 0);
-            for (MachineStatus p : e.getValue()) {
-                n += taskCapacity(p, catalog.type(p.type()), largest);
+        double tasksPerBoot = tasks * Math.min(1, bootS * 1000 / ARRIVAL_WINDOW_MS);
+        int wantedTasks = (int) Math.ceil(Math.max(largest.tasks(), tasksPerBoot + tasks / gangs.size()));
+        int bestZone = -1;
+        int bestCapacity = -1;
+        for (Map.Entry<Integer, List<MachineStatus>> entry : idle.entrySet()) {
+            int capacity = capacityByZone.getOrDefault(entry.getKey(), 0);
+            for (MachineStatus status : entry.getValue()) {
+                capacity += taskCapacity(status, catalog.type(status.type()), largest);
             }
-            if (n > most) {
-                most = n;
-                best = e.getKey();
+            if (capacity > bestCapacity) {
+                bestCapacity = capacity;
+                bestZone = entry.getKey();
             }
         }
-        int have = places.getOrDefault(best, 0);
-        for (MachineStatus p : idle.getOrDefault(best, List.of())) {
-            if (have >= wanted) {
+        int capacityKept = capacityByZone.getOrDefault(bestZone, 0);
+        for (MachineStatus status : idle.getOrDefault(bestZone, List.of())) {
+            if (capacityKept >= wantedTasks) {
                 return;
             }
-            have += taskCapacity(p, catalog.type(p.type()), largest);
-            keep.add(p.machine());
+            capacityKept += taskCapacity(status, catalog.type(status.type()), largest);
+            toKeep.add(status.machine());
         }
     }
 
-    /** For how many such tasks a machine has room, or would have once work that yields has left. */
-    private int taskCapacity(MachineStatus p, Catalog.MachineType t, JobSpec s) {
-        double cpus = t.cpus();
-        double gpus = t.gpus();
-        double mem = t.memoryGb();
-        for (Claim c : view.claims(p.machine()).values()) {
-            JobSpec o = c.job().spec;
-            if (!o.preemptibleBy(s, false, false)) {
-                cpus -= o.cpus();
-                gpus -= o.gpus();
-                mem -= o.memoryGb();
+    /**
+     * Returns for how many tasks of {@code spec} the machine has capacity, or would have once the tasks that yield to
+     * it have left.
+     */
+    private int taskCapacity(MachineStatus status, Catalog.MachineType type, JobSpec spec) {
+        double cpus = type.cpus();
+        double gpus = type.gpus();
+        double memoryGb = type.memoryGb();
+        for (Claim claim : view.claims(status.machine()).values()) {
+            JobSpec other = claim.job().spec;
+            if (!other.preemptibleBy(spec, false, false)) {
+                cpus -= other.cpus();
+                gpus -= other.gpus();
+                memoryGb -= other.memoryGb();
             }
         }
-        double n = s.cpus() > 0 ? (cpus + Catalog.EPSILON) / s.cpus() : s.tasks();
-        n = s.gpus() > 0 ? Math.min(n, (gpus + Catalog.EPSILON) / s.gpus()) : n;
-        n = s.memoryGb() > 0 ? Math.min(n, (mem + Catalog.EPSILON) / s.memoryGb()) : n;
-        return (int) Math.max(0, n);
+        double count = spec.cpus() > 0 ? (cpus + Catalog.EPSILON) / spec.cpus() : spec.tasks();
+        count = spec.gpus() > 0 ? Math.min(count, (gpus + Catalog.EPSILON) / spec.gpus()) : count;
+        count = spec.memoryGb() > 0 ? Math.min(count, (memoryGb + Catalog.EPSILON) / spec.memoryGb()) : count;
+        return (int) Math.max(0, count);
     }
 }
--- a/src/main/java/birchusher/fleet/MachineList.java
+++ b/src/main/java/birchusher/fleet/MachineList.java
@@ -15,19 +15,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud's own list of machines. It lags, so a machine missing there proves nothing; one that nobody knows is returned. */
+/**
+ * Reads the cloud's list of machines and deletes machines in it that report to no controller. The list lags, so a
+ * machine that is missing there proves nothing.
+ */
 final class MachineList {
     private static final Logger LOG = LoggerFactory.getLogger(MachineList.class);
 
-    /** What the autoscaler knows of a machine. */
+    /** What the autoscaler knows of machines. */
     interface FleetState {
-        /** Deleted lately, or about to be. */
+        /** Whether the machine was deleted recently or is about to be. */
         boolean isBeingDeleted(String machine);
 
-        /** In the picture of the fleet. */
+        /** Whether there is a status of the machine from its owner. */
         boolean hasStatus(String machine);
 
-        /** Rented and not up yet, as far as can be told. */
+        /** Whether the machine may be one that is rented and not up yet. */
         boolean mayBeBooting(String machine);
 
         void delete(String machine);
@@ -41,7 +44,7 @@
     private final CloudClient cloud;
     private final double giveUpBoots;
     private final FleetState fleet;
-    /** Listed machines that report to nobody, since when. */
+    /** Listed machines that report to no controller, with the time since which they have been seen so. */
     private final Map<String, Long> unreportedSinceMs = new HashMap<>();
 
     private final Set<String> unreportedRunning = new HashSet<>();
@@ -50,28 +53,29 @@
 
     MachineList(
             Effects effects,
-            Settings s,
+            Settings settings,
             Catalog catalog,
             StoreView view,
             Membership membership,
             CloudClient cloud,
             double giveUpBoots,
-            FleetState autoscaler) {
+            FleetState fleet) {
         this.effects = effects;
-        settings = s;
+        this.settings = settings;
         this.catalog = catalog;
         this.view = view;
         this.membership = membership;
         this.cloud = cloud;
         this.giveUpBoots = giveUpBoots;
-        this.fleet = autoscaler;
+        this.fleet = fleet;
     }
 
-    /** The strangers that are listed as running. */
+    /** Returns the machines that are listed as running although they report to no controller. */
     Set<String> unreportedRunning() {
         return unreportedRunning;
     }
 
+    /** Starts reading the list if it is due and no reading is in progress. */
     void tick() {
         if (effects.now() < nextListMs || listInProgress) {
             return;
@@ -83,19 +87,22 @@
 
     private void requestPage(String after, Set<String> seen) {
         boolean sent = cloud.call(
-                "GET", Wire.RENTALS + "?" + Wire.AFTER + "=" + after + "&" + Wire.LIMIT + "=500", null, (status, m) -> {
+                "GET",
+                Wire.RENTALS + "?" + Wire.AFTER + "=" + after + "&" + Wire.LIMIT + "=500",
+                null,
+                (status, reply) -> {
                     if (status != 200) {
                         listInProgress = false;
                         return;
                     }
                     String last = after;
-                    for (Object o : Fields.list(m, Wire.MACHINES)) {
-                        Map<String, Object> x = Fields.map(o, "machine");
-                        last = Fields.text(x, Wire.ID);
+                    for (Object entry : Fields.list(reply, Wire.MACHINES)) {
+                        Map<String, Object> fields = Fields.map(entry, "machine");
+                        last = Fields.text(fields, Wire.ID);
                         seen.add(last);
-                        processListed(last, Fields.text(x, Wire.STATE), Fields.amountOr(x, Wire.AGE, 0));
+                        processListed(last, Fields.text(fields, Wire.STATE), Fields.amountOr(fields, Wire.AGE, 0));
                     }
-                    if (Boolean.TRUE.equals(m.get(Wire.MORE)) && !last.equals(after)) {
+                    if (Boolean.TRUE.equals(reply.get(Wire.MORE)) && !last.equals(after)) {
                         requestPage(last, seen);
                     } else {
                         listInProgress = false;
@@ -109,12 +116,12 @@
     }
 
     private void processListed(String machine, String state, double ageS) {
-        long now = effects.now();
+        long nowMs = effects.now();
         if (fleet.isBeingDeleted(machine)) {
             return;
         }
         if (state.equals("failed")) {
-            // It stopped on its own: nothing runs there, and deleting it says so.
+            // The machine stopped on its own: nothing runs there, and its deletion confirms it.
             fleet.delete(machine);
             return;
         }
@@ -128,23 +135,23 @@
         }
         for (int i = 1; i < membership.memberCount(); i++) {
             if (!membership.isConnected(i)) {
-                // It may well report to a controller that we can't hear.
+                // The machine may report to a controller from which this one receives no heartbeats.
                 unreportedSinceMs.clear();
                 unreportedRunning.clear();
                 return;
             }
         }
-        long since = unreportedSinceMs.computeIfAbsent(machine, k -> now);
+        long sinceMs = unreportedSinceMs.computeIfAbsent(machine, key -> nowMs);
         if (state.equals("running")) {
             unreportedRunning.add(machine);
         }
         double bootS = 60;
-        for (Catalog.MachineType t : catalog.types()) {
-            bootS = Math.max(bootS, t.bootS());
+        for (Catalog.MachineType type : catalog.types()) {
+            bootS = Math.max(bootS, type.bootS());
         }
-        long patience = Math.round(1000 * (state.equals("running") ? settings.leaseS() + 20 : bootS * giveUpBoots));
-        if (now - since > patience && view.claims(machine).isEmpty()) {
-            LOG.info("machine {} is listed as {} but reports to nobody, deleted", machine, state);
+        long timeoutMs = Math.round(1000 * (state.equals("running") ? settings.leaseS() + 20 : bootS * giveUpBoots));
+        if (nowMs - sinceMs > timeoutMs && view.claims(machine).isEmpty()) {
+            LOG.info("machine {} is listed as {} but reports to no controller, deleting it", machine, state);
             fleet.delete(machine);
         }
     }
--- a/src/test/java/birchusher/fleet/GangReserveTest.java
+++ b/src/test/java/birchusher/fleet/GangReserveTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen on vernis-fjord: of 39 large machines 27 were returned as idle in the 40 s before a gang came that was to start in 6 s;
- * machines boot in 40 s.
+ * Guards against returning idle machines shortly before a gang needs them: 27 of 39 large machines were returned as
+ * idle in the 40 s before a gang came that was to start within 6 s, while machines boot in 40 s.
  */
 class GangReserveTest {
     private final Catalog catalog = new Catalog(SettingsReader.read(TestJobs.SETTINGS
@@ -64,8 +64,8 @@
     }
 
     private void addGang(String id, long tasks) {
-        Map<String, Object> m = TestJobs.job();
-        m.putAll(Map.of(
+        Map<String, Object> fields = TestJobs.job();
+        fields.putAll(Map.of(
                 "name_id",
                 id,
                 "shape",
@@ -82,27 +82,30 @@
                 100.0,
                 "one_zone",
                 true));
-        view.put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 100L, "t", 0L, "j", m)), ++revision);
+        view.put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 100L, "t", 0L, "j", fields)), ++revision);
     }
 
-    private long countKept(GangReserve r, long now) {
-        r.refresh(fleet, now);
-        return fleet.keySet().stream().filter(r::keeps).count();
+    private long countKept(GangReserve gangReserve, long nowMs) {
+        gangReserve.refresh(fleet, nowMs);
+        return fleet.keySet().stream().filter(gangReserve::keeps).count();
     }
 
     @Test
     void machinesForTheNextGangAreKeptInOneZoneWhileGangsAreRecent() {
-        GangReserve r = reserve(6);
+        GangReserve gangReserve = reserve(6);
         addGang("wk-a", 8);
         addGang("wk-b", 4);
-        // Twelve tasks in five minutes are 1.6 in a boot time, and one more gang has six: the largest decides.
-        assertThat(countKept(r, 1_000)).isEqualTo(8);
-        assertThat(fleet.values().stream().filter(p -> r.keeps(p.machine())).allMatch(p -> p.zone() == 1))
+        // Twelve tasks in five minutes are 1.6 in one boot time, and one more gang has six: the largest gang, with
+        // eight, decides.
+        assertThat(countKept(gangReserve, 1_000)).isEqualTo(8);
+        assertThat(fleet.values().stream()
+                        .filter(status -> gangReserve.keeps(status.machine()))
+                        .allMatch(status -> status.zone() == 1))
                 .isTrue();
         view.remove(Keys.JOB + "wk-a", ++revision);
         view.remove(Keys.JOB + "wk-b", ++revision);
-        assertThat(countKept(r, 200_000)).isEqualTo(8);
-        assertThat(countKept(r, 302_000)).isZero();
+        assertThat(countKept(gangReserve, 200_000)).isEqualTo(8);
+        assertThat(countKept(gangReserve, 302_000)).isZero();
     }
 
     @Test
