--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -25,7 +25,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The users' side: submissions, polls, cancellations and the final states. */
+/**
+ * Answers the requests of users about single jobs (submissions, polls, cancellations) and writes the final states of
+ * jobs.
+ *
+ * <p>Not thread-safe: all calls run on the controller's event loop. Requests are answered through {@link Effects}, at
+ * once or later; {@code exchange} identifies the request.
+ */
 public final class JobApi {
     private static final Logger LOG = LoggerFactory.getLogger(JobApi.class);
     private static final long COMMIT_TIMEOUT_MS = 2_500;
@@ -44,7 +50,7 @@
 
     public JobApi(
             Effects effects,
-            Settings s,
+            Settings settings,
             Catalog catalog,
             JobCodec codec,
             StoreView view,
@@ -56,115 +62,131 @@
         this.view = view;
         this.store = store;
         this.membership = membership;
-        txnOps = s.txnOps();
-        confirmsCancelWhenStopped = s.cancelsLate();
+        txnOps = settings.txnOps();
+        confirmsCancelWhenStopped = settings.cancelsLate();
         if (confirmsCancelWhenStopped) {
             LOG.warn(
-                    "cancel_s {} leaves too little beyond lease_s {}: cancellations are confirmed only when the job's tasks are gone",
-                    s.cancelS(),
-                    s.leaseS());
+                    "cancel_s {} is too short compared with lease_s {}: cancellations are confirmed only when all tasks of the job are gone",
+                    settings.cancelS(),
+                    settings.leaseS());
         }
-        // A row must fit the store's limit even when all tasks are placed.
-        chunkSize = (int) Math.max(16, Math.min(500, (s.valueKb() * 1024 - 512) / Chunk.CLAIM_BYTES));
+        // A claim row must fit the store's limit on values even when all tasks in it are placed.
+        chunkSize = (int) Math.max(16, Math.min(500, (settings.valueKb() * 1024 - 512) / Chunk.CLAIM_BYTES));
     }
 
     private static Map<String, Object> stateBody(String id, String state, int done, int running) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put(Wire.ID, id);
-        m.put(Wire.STATE, state);
-        m.put(Wire.DONE, done);
-        m.put(Wire.RUNNING, running);
-        return m;
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put(Wire.ID, id);
+        body.put(Wire.STATE, state);
+        body.put(Wire.DONE, done);
+        body.put(Wire.RUNNING, running);
+        return body;
     }
 
-    static Map<String, Object> endedBody(String id, StoreView.EndedJob e) {
-        return e.done() ? stateBody(id, Wire.DONE, e.tasks(), 0) : stateBody(id, Wire.CANCELLED, 0, 0);
+    static Map<String, Object> endedBody(String id, StoreView.EndedJob end) {
+        return end.done() ? stateBody(id, Wire.DONE, end.tasks(), 0) : stateBody(id, Wire.CANCELLED, 0, 0);
     }
 
-    /** What may be told of a job without asking anybody: final states are final. Null if it has none yet. */
+    /**
+     * Returns the response for a job that has a final state, which may be sent without asking the state service since
+     * final states never change; null if the job has none yet.
+     */
     private Map<String, Object> finalState(String id) {
-        StoreView.EndedJob e = view.endedJob(id);
-        if (e != null) {
-            return endedBody(id, e);
+        StoreView.EndedJob end = view.endedJob(id);
+        if (end != null) {
+            return endedBody(id, end);
         }
-        Job j = view.job(id);
-        if (j != null
-                && (j.state() == Job.State.DONE
-                        || j.state() == Job.State.OPEN && j.allDone() && viewCoversClaimRows(j))) {
-            return stateBody(id, Wire.DONE, j.spec.tasks(), 0);
+        Job job = view.job(id);
+        if (job != null
+                && (job.state() == Job.State.DONE
+                        || job.state() == Job.State.OPEN && job.allDone() && viewCoversClaimRows(job))) {
+            return stateBody(id, Wire.DONE, job.spec.tasks(), 0);
         }
-        return j != null && j.state() == Job.State.CANCELLED && mayConfirmCancel(j)
+        return job != null && job.state() == Job.State.CANCELLED && mayConfirmCancel(job)
                 ? stateBody(id, Wire.CANCELLED, 0, 0)
                 : null;
     }
 
     /**
-     * Done sets never shrink, so a job whose tasks are all recorded as done is done before its row says so. But our own end of the last
-     * task is in the view ahead of others' changes, and a cancellation that we have not seen may come before it: without this one
-     * controller told its user cancelled, and then another told done. Once the view has everything up to the last end, the job's row
-     * tells which came first; no cancellation is written after it, as each conditions on a row of tasks that was not full.
+     * Whether the view is at least as new as the last end of a task that it contains for the job. Sets of done tasks
+     * never shrink, so a job whose tasks are all recorded as done is done before its row says so. But this
+     * controller's own write of the last end enters the view ahead of the changes of other controllers, and a
+     * cancellation that this controller has not seen may precede it. Without this check, one controller reported to
+     * its user "cancelled" and another one then "done". Once the view has everything up to the last end, the job's
+     * row shows which came first; no cancellation is written after it, as each requires a claim row that was not
+     * full.
      */
-    private boolean viewCoversClaimRows(Job j) {
-        for (int i = 0; i < j.chunks.size(); i++) {
-            if (view.version(Keys.placement(j.spec.id(), i)) > view.appliedRevision()) {
+    private boolean viewCoversClaimRows(Job job) {
+        for (int i = 0; i < job.chunks.size(); i++) {
+            if (view.version(Keys.placement(job.spec.id(), i)) > view.appliedRevision()) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Where leases are too long for a cancellation's time, it is told only when no task is left, as far as a view of its own age shows. */
-    private boolean mayConfirmCancel(Job j) {
+    /**
+     * Whether a cancellation may be confirmed. Where leases are too long for the promised time of a cancellation, it
+     * is confirmed only when no task is left, as far as a view shows that is at least as new as the cancellation.
+     */
+    private boolean mayConfirmCancel(Job job) {
         return !confirmsCancelWhenStopped
-                || j.claimCount() == 0 && view.appliedRevision() >= view.version(Keys.JOB + j.spec.id());
+                || job.claimCount() == 0 && view.appliedRevision() >= view.version(Keys.JOB + job.spec.id());
     }
 
-    private static Map<String, Object> openBody(Job j) {
-        int running = j.claimCount();
-        return stateBody(j.spec.id(), running > 0 ? Wire.RUNNING : Wire.QUEUED, j.doneCount(), running);
+    private static Map<String, Object> openBody(Job job) {
+        int running = job.claimCount();
+        return stateBody(job.spec.id(), running > 0 ? Wire.RUNNING : Wire.QUEUED, job.doneCount(), running);
     }
 
-    /** What a poll may be told of a job that is in the view, if the view is new enough. */
-    Map<String, Object> currentState(Job j) {
-        Map<String, Object> known = finalState(j.spec.id());
-        return known != null ? known : openBody(j);
+    /** Returns the response to a poll of a job that is in the view, provided that the view is up to date. */
+    Map<String, Object> currentState(Job job) {
+        Map<String, Object> finalBody = finalState(job.spec.id());
+        return finalBody != null ? finalBody : openBody(job);
     }
 
     // ---- polls
 
+    /**
+     * Answers a poll with the job's state, or 404 if it was never accepted. A view that may be stale is refreshed
+     * first.
+     */
     public void poll(long exchange, String id) {
         if (!JobCodec.isId(id)) {
             effects.answer(exchange, 404, Map.of("error", "no such job"));
             return;
         }
-        Map<String, Object> known = finalState(id);
-        if (known != null) {
-            effects.answer(exchange, 200, known);
+        Map<String, Object> finalBody = finalState(id);
+        if (finalBody != null) {
+            effects.answer(exchange, 200, finalBody);
             return;
         }
         answerFromFreshView(exchange, id, () -> effects.answer(exchange, 404, Map.of("error", "no such job")));
     }
 
-    /** Answers a job's state from a view that is as new as this moment; {@code unknown} if it was never accepted. */
+    /**
+     * Answers with a job's state from a view that is at least as new as this call; runs {@code unknown} if the job
+     * was never accepted.
+     */
     private void answerFromFreshView(long exchange, String id, Runnable unknown) {
-        answerFromFreshView(exchange, id, j -> effects.answer(exchange, 200, openBody(j)), unknown);
+        answerFromFreshView(exchange, id, job -> effects.answer(exchange, 200, openBody(job)), unknown);
     }
 
-    /** The same, with what is to be done with a job that has no final state. */
+    /** Like the method without {@code unfinished}, to which this one passes a job that has no final state. */
     private void answerFromFreshView(long exchange, String id, Consumer<Job> unfinished, Runnable unknown) {
-        boolean asked = store.whenUpToDate(ok -> {
+        boolean queued = store.whenUpToDate(ok -> {
             if (!ok) {
                 effects.refuseWithRetry(exchange, 503, 2);
                 return;
             }
-            Map<String, Object> last = finalState(id);
-            Job j = view.job(id);
-            if (last != null) {
-                effects.answer(exchange, 200, last);
+            Map<String, Object> finalBody = finalState(id);
+            Job job = view.job(id);
+            if (finalBody != null) {
+                effects.answer(exchange, 200, finalBody);
                 return;
             }
-            if (j != null) {
-                unfinished.accept(j);
+            if (job != null) {
+                unfinished.accept(job);
                 return;
             }
             if (view.unreadable(id)) {
@@ -175,13 +197,13 @@
                 unknown.run();
                 return;
             }
-            boolean sent = store.get(Keys.ENDED_JOB + id, (status, m) -> {
+            boolean sent = store.get(Keys.ENDED_JOB + id, (status, reply) -> {
                 if (status == 200) {
-                    // Kept, so that what users are told from here is known to be known here.
-                    view.put(Keys.ENDED_JOB + id, m.get(Wire.VALUE), Fields.count(m, Wire.VERSION));
-                    Map<String, Object> kept = finalState(id);
-                    if (kept != null) {
-                        effects.answer(exchange, 200, kept);
+                    // Kept in the view, so that every state reported to users by this controller is also known to it.
+                    view.put(Keys.ENDED_JOB + id, reply.get(Wire.VALUE), Fields.count(reply, Wire.VERSION));
+                    Map<String, Object> storedBody = finalState(id);
+                    if (storedBody != null) {
+                        effects.answer(exchange, 200, storedBody);
                     } else {
                         effects.refuseWithRetry(exchange, 503, 2);
                     }
@@ -195,32 +217,36 @@
                 effects.refuseWithRetry(exchange, 503, 1);
             }
         });
-        if (!asked) {
+        if (!queued) {
             effects.refuseWithRetry(exchange, 503, 2);
         }
     }
 
     // ---- submissions
 
+    /**
+     * Handles a submission: 201 for an accepted job, 200 with the state for a known id, 400 for a malformed body, 422
+     * for a job that can never run, 503 if it is to be repeated.
+     */
     public void submit(long exchange, byte[] body) {
         JobSpec spec = null;
-        InvalidInputException bad = null;
-        JobCodec.Never never = null;
+        InvalidInputException malformed = null;
+        JobCodec.Never impossible = null;
         String id = null;
         try {
-            Map<String, Object> m = Fields.map(Pack.decode(body), "body");
-            id = m.get(Wire.ID) instanceof String s && JobCodec.isId(s) ? s : null;
+            Map<String, Object> fields = Fields.map(Pack.decode(body), "body");
+            id = fields.get(Wire.ID) instanceof String text && JobCodec.isId(text) ? text : null;
             if (catalog.typesKnown()) {
-                spec = codec.read(m);
+                spec = codec.read(fields);
             }
-        } catch (InvalidInputException e) {
-            bad = e;
-        } catch (JobCodec.Never e) {
-            never = e;
-        }
-        Map<String, Object> known = id == null ? null : finalState(id);
-        if (known != null) {
-            effects.answer(exchange, 200, known);
+        } catch (InvalidInputException failure) {
+            malformed = failure;
+        } catch (JobCodec.Never failure) {
+            impossible = failure;
+        }
+        Map<String, Object> finalBody = id == null ? null : finalState(id);
+        if (finalBody != null) {
+            effects.answer(exchange, 200, finalBody);
             return;
         }
         if (id != null && view.job(id) != null) {
@@ -228,20 +254,21 @@
             answerFromFreshView(exchange, jobId, () -> effects.refuseWithRetry(exchange, 503, 1));
             return;
         }
-        if (bad != null && id == null) {
-            effects.answer(exchange, 400, Map.of("error", bad.getMessage()));
+        if (malformed != null && id == null) {
+            effects.answer(exchange, 400, Map.of("error", malformed.getMessage()));
             return;
         }
-        if (spec == null && bad == null && never == null || !store.healthy()) {
+        if (spec == null && malformed == null && impossible == null || !store.healthy()) {
             effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
-        String why =
-                bad != null ? bad.getMessage() : never != null ? never.getMessage() : catalog.unschedulableReason(spec);
-        if (why != null) {
-            // A repeat of an accepted id is answered with its state, whatever its body has become.
-            int status = bad != null ? 400 : 422;
-            answerFromFreshView(exchange, id, () -> effects.answer(exchange, status, Map.of("error", why)));
+        String reason = malformed != null
+                ? malformed.getMessage()
+                : impossible != null ? impossible.getMessage() : catalog.unschedulableReason(spec);
+        if (reason != null) {
+            // A repeated submission of an accepted id is answered with the job's state, whatever its body has become.
+            int status = malformed != null ? 400 : 422;
+            answerFromFreshView(exchange, id, () -> effects.answer(exchange, status, Map.of("error", reason)));
             return;
         }
         if (!store.enqueue(new AcceptJob(exchange, spec))) {
@@ -249,6 +276,7 @@
         }
     }
 
+    /** Writes the row of a new job, on condition that the id has neither a job row nor an end row. */
     private final class AcceptJob implements Change {
         private final long exchange;
         private final JobSpec spec;
@@ -309,25 +337,26 @@
         }
     }
 
-    private Map<String, Object> jobRow(JobSpec s, int chunk, long acceptedAt, Job.State state) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("s", state.name());
-        m.put("k", chunk);
-        m.put("t", acceptedAt);
-        m.put("j", codec.write(s));
-        return m;
+    private Map<String, Object> jobRow(JobSpec spec, int rowChunkSize, long acceptedAtMs, Job.State state) {
+        Map<String, Object> row = new LinkedHashMap<>();
+        row.put("s", state.name());
+        row.put("k", rowChunkSize);
+        row.put("t", acceptedAtMs);
+        row.put("j", codec.write(spec));
+        return row;
     }
 
     // ---- cancellations
 
+    /** Handles a cancellation: 200 with the final state, 404 for an unknown job, 503 if it is to be repeated. */
     public void cancel(long exchange, String id) {
         if (!JobCodec.isId(id)) {
             effects.answer(exchange, 404, Map.of("error", "no such job"));
             return;
         }
-        Map<String, Object> known = finalState(id);
-        if (known != null) {
-            effects.answer(exchange, 200, known);
+        Map<String, Object> finalBody = finalState(id);
+        if (finalBody != null) {
+            effects.answer(exchange, 200, finalBody);
             return;
         }
         if (!store.healthy() || view.unreadable(id)) {
@@ -335,24 +364,25 @@
             return;
         }
         if (view.job(id) == null) {
-            // Accepted elsewhere a moment ago, it is to be cancelled like any other: its state alone was no answer to a
-            // cancellation.
+            // A job that another controller has just accepted is cancelled like any other. Answering with its state
+            // alone would leave it running.
             answerFromFreshView(
                     exchange,
                     id,
-                    j -> cancel(exchange, j),
+                    job -> cancel(exchange, job),
                     () -> effects.answer(exchange, 404, Map.of("error", "no such job")));
             return;
         }
         cancel(exchange, view.job(id));
     }
 
-    private void cancel(long exchange, Job j) {
-        if (!store.enqueue(new CancelJob(exchange, j.spec.id()))) {
+    private void cancel(long exchange, Job job) {
+        if (!store.enqueue(new CancelJob(exchange, job.spec.id()))) {
             effects.refuseWithRetry(exchange, 503, 1);
         }
     }
 
+    /** Marks an open job as cancelled, on condition that not all of its tasks are done. */
     private final class CancelJob implements Change {
         private final long exchange;
         private final String id;
@@ -380,24 +410,26 @@
 
         @Override
         public boolean build(Transaction tx) {
-            Job j = view.job(id);
-            if (j == null
-                    || j.state() != Job.State.OPEN
-                    || j.allDone()
+            Job job = view.job(id);
+            if (job == null
+                    || job.state() != Job.State.OPEN
+                    || job.allDone()
                     || tx.writes(Keys.JOB + id)
                     || effects.now() > deadlineMs) {
                 return false;
             }
-            // Another controller may be about to see, and to tell, that the last task is done: then this must fail.
-            int open = 0;
-            while (j.chunks.get(open) != null && j.chunks.get(open).allDone()) {
-                open++;
+            // Another controller may be about to see, and to report, that the last task is done: then this
+            // transaction must fail.
+            int firstOpen = 0;
+            while (job.chunks.get(firstOpen) != null
+                    && job.chunks.get(firstOpen).allDone()) {
+                firstOpen++;
             }
-            if (tx.editsChunk(id, open)) {
+            if (tx.editsChunk(id, firstOpen)) {
                 return false;
             }
-            tx.requireUnchanged(Keys.placement(id, open));
-            tx.put(Keys.JOB + id, jobRow(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.CANCELLED));
+            tx.requireUnchanged(Keys.placement(id, firstOpen));
+            tx.put(Keys.JOB + id, jobRow(job.spec, job.chunkSize, job.acceptedAtMs, Job.State.CANCELLED));
             return true;
         }
 
@@ -409,11 +441,11 @@
 
         @Override
         public void dropped() {
-            Map<String, Object> known = finalState(id);
-            if (known != null) {
-                effects.answer(exchange, 200, known);
+            Map<String, Object> finalBody = finalState(id);
+            if (finalBody != null) {
+                effects.answer(exchange, 200, finalBody);
             } else {
-                // Not settled in time, or the job ended meanwhile: the repeat will find out.
+                // Not committed in time, or the job ended in the meantime: the user's repeated request will show it.
                 effects.refuseWithRetry(exchange, 503, 1);
             }
         }
@@ -421,32 +453,42 @@
 
     // ---- endings
 
-    /** Writes final states, and puts ended jobs away once nothing of them is on any machine. */
+    /**
+     * Writes final states, and archives ended jobs once none of their tasks is on any machine: one end row replaces
+     * the rows of the job.
+     */
     public void tick() {
-        long now = effects.now();
-        if (!store.loaded() || !store.healthy() || !membership.canAct() || now < nextSweepMs) {
+        long nowMs = effects.now();
+        if (!store.loaded() || !store.healthy() || !membership.canAct() || nowMs < nextSweepMs) {
             return;
         }
-        nextSweepMs = now + 200;
-        for (Job j : view.jobs()) {
-            boolean over = (j.state() != Job.State.OPEN || j.allDone()) && j.claimCount() == 0;
-            if (over && membership.schedules(j.spec.id()) && endingJobs.size() < 100 && endingJobs.add(j.spec.id())) {
-                if (!store.enqueue(new EndJob(j.spec.id(), Math.min(txnOps, j.chunks.size() + 2)))) {
-                    endingJobs.remove(j.spec.id());
+        nextSweepMs = nowMs + 200;
+        for (Job job : view.jobs()) {
+            boolean ended = (job.state() != Job.State.OPEN || job.allDone()) && job.claimCount() == 0;
+            if (ended
+                    && membership.schedules(job.spec.id())
+                    && endingJobs.size() < 100
+                    && endingJobs.add(job.spec.id())) {
+                if (!store.enqueue(new EndJob(job.spec.id(), Math.min(txnOps, job.chunks.size() + 2)))) {
+                    endingJobs.remove(job.spec.id());
                 }
             }
         }
     }
 
+    /**
+     * Records that a job is done, or archives an ended job. The claim rows of a large job are deleted in several
+     * transactions.
+     */
     private final class EndJob implements Change {
         private final String id;
-        private final int cost;
+        private final int maxWrites;
         private boolean archives;
         private boolean done;
 
-        EndJob(String id, int cost) {
+        EndJob(String id, int maxWrites) {
             this.id = id;
-            this.cost = cost;
+            this.maxWrites = maxWrites;
         }
 
         @Override
@@ -454,7 +496,7 @@
             return 9;
         }
 
-        /** Polls are answered from the done set; the row is only put away. */
+        /** Can wait: polls are answered from the set of done tasks already, and this change only archives rows. */
         @Override
         public long maxDelayMs() {
             return 1_000;
@@ -462,51 +504,51 @@
 
         @Override
         public int maxWrites() {
-            return cost;
+            return maxWrites;
         }
 
         @Override
         public boolean build(Transaction tx) {
-            Job j = view.job(id);
-            if (j == null || tx.writes(Keys.JOB + id)) {
+            Job job = view.job(id);
+            if (job == null || tx.writes(Keys.JOB + id)) {
                 return false;
             }
-            done = j.state() == Job.State.DONE || j.state() == Job.State.OPEN && j.allDone();
-            if (!done && j.state() != Job.State.CANCELLED) {
+            done = job.state() == Job.State.DONE || job.state() == Job.State.OPEN && job.allDone();
+            if (!done && job.state() != Job.State.CANCELLED) {
                 return false;
             }
-            int places = 0;
-            for (Chunk c : j.chunks) {
-                places += c == null ? 0 : 1;
+            int claimRows = 0;
+            for (Chunk chunk : job.chunks) {
+                claimRows += chunk == null ? 0 : 1;
             }
-            archives = j.claimCount() == 0 && places + 2 <= txnOps;
+            archives = job.claimCount() == 0 && claimRows + 2 <= txnOps;
             if (archives) {
-                for (Chunk c : j.chunks) {
-                    if (c != null) {
-                        tx.remove(Keys.placement(id, c.index));
+                for (Chunk chunk : job.chunks) {
+                    if (chunk != null) {
+                        tx.remove(Keys.placement(id, chunk.index));
                     }
                 }
                 tx.remove(Keys.JOB + id);
-                tx.put(Keys.ENDED_JOB + id, StoreView.endedJobRow(done, j.spec.tasks()));
+                tx.put(Keys.ENDED_JOB + id, StoreView.endedJobRow(done, job.spec.tasks()));
                 return true;
             }
-            if (j.state() == Job.State.OPEN) {
-                for (Chunk c : j.chunks) {
-                    tx.requireUnchanged(Keys.placement(id, c.index));
+            if (job.state() == Job.State.OPEN) {
+                for (Chunk chunk : job.chunks) {
+                    tx.requireUnchanged(Keys.placement(id, chunk.index));
                     if (tx.conditionCount() > 3 * txnOps) {
                         break;
                     }
                 }
-                tx.put(Keys.JOB + id, jobRow(j.spec, j.chunkSize, j.acceptedAtMs, Job.State.DONE));
+                tx.put(Keys.JOB + id, jobRow(job.spec, job.chunkSize, job.acceptedAtMs, Job.State.DONE));
                 return true;
             }
-            if (j.claimCount() > 0) {
+            if (job.claimCount() > 0) {
                 return false;
             }
-            int n = 0;
-            for (Chunk c : j.chunks) {
-                if (c != null && n++ < txnOps - 1) {
-                    tx.remove(Keys.placement(id, c.index));
+            int removed = 0;
+            for (Chunk chunk : job.chunks) {
+                if (chunk != null && removed++ < txnOps - 1) {
+                    tx.remove(Keys.placement(id, chunk.index));
                 }
             }
             tx.requireUnchanged(Keys.JOB + id);
--- a/src/main/java/birchusher/jobs/QueryApi.java
+++ b/src/main/java/birchusher/jobs/QueryApi.java
@@ -23,8 +23,12 @@
 import java.util.function.Predicate;
 
 /**
- * What people ask beside the published paths: lists of jobs, one job in full, the teams. Like polls, all is answered from a view
- * that is as new as the question, so nothing here is older than what was answered before. Everything is paged.
+ * Answers the queries of users beyond the published paths: lists of jobs, one job in full, and the teams. As with
+ * polls, all answers come from a view that is at least as new as the query, so nothing in them is older than an
+ * earlier answer. All lists of jobs and tasks are paged.
+ *
+ * <p>Not thread-safe: all calls run on the controller's event loop. {@code exchange} identifies the request to
+ * answer.
  */
 public final class QueryApi {
     private static final int MAX_JOBS_PER_PAGE = 200;
@@ -56,187 +60,194 @@
     }
 
     private void withFreshView(long exchange, Runnable then) {
-        boolean asked = store.whenUpToDate(ok -> {
+        boolean queued = store.whenUpToDate(ok -> {
             if (ok) {
                 then.run();
             } else {
                 effects.refuseWithRetry(exchange, 503, 2);
             }
         });
-        if (!asked) {
+        if (!queued) {
             effects.refuseWithRetry(exchange, 503, 2);
         }
     }
 
-    private static int pageLimit(Target t, int most) throws Target.Bad {
-        long n = t.count(Wire.LIMIT, most);
-        if (n < 1 || n > most) {
-            throw new InvalidInputException(Wire.LIMIT + ": 1 to " + most);
+    private static int pageLimit(Target target, int maxLimit) throws Target.Bad {
+        long limit = target.count(Wire.LIMIT, maxLimit);
+        if (limit < 1 || limit > maxLimit) {
+            throw new InvalidInputException(Wire.LIMIT + ": 1 to " + maxLimit);
         }
-        return (int) n;
+        return (int) limit;
     }
 
     /**
-     * {@code GET /v2/runs?stage=&crew=&lane=&since=&page=}: jobs by their ids, after {@code since}, at most 200:
-     * {@code {"runs":[{"name_id","stage","done","running","crew","lane"}],"has_next":true}}. Ended jobs are listed only if their
-     * stage is asked for, and keep neither team nor class.
+     * {@code GET /v2/runs?stage=&crew=&lane=&since=&page=}: jobs ordered by id, after {@code since}, at most 200:
+     * {@code {"runs":[{"name_id","stage","done","running","crew","lane"}],"has_next":true}}. Archived jobs are listed
+     * only if their stage is requested, and have neither team nor class.
      */
-    public void list(long exchange, Target t) throws Target.Bad {
-        String stage = t.text(Wire.STATE, null);
-        String team = t.text(Wire.TEAM, null);
-        String cls = t.text(Wire.CLASS, null);
-        String after = t.text(Wire.AFTER, "");
-        int most = pageLimit(t, MAX_JOBS_PER_PAGE);
-        if (stage != null
+    public void list(long exchange, Target target) throws Target.Bad {
+        String state = target.text(Wire.STATE, null);
+        String team = target.text(Wire.TEAM, null);
+        String jobClass = target.text(Wire.CLASS, null);
+        String after = target.text(Wire.AFTER, "");
+        int limit = pageLimit(target, MAX_JOBS_PER_PAGE);
+        if (state != null
                 && !List.of(Wire.QUEUED, Wire.RUNNING, Wire.DONE, Wire.CANCELLED)
-                        .contains(stage)) {
+                        .contains(state)) {
             throw new InvalidInputException(Wire.STATE + ": queued, running, done or cancelled");
         }
-        boolean ended = Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage);
-        if (ended && (team != null || cls != null)) {
+        boolean ended = Wire.DONE.equals(state) || Wire.CANCELLED.equals(state);
+        if (ended && (team != null || jobClass != null)) {
             throw new InvalidInputException(Wire.TEAM + ", " + Wire.CLASS + ": not kept of ended jobs");
         }
-        Predicate<Job> wanted = j -> j.spec.id().compareTo(after) > 0
-                && (team == null || team.equals(catalog.teams.name(j.spec.team())))
-                && (cls == null || cls.equals(catalog.classes.name(j.spec.jobClass())));
+        Predicate<Job> filter = job -> job.spec.id().compareTo(after) > 0
+                && (team == null || team.equals(catalog.teams.name(job.spec.team())))
+                && (jobClass == null || jobClass.equals(catalog.classes.name(job.spec.jobClass())));
         withFreshView(exchange, () -> {
-            TreeMap<String, Map<String, Object>> rows = liveJobs(wanted, stage);
+            TreeMap<String, Map<String, Object>> rows = liveJobs(filter, state);
             if (ended) {
-                addArchivedJobs(exchange, rows, stage, after, most);
+                addArchivedJobs(exchange, rows, state, after, limit);
             } else {
-                sendPage(exchange, rows, most, false);
+                sendPage(exchange, rows, limit, false);
             }
         });
     }
 
-    private TreeMap<String, Map<String, Object>> liveJobs(Predicate<Job> wanted, String stage) {
+    private TreeMap<String, Map<String, Object>> liveJobs(Predicate<Job> filter, String state) {
         TreeMap<String, Map<String, Object>> rows = new TreeMap<>();
-        for (Job j : view.jobs()) {
-            if (!wanted.test(j)) {
+        for (Job job : view.jobs()) {
+            if (!filter.test(job)) {
                 continue;
             }
-            Map<String, Object> m = new LinkedHashMap<>(jobApi.currentState(j));
-            if (stage == null || stage.equals(m.get(Wire.STATE))) {
-                m.put(Wire.TEAM, catalog.teams.name(j.spec.team()));
-                m.put(Wire.CLASS, catalog.classes.name(j.spec.jobClass()));
-                rows.put(j.spec.id(), m);
+            Map<String, Object> body = new LinkedHashMap<>(jobApi.currentState(job));
+            if (state == null || state.equals(body.get(Wire.STATE))) {
+                body.put(Wire.TEAM, catalog.teams.name(job.spec.team()));
+                body.put(Wire.CLASS, catalog.classes.name(job.spec.jobClass()));
+                rows.put(job.spec.id(), body);
             }
         }
         return rows;
     }
 
-    /** Adds a page of the jobs that were put away; what is live and behind that page has to wait for a later one. */
+    /**
+     * Adds a page of archived jobs and answers. Live jobs whose ids follow the last one of that page are left to a
+     * later page.
+     */
     private void addArchivedJobs(
-            long exchange, TreeMap<String, Map<String, Object>> rows, String stage, String after, int most) {
-        boolean sent =
-                store.readPage(Keys.ENDED_JOB, after.isEmpty() ? "" : Keys.ENDED_JOB + after, most, (status, m) -> {
+            long exchange, TreeMap<String, Map<String, Object>> rows, String state, String after, int limit) {
+        boolean sent = store.readPage(
+                Keys.ENDED_JOB, after.isEmpty() ? "" : Keys.ENDED_JOB + after, limit, (status, reply) -> {
                     if (status != 200) {
                         effects.refuseWithRetry(exchange, 503, 2);
                         return;
                     }
-                    boolean more = Boolean.TRUE.equals(m.get(Wire.MORE));
-                    String last = "";
-                    for (Object o : Fields.list(m, Wire.ITEMS)) {
-                        Map<String, Object> row = Fields.map(o, "row");
-                        last = Fields.text(row, Wire.KEY).substring(Keys.ENDED_JOB.length());
-                        Map<String, Object> told = JobApi.endedBody(
-                                last, StoreView.readEndedJob(Fields.map(row.get(Wire.VALUE), "value")));
-                        if (stage.equals(told.get(Wire.STATE))) {
-                            rows.put(last, told);
+                    boolean hasMore = Boolean.TRUE.equals(reply.get(Wire.MORE));
+                    String lastId = "";
+                    for (Object entry : Fields.list(reply, Wire.ITEMS)) {
+                        Map<String, Object> row = Fields.map(entry, "row");
+                        lastId = Fields.text(row, Wire.KEY).substring(Keys.ENDED_JOB.length());
+                        Map<String, Object> body = JobApi.endedBody(
+                                lastId, StoreView.readEndedJob(Fields.map(row.get(Wire.VALUE), "value")));
+                        if (state.equals(body.get(Wire.STATE))) {
+                            rows.put(lastId, body);
                         }
                     }
-                    if (more) {
-                        rows.tailMap(last, false).clear();
-                        // A page may hold none of that stage: its last id says where to go on.
-                        rows.putIfAbsent(last, Map.of());
+                    if (hasMore) {
+                        rows.tailMap(lastId, false).clear();
+                        // The page may contain no job of the requested state; its last id tells where to continue.
+                        rows.putIfAbsent(lastId, Map.of());
                     }
-                    sendPage(exchange, rows, most, more);
+                    sendPage(exchange, rows, limit, hasMore);
                 });
         if (!sent) {
             effects.refuseWithRetry(exchange, 503, 1);
         }
     }
 
-    private void sendPage(long exchange, TreeMap<String, Map<String, Object>> rows, int most, boolean more) {
-        List<Object> l = new ArrayList<>();
-        String last = "";
-        for (Map.Entry<String, Map<String, Object>> e : rows.entrySet()) {
-            if (l.size() == most) {
+    private void sendPage(long exchange, TreeMap<String, Map<String, Object>> rows, int limit, boolean hasMore) {
+        List<Object> page = new ArrayList<>();
+        String lastId = "";
+        for (Map.Entry<String, Map<String, Object>> entry : rows.entrySet()) {
+            if (page.size() == limit) {
                 break;
             }
-            last = e.getKey();
-            if (!e.getValue().isEmpty()) {
-                l.add(e.getValue());
+            lastId = entry.getKey();
+            if (!entry.getValue().isEmpty()) {
+                page.add(entry.getValue());
             }
         }
-        effects.answer(exchange, 200, Map.of("runs", l, Wire.MORE, more || rows.higherKey(last) != null, "last", last));
+        effects.answer(
+                exchange,
+                200,
+                Map.of("runs", page, Wire.MORE, hasMore || rows.higherKey(lastId) != null, "last", lastId));
     }
 
     /**
-     * {@code GET /v2/runs/{id}/describe?since=&page=}: a job with its description and the tasks that have a machine, by their
-     * index from {@code since} on, at most 500, and its last 50 events. Of a job that was put away, only its final state is kept.
+     * {@code GET /v2/runs/{id}/describe?since=&page=}: a job with its description, the tasks that have a machine,
+     * ordered by index from {@code since} on, at most 500, and its last 50 events. Of an archived job, only the final
+     * state is kept.
      */
-    public void describe(long exchange, String id, Target t) throws Target.Bad {
-        long from = t.count(Wire.AFTER, 0);
-        int most = pageLimit(t, MAX_TASKS_PER_PAGE);
+    public void describe(long exchange, String id, Target target) throws Target.Bad {
+        long from = target.count(Wire.AFTER, 0);
+        int limit = pageLimit(target, MAX_TASKS_PER_PAGE);
         withFreshView(exchange, () -> {
-            Job j = view.job(id);
-            if (j == null) {
-                // The same answer as to a poll, looked up in the same way.
+            Job job = view.job(id);
+            if (job == null) {
+                // Answered like a poll, which also looks up archived jobs.
                 jobApi.poll(exchange, id);
                 return;
             }
-            Map<String, Object> m = new HashMap<>(jobApi.currentState(j));
-            m.put("job", codec.write(j.spec));
-            m.put("accepted_ms", j.acceptedAtMs);
-            m.put("attempts", j.lastAttempt());
+            Map<String, Object> body = new HashMap<>(jobApi.currentState(job));
+            body.put("job", codec.write(job.spec));
+            body.put("accepted_ms", job.acceptedAtMs);
+            body.put("attempts", job.lastAttempt());
             List<Object> tasks = new ArrayList<>();
-            int i = (int) Math.min(from, j.spec.tasks());
-            for (; i < j.spec.tasks() && tasks.size() < most; i++) {
-                Claim c = j.claim(i);
-                if (c != null) {
+            int index = (int) Math.min(from, job.spec.tasks());
+            for (; index < job.spec.tasks() && tasks.size() < limit; index++) {
+                Claim claim = job.claim(index);
+                if (claim != null) {
                     tasks.add(Map.of(
                             "index",
-                            i,
+                            index,
                             Wire.ATTEMPT,
-                            c.attempt(),
+                            claim.attempt(),
                             Wire.MACHINE,
-                            c.machine(),
+                            claim.machine(),
                             "held_s",
-                            Math.max(0, effects.now() - c.seenAtMs()) / 1000.0));
+                            Math.max(0, effects.now() - claim.seenAtMs()) / 1000.0));
                 }
             }
-            m.put("pieces", tasks);
-            m.put("events", events.latestOf(effects.now(), id));
-            m.put("next", i);
-            m.put(Wire.MORE, i < j.spec.tasks());
-            effects.answer(exchange, 200, m);
+            body.put("pieces", tasks);
+            body.put("events", events.latestOf(effects.now(), id));
+            body.put("next", index);
+            body.put(Wire.MORE, index < job.spec.tasks());
+            effects.answer(exchange, 200, body);
         });
     }
 
     /** {@code GET /v2/teams}: what each team uses, is guaranteed and may use at most (0: no limit). */
     public void teams(long exchange, Collection<Settings.Team> teams) {
         withFreshView(exchange, () -> {
-            List<Object> l = new ArrayList<>();
-            for (Settings.Team t : teams) {
-                int i = catalog.teams.find(t.name());
-                l.add(Map.of(
+            List<Object> rows = new ArrayList<>();
+            for (Settings.Team team : teams) {
+                int teamIndex = catalog.teams.find(team.name());
+                rows.add(Map.of(
                         Wire.TEAM,
-                        t.name(),
+                        team.name(),
                         "cpus_used",
-                        view.claimedCpus(i),
+                        view.claimedCpus(teamIndex),
                         "cpus",
-                        t.cpus(),
+                        team.cpus(),
                         "cpus_max",
-                        t.cpusMax(),
+                        team.cpusMax(),
                         "gpus_used",
-                        view.claimedGpus(i),
+                        view.claimedGpus(teamIndex),
                         "gpus",
-                        t.gpus(),
+                        team.gpus(),
                         "gpus_max",
-                        t.gpusMax()));
+                        team.gpusMax()));
             }
-            effects.answer(exchange, 200, Map.of("teams", l));
+            effects.answer(exchange, 200, Map.of("teams", rows));
         });
     }
 }
--- a/src/main/java/birchusher/jobs/TaskEvents.java
+++ b/src/main/java/birchusher/jobs/TaskEvents.java
@@ -9,52 +9,60 @@
 import java.util.Map;
 
 /**
- * What became of tasks lately, as this controller saw it in the state service's rows, for {@code describe}. Bounded over all jobs, in
- * memory only: after a start it begins with what is placed then.
+ * Recent placements and ends of tasks, as this controller saw them in the rows of the state service, for
+ * {@code describe}. Bounded over all jobs and kept in memory only: after a start it begins with the tasks that are
+ * placed then.
  */
 public final class TaskEvents {
     private static final int MAX_EVENTS = 4_096;
     private static final int MAX_EVENTS_PER_REPLY = 50;
 
-    private record Event(long atMs, String job, int task, long attempt, String machine, String what) {}
+    private record Event(long atMs, String job, int task, long attempt, String machine, String description) {}
 
     private final ArrayDeque<Event> ring = new ArrayDeque<>();
 
-    public void placed(long now, Claim c) {
-        add(now, c, "placed");
+    /** Records that a task was placed; {@code nowMs} is steady time, as in all methods. */
+    public void placed(long nowMs, Claim claim) {
+        add(nowMs, claim, "placed");
     }
 
-    /** @param lost whether the task has still to run */
-    public void ended(long now, Claim c, boolean lost) {
-        add(now, c, lost ? "ended, to be run again" : Wire.DONE);
+    /**
+     * Records that a claim was released.
+     *
+     * @param lost whether the task has to run again
+     */
+    public void ended(long nowMs, Claim claim, boolean lost) {
+        add(nowMs, claim, lost ? "ended, to be run again" : Wire.DONE);
     }
 
-    private void add(long now, Claim c, String what) {
+    private void add(long nowMs, Claim claim, String description) {
         if (ring.size() == MAX_EVENTS) {
             ring.removeFirst();
         }
-        ring.addLast(new Event(now, c.job().spec.id(), c.task(), c.attempt(), c.machine(), what));
+        ring.addLast(
+                new Event(nowMs, claim.job().spec.id(), claim.task(), claim.attempt(), claim.machine(), description));
     }
 
-    /** The last ones of a job, newest first. */
-    List<Map<String, Object>> latestOf(long now, String job) {
-        List<Map<String, Object>> l = new ArrayList<>();
-        for (Iterator<Event> i = ring.descendingIterator(); i.hasNext() && l.size() < MAX_EVENTS_PER_REPLY; ) {
-            Event e = i.next();
-            if (e.job().equals(job)) {
-                l.add(Map.of(
+    /** Returns the last events of a job, newest first. */
+    List<Map<String, Object>> latestOf(long nowMs, String job) {
+        List<Map<String, Object>> events = new ArrayList<>();
+        for (Iterator<Event> iterator = ring.descendingIterator();
+                iterator.hasNext() && events.size() < MAX_EVENTS_PER_REPLY; ) {
+            Event event = iterator.next();
+            if (event.job().equals(job)) {
+                events.add(Map.of(
                         "ago_s",
-                        (now - e.atMs()) / 1000.0,
+                        (nowMs - event.atMs()) / 1000.0,
                         "index",
-                        e.task(),
+                        event.task(),
                         Wire.ATTEMPT,
-                        e.attempt(),
+                        event.attempt(),
                         Wire.MACHINE,
-                        e.machine(),
+                        event.machine(),
                         "what",
-                        e.what()));
+                        event.description()));
             }
         }
-        return l;
+        return events;
     }
 }
