--- a/src/main/java/birchusher/lease/EstimateBias.java
+++ b/src/main/java/birchusher/lease/EstimateBias.java
@@ -3,29 +3,29 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 
 /**
- * How wrong the owners' estimates are, per class. Kept apart from the machines' speeds: an estimate that is always
- * half the truth must not make every machine look slow.
+ * The ratio of observed to estimated run times, by job class. Kept apart from the machines' speeds: an estimate that is always half of the real
+ * run time must not make every machine look slow.
  */
 public final class EstimateBias {
     private final Int2ObjectOpenHashMap<double[]> sumsByClass = new Int2ObjectOpenHashMap<>();
 
     /**
-     * A task of this class took this long. The machine's speed is left out on purpose: corrected by it, a wrong estimate
-     * would be shared between class and machines, and every machine would look slow.
+     * Adds the run time of a task of this class. It is deliberately not corrected by the machine's speed: with that, the error of an estimate
+     * would be divided between class and machines, and every machine would look slow.
      */
-    public void observe(int cls, double estimateS, double observedS) {
+    public void observe(int jobClass, double estimateS, double observedS) {
         if (estimateS <= 0 || observedS <= 0) {
             return;
         }
-        double[] s = sumsByClass.computeIfAbsent(cls, c -> new double[] {2, 2});
+        double[] sums = sumsByClass.computeIfAbsent(jobClass, key -> new double[] {2, 2});
         double ratio = Math.min(5, Math.max(0.2, observedS / estimateS));
-        s[0] = s[0] * 0.98 + ratio;
-        s[1] = s[1] * 0.98 + 1;
+        sums[0] = sums[0] * 0.98 + ratio;
+        sums[1] = sums[1] * 0.98 + 1;
     }
 
-    /** Observed over estimated run time of the class, 1 while nothing is known. */
-    public double bias(int cls) {
-        double[] s = sumsByClass.get(cls);
-        return s == null ? 1 : s[0] / s[1];
+    /** Observed over estimated run time of the class; 1 without observations. */
+    public double bias(int jobClass) {
+        double[] sums = sumsByClass.get(jobClass);
+        return sums == null ? 1 : sums[0] / sums[1];
     }
 }
--- a/src/main/java/birchusher/lease/LeaseSettings.java
+++ b/src/main/java/birchusher/lease/LeaseSettings.java
@@ -3,27 +3,38 @@
 import birchusher.model.JobSpec;
 import birchusher.settings.Tuning;
 
-/** The lengths that task leases are made of, in ms; from the operators' settings. */
+/**
+ * Durations of task leases, from the operators' settings.
+ *
+ * @param baseMs duration of a new lease without the image fetch
+ * @param renewMs how far ahead of a fresh report a renewal moves the end
+ * @param capFactor renewals end at this many times the estimated run time
+ * @param sweepIntervalMs how often expired leases are looked for
+ */
 public record LeaseSettings(long baseMs, long renewMs, double capFactor, long sweepIntervalMs) {
-    public static LeaseSettings from(Tuning t) {
+    /** Reads the durations from the operators' settings. */
+    public static LeaseSettings from(Tuning tuning) {
         return new LeaseSettings(
-                t.ms("lease.base-s"), t.ms("lease.renew-s"), t.num("lease.cap-factor"), t.ms("lease.sweep-s"));
+                tuning.ms("lease.base-s"),
+                tuning.ms("lease.renew-s"),
+                tuning.num("lease.cap-factor"),
+                tuning.ms("lease.sweep-s"));
     }
 
-    /** Base lease of a task whose image takes this long to fetch. */
+    /** Duration in ms of a new lease for a task whose image takes this long to fetch. */
     public long initialMs(long fetchMs) {
         return baseMs + fetchMs;
     }
 
-    /** How long after running start renewals are granted: never below the base; services have no cap. */
-    public long capMs(JobSpec j, long fetchMs) {
-        return j.isService()
+    /** For how long after a task began to run renewals are granted, in ms; never below the initial lease. Services have no cap. */
+    public long capMs(JobSpec spec, long fetchMs) {
+        return spec.isService()
                 ? Long.MAX_VALUE
-                : Math.max(initialMs(fetchMs), Math.round(capFactor * j.estimateS() * 1000));
+                : Math.max(initialMs(fetchMs), Math.round(capFactor * spec.estimateS() * 1000));
     }
 
-    /** The gate: whether a machine of this speed is expected to finish a task of this run time within its cap. */
-    public boolean fitsCap(JobSpec j, double expectedS, double speed) {
-        return j.isService() || expectedS / Math.max(0.01, speed) * 1000 <= capMs(j, 0);
+    /** Whether a machine of this speed is expected to finish a task of this run time within its lease cap. */
+    public boolean fitsCap(JobSpec spec, double expectedS, double speed) {
+        return spec.isService() || expectedS / Math.max(0.01, speed) * 1000 <= capMs(spec, 0);
     }
 }
--- a/src/main/java/birchusher/lease/TaskLease.java
+++ b/src/main/java/birchusher/lease/TaskLease.java
@@ -1,8 +1,8 @@
 package birchusher.lease;
 
-/** The lease of one attempt. Time comes in from outside; nothing here reads a clock. */
+/** The lease of one task attempt, in ms of the caller's clock; this class reads none. */
 public final class TaskLease {
-    /** What a report did to a task's lease. */
+    /** Effect of a report on a task's lease. The names are matched by recorded traces. */
     public enum Renewal {
         GRANTED,
         AT_CAP,
@@ -16,13 +16,19 @@
     private long runningSinceMs = -1;
     private boolean atCap;
 
-    public TaskLease(LeaseSettings terms, long startedAt, long fetchMs, long capMs) {
-        this.renewMs = terms.renewMs();
+    /**
+     * The lease of an attempt that is started at {@code startedAtMs}.
+     *
+     * @param fetchMs expected time of the image fetch
+     * @param capMs for how long after it began to run it is renewed; {@link Long#MAX_VALUE}: without end
+     */
+    public TaskLease(LeaseSettings settings, long startedAtMs, long fetchMs, long capMs) {
+        this.renewMs = settings.renewMs();
         this.capMs = capMs;
-        this.endMs = startedAt + terms.initialMs(fetchMs);
+        this.endMs = startedAtMs + settings.initialMs(fetchMs);
     }
 
-    /** A fresh report lists the task. A lapsed lease gets nothing, and nothing goes beyond the cap. */
+    /** Renews the lease, as a fresh report lists the task. An expired lease is not renewed, and no renewal goes beyond the cap. */
     public Renewal renew(long now, boolean running) {
         if (expired(now)) {
             return Renewal.LAPSED;
@@ -30,36 +36,39 @@
         if (running && runningSinceMs < 0) {
             runningSinceMs = now;
         }
-        long wanted = now + renewMs;
-        if (runningSinceMs >= 0 && capMs != Long.MAX_VALUE && wanted > runningSinceMs + capMs) {
-            wanted = runningSinceMs + capMs;
+        long newEndMs = now + renewMs;
+        if (runningSinceMs >= 0 && capMs != Long.MAX_VALUE && newEndMs > runningSinceMs + capMs) {
+            newEndMs = runningSinceMs + capMs;
             if (now >= runningSinceMs + capMs) {
                 atCap = true;
                 return Renewal.AT_CAP;
             }
         }
-        if (wanted <= endMs) {
+        if (newEndMs <= endMs) {
             return Renewal.NOTHING_NEW;
         }
-        endMs = wanted;
+        endMs = newEndMs;
         return Renewal.GRANTED;
     }
 
-    /** Past its end without having reached the cap: nobody has heard of the task for too long. */
+    /** Whether the lease ended before its cap: no report has listed the task for too long. */
     public boolean expired(long now) {
         return !atCap
                 && now >= endMs
                 && !(runningSinceMs >= 0 && capMs != Long.MAX_VALUE && endMs >= runningSinceMs + capMs);
     }
 
+    /** Whether the cap is reached: the task has run for as long as renewals are granted. */
     public boolean atCap(long now) {
         return atCap || runningSinceMs >= 0 && capMs != Long.MAX_VALUE && now >= runningSinceMs + capMs;
     }
 
+    /** When a report first listed the task as running; -1: not yet. */
     public long runningSinceMs() {
         return runningSinceMs;
     }
 
+    /** When the lease ends unless it is renewed. */
     public long endMs() {
         return endMs;
     }
--- a/src/test/java/birchusher/LeaseTraceTest.java
+++ b/src/test/java/birchusher/LeaseTraceTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Plays the kept traces of task leases; the file says what each one shows. */
+/** Replays the recorded traces of task leases; the trace file describes its format and each case. */
 class LeaseTraceTest {
     @Test
     void leasesFollowTheTraces() throws IOException {
@@ -19,32 +19,32 @@
         try (InputStream in = getClass().getResourceAsStream("/traces/lease.txt")) {
             text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
-        LeaseSettings terms = new LeaseSettings(90_000, 30_000, 4, 5_000);
+        LeaseSettings settings = new LeaseSettings(90_000, 30_000, 4, 5_000);
         TaskLease lease = null;
         String title = "";
         int checks = 0;
         for (String line : text.split("\n")) {
-            String[] w = line.trim().split(" +");
-            String where = title + ": " + line;
+            String[] words = line.trim().split(" +");
+            String context = title + ": " + line;
             if (line.startsWith("==")) {
                 title = line.substring(3);
-            } else if (w[0].equals("start")) {
-                long fetch = Long.parseLong(w[1]) * 1000;
-                long cap = w[2].equals("-")
+            } else if (words[0].equals("start")) {
+                long fetchMs = Long.parseLong(words[1]) * 1000;
+                long capMs = words[2].equals("-")
                         ? Long.MAX_VALUE
-                        : Math.max(terms.initialMs(fetch), Long.parseLong(w[2]) * 4_000);
-                lease = new TaskLease(terms, 0, fetch, cap);
+                        : Math.max(settings.initialMs(fetchMs), Long.parseLong(words[2]) * 4_000);
+                lease = new TaskLease(settings, 0, fetchMs, capMs);
             } else if (!line.isBlank() && !line.startsWith("#")) {
-                long t = Long.parseLong(w[0]) * 1000;
-                switch (w[1]) {
-                    case "listed" -> assertThat(lease.renew(t, w[2].equals("running")))
-                            .as(where)
-                            .hasToString(w[4]);
-                    case "lapsed" -> assertThat(lease.expired(t)).as(where).isTrue();
-                    case "alive" -> assertThat(lease.expired(t)).as(where).isFalse();
+                long atMs = Long.parseLong(words[0]) * 1000;
+                switch (words[1]) {
+                    case "listed" -> assertThat(lease.renew(atMs, words[2].equals("running")))
+                            .as(context)
+                            .hasToString(words[4]);
+                    case "lapsed" -> assertThat(lease.expired(atMs)).as(context).isTrue();
+                    case "alive" -> assertThat(lease.expired(atMs)).as(context).isFalse();
                     case "at-cap" -> {
-                        assertThat(lease.atCap(t)).as(where).isTrue();
-                        assertThat(lease.expired(t)).as(where).isFalse();
+                        assertThat(lease.atCap(atMs)).as(context).isTrue();
+                        assertThat(lease.expired(atMs)).as(context).isFalse();
                     }
                     default -> throw new IllegalArgumentException(line);
                 }
@@ -56,18 +56,18 @@
 
     @Test
     void wrongEstimatesOfAClassDoNotMakeMachinesLookSlow() {
-        EstimateBias speeds = new EstimateBias();
-        MachineSpeed good = new MachineSpeed();
-        MachineSpeed bad = new MachineSpeed();
+        EstimateBias estimateBias = new EstimateBias();
+        MachineSpeed normal = new MachineSpeed();
+        MachineSpeed slow = new MachineSpeed();
         for (int i = 0; i < 40; i++) {
-            // The owner says 10 s, the truth is 20 s; the bad machine takes three times as long.
-            speeds.observe(0, 10, 20);
-            good.observe(10 * speeds.bias(0), 20);
+            // Estimated at 10 s, the tasks take 20 s; the slow machine takes three times as long.
+            estimateBias.observe(0, 10, 20);
+            normal.observe(10 * estimateBias.bias(0), 20);
             if (i % 4 == 0) {
-                bad.observe(10 * speeds.bias(0), 60);
+                slow.observe(10 * estimateBias.bias(0), 60);
             }
         }
-        assertThat(good.value()).isBetween(0.8, 1.2);
-        assertThat(bad.value()).isLessThan(0.6);
+        assertThat(normal.value()).isBetween(0.8, 1.2);
+        assertThat(slow.value()).isLessThan(0.6);
     }
 }
