--- a/src/main/java/birchusher/workers/Commands.java
+++ b/src/main/java/birchusher/workers/Commands.java
@@ -23,21 +23,32 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The commands that a machine of ours gets, with the answers to its reports and straight. */
+/**
+ * Decides which commands an owned machine gets, for the responses to its reports, and sends them directly where a machine need not wait for its
+ * next report. Not thread-safe: called on the controller's thread.
+ */
 final class Commands {
     private static final Logger LOG = LoggerFactory.getLogger(Commands.class);
     private static final long COMMAND_TIMEOUT_MS = 3_000;
-    /** Room that has not come by then, as a machine hangs or owner and driver disagree, is not waited for. */
+    /**
+     * How long a start is held for capacity that other tasks are to leave. It may never become free, because a machine hangs or because owner
+     * and job scheduler disagree about the machine; then the start is given up.
+     */
     private static final long HELD_START_TIMEOUT_MS = 15_000;
 
-    /** Counted from our answer, so that the time it was sent after the report is to spare. */
+    /**
+     * How long a worker may still carry out a response. It waits {@link Settings#NO_ANSWER_MS} from sending its report; as this is counted
+     * from the response, the time between the two is an additional margin.
+     */
     private static final long RESPONSE_LIFETIME_MS = Math.round(Settings.NO_ANSWER_MS * (1 + 2 * Settings.DRIFT)) + 50;
 
-    /** Who follows the machines' attempts and takes their reports. */
+    /** Tracks the attempts on the machines and applies their reports. */
     interface AttemptTracker {
-        AttemptState newAttempt(Machine m, JobSpec j, long now);
+        /** Creates the state of an attempt that begins at {@code now}, with its task lease. */
+        AttemptState newAttempt(Machine machine, JobSpec spec, long now);
 
-        boolean acceptReport(Machine m, Report r, int zone);
+        /** Applies a report that answers a direct command; returns whether it was newer than the last one. */
+        boolean acceptReport(Machine machine, Report report, int zone);
     }
 
     private final Effects effects;
@@ -53,269 +64,301 @@
 
     Commands(
             Effects effects,
-            Settings s,
+            Settings settings,
             Catalog catalog,
             StoreView view,
             StoreClient store,
             Membership membership,
             OutcomeRecorder outcomes,
-            ActionCounters account,
+            ActionCounters actionCounters,
             SafetyChecks checks,
-            AttemptTracker owner) {
+            AttemptTracker tracker) {
         this.effects = effects;
-        this.settings = s;
+        this.settings = settings;
         this.catalog = catalog;
         this.view = view;
         this.store = store;
         this.membership = membership;
         this.outcomes = outcomes;
-        this.actionCounters = account;
+        this.actionCounters = actionCounters;
         this.checks = checks;
-        this.tracker = owner;
+        this.tracker = tracker;
     }
 
-    /** Whether a machine's reports come as they should. */
-    boolean isReporting(Machine m, long now) {
-        return now - m.lastMessageAtMs < reportTimeoutMs();
+    /** Whether the latest message of a machine is recent enough. */
+    boolean isReporting(Machine machine, long now) {
+        return now - machine.lastMessageAtMs < reportTimeoutMs();
     }
 
-    /** Within this the next report of a worker that reports to us is here. */
+    /** The longest time in ms until the next report of a worker that reports to this controller arrives. */
     long reportTimeoutMs() {
         return Math.round(settings.reportS() * 1250) + 1_500;
     }
 
-    /** Whether nobody wants this attempt to run any more. */
-    boolean isUnwanted(Machine m, Claim c) {
-        return c.job().state() != Job.State.OPEN
-                || hasLostGangTask(c.job())
-                || view.isCancelled(c.job().spec.id())
-                || m != null
-                        && (m.stopRequests.containsKey(c.attemptKey())
-                                || m.interruptionAtMs >= 0
-                                || m.deleted
-                                || effects.now() - m.heldStarts.getOrDefault(c.attemptKey(), effects.now())
+    /**
+     * Whether this attempt is not to run any more: its job is over or cancelled, its gang has lost a task, a stop is requested, its machine is
+     * to be taken back or is deleted, or its start was held for too long.
+     *
+     * @param machine the machine of the claim, or null if it is not known
+     */
+    boolean isUnwanted(Machine machine, Claim claim) {
+        return claim.job().state() != Job.State.OPEN
+                || hasLostGangTask(claim.job())
+                || view.isCancelled(claim.job().spec.id())
+                || machine != null
+                        && (machine.stopRequests.containsKey(claim.attemptKey())
+                                || machine.interruptionAtMs >= 0
+                                || machine.deleted
+                                || effects.now() - machine.heldStarts.getOrDefault(claim.attemptKey(), effects.now())
                                         > HELD_START_TIMEOUT_MS);
     }
 
-    /** A gang attempt that has lost a task can't go on; all its claims were made at once, so a gap means a loss. */
-    private static boolean hasLostGangTask(Job j) {
-        return j.spec.isGang() && j.claimCount() < j.spec.tasks() && !j.allDone();
+    /** A gang attempt that has lost a task can't go on; all of its claims are made at once, so a missing claim means a lost task. */
+    private static boolean hasLostGangTask(Job job) {
+        return job.spec.isGang() && job.claimCount() < job.spec.tasks() && !job.allDone();
     }
 
-    List<Object> commandsFor(Machine m, boolean straight) {
-        List<Object> orders = new ArrayList<>();
+    /**
+     * The commands to send to a machine, in their wire format. Notes the starts among them as sent.
+     *
+     * @param direct whether they are sent directly; else with the response to a report
+     */
+    List<Object> commandsFor(Machine machine, boolean direct) {
+        List<Object> commands = new ArrayList<>();
         if (!store.loaded()) {
-            return orders;
+            return commands;
         }
-        if (!membership.viewCoversTakeover(m.shard)) {
-            // Cancelled is for good, however old the view: without this, a new owner renewed such tasks and could not
-            // stop them.
-            for (ReportedTask e : m.reportedTasks.values()) {
-                if (!e.exited()
-                        && view.isCancelled(e.taskKey().substring(0, e.taskKey().lastIndexOf('/')))) {
-                    orders.add(command(Wire.STOP, e.taskKey(), e.attempt(), 0));
+        if (!membership.viewCoversTakeover(machine.shard)) {
+            // A cancellation is final, however stale the view is. Without this, a new owner renewed the leases of
+            // cancelled tasks and could not stop them.
+            for (ReportedTask reported : machine.reportedTasks.values()) {
+                if (!reported.exited()
+                        && view.isCancelled(reported.taskKey()
+                                .substring(0, reported.taskKey().lastIndexOf('/')))) {
+                    commands.add(command(Wire.STOP, reported.taskKey(), reported.attempt(), 0));
                 }
             }
-            return orders;
+            return commands;
         }
         long now = effects.now();
-        Map<String, Claim> claims = view.claims(m.name);
-        for (ReportedTask e : m.reportedTasks.values()) {
-            Claim c = claims.get(e.taskKey());
-            StopRequest stop = m.stopRequests.get(e.attemptKey());
-            Reconciliation.ClaimState row =
-                    c == null || c.attempt() != e.attempt() ? Reconciliation.ClaimState.NONE : recordedState(m, c);
-            if (row == Reconciliation.ClaimState.UNWANTED
-                    && (stop != null || m.interruptionAtMs >= 0 || c.job().allDone())
-                    && !view.isCancelled(c.job().spec.id())) {
-                // A wish to stop has its own grace, and what is done elsewhere ends by itself. What a cancelled task
-                // saves is of no use,
-                // and its grace may be longer than a cancellation has.
-                row = Reconciliation.ClaimState.CLAIMED;
+        Map<String, Claim> claims = view.claims(machine.name);
+        for (ReportedTask reported : machine.reportedTasks.values()) {
+            Claim claim = claims.get(reported.taskKey());
+            StopRequest stop = machine.stopRequests.get(reported.attemptKey());
+            Reconciliation.ClaimState claimState = claim == null || claim.attempt() != reported.attempt()
+                    ? Reconciliation.ClaimState.NONE
+                    : recordedState(machine, claim);
+            if (claimState == Reconciliation.ClaimState.UNWANTED
+                    && (stop != null
+                            || machine.interruptionAtMs >= 0
+                            || claim.job().allDone())
+                    && !view.isCancelled(claim.job().spec.id())) {
+                // A stop request has its own grace period, and tasks of a job that is done end by themselves.
+                // Cancelled tasks get none: their checkpoints are of no use, and their grace period may be longer
+                // than a cancellation may take.
+                claimState = Reconciliation.ClaimState.CLAIMED;
             }
-            switch (Reconciliation.command(row, reportedState(e), ownerKnowledge(m, e.attemptKey()))) {
-                case REAP -> orders.add(command(Wire.FORGET, e.taskKey(), e.attempt(), -1));
-                case FENCE -> fenceUnansweredStart(m, e.attemptKey(), now);
-                case STOP -> orders.add(command(Wire.STOP, e.taskKey(), e.attempt(), 0));
+            switch (Reconciliation.command(
+                    claimState, reportedState(reported), ownerKnowledge(machine, reported.attemptKey()))) {
+                case REAP -> commands.add(command(Wire.FORGET, reported.taskKey(), reported.attempt(), -1));
+                case FENCE -> fenceUnansweredStart(machine, reported.attemptKey(), now);
+                case STOP -> commands.add(command(Wire.STOP, reported.taskKey(), reported.attempt(), 0));
                 default -> {
-                    if (row == Reconciliation.ClaimState.CLAIMED && stop != null && !e.exited()) {
-                        addStop(orders, e, stop, now);
+                    if (claimState == Reconciliation.ClaimState.CLAIMED && stop != null && !reported.exited()) {
+                        addStop(commands, reported, stop, now);
                     }
                 }
             }
         }
-        for (Claim c : claims.values()) {
-            String ak = c.attemptKey();
-            Reconciliation.ClaimState row = recordedState(m, c);
-            if (m.reportedTasks.containsKey(ak) || row == Reconciliation.ClaimState.EARLIER) {
+        for (Claim claim : claims.values()) {
+            String attemptKey = claim.attemptKey();
+            Reconciliation.ClaimState claimState = recordedState(machine, claim);
+            if (machine.reportedTasks.containsKey(attemptKey) || claimState == Reconciliation.ClaimState.EARLIER) {
                 continue;
             }
-            Reconciliation.Command must =
-                    Reconciliation.command(row, Reconciliation.ReportedState.ABSENT, ownerKnowledge(m, ak));
-            if (must == Reconciliation.Command.FENCE) {
-                fenceUnansweredStart(m, ak, now);
+            Reconciliation.Command command = Reconciliation.command(
+                    claimState, Reconciliation.ReportedState.ABSENT, ownerKnowledge(machine, attemptKey));
+            if (command == Reconciliation.Command.FENCE) {
+                fenceUnansweredStart(machine, attemptKey, now);
             }
-            if (must != Reconciliation.Command.START
-                    || m.session == m.expiredSession
-                    || straight && m.unansweredStarts.containsKey(ak)
-                    || m.heldStarts.containsKey(ak)) {
+            if (command != Reconciliation.Command.START
+                    || machine.session == machine.expiredSession
+                    || direct && machine.unansweredStarts.containsKey(attemptKey)
+                    || machine.heldStarts.containsKey(attemptKey)) {
                 continue;
             }
-            if (!m.attempts.containsKey(ak)) {
-                m.attempts.put(ak, tracker.newAttempt(m, c.job().spec, now));
-                actionCounters.recordStart(ak, c.attempt() > 1, now);
-                checks.checkStart(c, m);
+            if (!machine.attempts.containsKey(attemptKey)) {
+                machine.attempts.put(attemptKey, tracker.newAttempt(machine, claim.job().spec, now));
+                actionCounters.recordStart(attemptKey, claim.attempt() > 1, now);
+                checks.checkStart(claim, machine);
                 LOG.info(
                         "task {} attempt {} starts on {} session={} term={} heard_ms={}",
-                        c.taskKey(),
-                        c.attempt(),
-                        m.name,
-                        m.session,
-                        membership.term(m.shard),
-                        now - m.lastMessageAtMs);
+                        claim.taskKey(),
+                        claim.attempt(),
+                        machine.name,
+                        machine.session,
+                        membership.term(machine.shard),
+                        now - machine.lastMessageAtMs);
             }
-            orders.add(command(Wire.START, c.taskKey(), c.attempt(), -1));
-            if (straight) {
-                m.unansweredStarts.put(ak, new long[] {now, membership.term(m.shard)});
+            commands.add(command(Wire.START, claim.taskKey(), claim.attempt(), -1));
+            if (direct) {
+                machine.unansweredStarts.put(attemptKey, new long[] {now, membership.term(machine.shard)});
             } else {
-                m.startsInResponses.put(ak, now);
+                machine.startsInResponses.put(attemptKey, now);
             }
         }
-        return orders;
+        return commands;
     }
 
-    private static void addStop(List<Object> orders, ReportedTask e, StopRequest stop, long now) {
+    private static void addStop(List<Object> commands, ReportedTask reported, StopRequest stop, long now) {
         boolean overdue = now - stop.requestedAtMs > stop.graceS * 1000 + 4_000;
-        if (e.phase() != ReportedTask.Phase.SAVING) {
-            orders.add(command(Wire.STOP, e.taskKey(), e.attempt(), stop.graceS));
+        if (reported.phase() != ReportedTask.Phase.SAVING) {
+            commands.add(command(Wire.STOP, reported.taskKey(), reported.attempt(), stop.graceS));
         } else if (overdue) {
-            orders.add(command(Wire.STOP, e.taskKey(), e.attempt(), 0));
+            commands.add(command(Wire.STOP, reported.taskKey(), reported.attempt(), 0));
         }
     }
 
-    // ---- what the squaring table asks for
+    // ---- input of the reconciliation table
 
-    /** What the rows say of a claim on a machine of ours, by its session and by whether anybody wants it any more. */
-    Reconciliation.ClaimState recordedState(Machine m, Claim c) {
-        if (c.session() != m.session) {
-            return c.session() < m.session ? Reconciliation.ClaimState.EARLIER : Reconciliation.ClaimState.LATER;
+    /** The state of a claim on an owned machine according to the store: by its worker session and by whether it is still wanted. */
+    Reconciliation.ClaimState recordedState(Machine machine, Claim claim) {
+        if (claim.session() != machine.session) {
+            return claim.session() < machine.session
+                    ? Reconciliation.ClaimState.EARLIER
+                    : Reconciliation.ClaimState.LATER;
         }
-        return isUnwanted(m, c) ? Reconciliation.ClaimState.UNWANTED : Reconciliation.ClaimState.CLAIMED;
+        return isUnwanted(machine, claim) ? Reconciliation.ClaimState.UNWANTED : Reconciliation.ClaimState.CLAIMED;
     }
 
-    static Reconciliation.ReportedState reportedState(ReportedTask e) {
-        return e == null
+    /** The state of a task according to its worker's report; null: the report does not list it. */
+    static Reconciliation.ReportedState reportedState(ReportedTask reported) {
+        return reported == null
                 ? Reconciliation.ReportedState.ABSENT
-                : switch (e.phase()) {
+                : switch (reported.phase()) {
                     case FETCHING -> Reconciliation.ReportedState.FETCHING;
                     case WAITING -> Reconciliation.ReportedState.WAITING;
                     case RUNNING -> Reconciliation.ReportedState.RUNNING;
                     case SAVING -> Reconciliation.ReportedState.SAVING;
-                    case EXITED -> e.exitReason() == ReportedTask.ExitReason.DONE
+                    case EXITED -> reported.exitReason() == ReportedTask.ExitReason.DONE
                             ? Reconciliation.ReportedState.DONE
-                            : e.exitReason() == ReportedTask.ExitReason.ERROR
+                            : reported.exitReason() == ReportedTask.ExitReason.ERROR
                                     ? Reconciliation.ReportedState.ERROR
                                     : Reconciliation.ReportedState.ENDED;
                 };
     }
 
-    Reconciliation.OwnerKnowledge ownerKnowledge(Machine m, String ak) {
-        AttemptState run = m.attempts.get(ak);
+    /** What this owner knows of an attempt besides the claim and the report. */
+    Reconciliation.OwnerKnowledge ownerKnowledge(Machine machine, String attemptKey) {
+        AttemptState attempt = machine.attempts.get(attemptKey);
         return new Reconciliation.OwnerKnowledge(
-                run != null && run.reported,
-                m.unansweredStarts.containsKey(ak) || mayBeInFlight(m, ak),
-                m.fencingToken >= membership.term(m.shard),
-                outcomes.pending(ak));
+                attempt != null && attempt.reported,
+                machine.unansweredStarts.containsKey(attemptKey) || mayBeInFlight(machine, attemptKey),
+                machine.fencingToken >= membership.term(machine.shard),
+                outcomes.isPending(attemptKey));
     }
 
     /**
-     * Whether an answer with this start may still be carried out. The reply to a direct command overtakes it and does not show the attempt:
-     * taken for proof that nothing was started, the task was started elsewhere, and then here as well.
+     * Whether a response with a start of this attempt may still be carried out. The answer to a direct command may overtake that response and
+     * does not list the attempt. Taken for proof that nothing was started, it let the task start on another machine, and then on this one too.
      */
-    private boolean mayBeInFlight(Machine m, String ak) {
-        Long at = m.startsInResponses.get(ak);
-        return at != null && effects.now() - at < RESPONSE_LIFETIME_MS;
+    private boolean mayBeInFlight(Machine machine, String attemptKey) {
+        Long sentAtMs = machine.startsInResponses.get(attemptKey);
+        return sentAtMs != null && effects.now() - sentAtMs < RESPONSE_LIFETIME_MS;
     }
 
-    /** An unanswered start may still arrive; when that must not happen any more, a higher term keeps it out. */
-    private void fenceUnansweredStart(Machine m, String attemptKey, long now) {
-        long[] l = m.unansweredStarts.get(attemptKey);
-        if (l != null && now - l[0] > COMMAND_TIMEOUT_MS + 500 && l[1] >= membership.term(m.shard)) {
-            membership.raiseTerm(m.shard);
+    /**
+     * Raises the term of the machine's shard if a direct start of this attempt is still unanswered after its time-out. The start may still
+     * arrive, but the worker rejects it once it knows the higher term.
+     */
+    private void fenceUnansweredStart(Machine machine, String attemptKey, long now) {
+        long[] start = machine.unansweredStarts.get(attemptKey);
+        if (start != null && now - start[0] > COMMAND_TIMEOUT_MS + 500 && start[1] >= membership.term(machine.shard)) {
+            membership.raiseTerm(machine.shard);
         }
     }
 
-    private static Map<String, Object> command(String op, String task, long attempt, double grace) {
-        Map<String, Object> o = new LinkedHashMap<>();
-        o.put(Wire.OP, op);
-        o.put(Wire.TASK, task);
-        o.put(Wire.ATTEMPT, attempt);
-        if (grace >= 0) {
-            o.put(Wire.GRACE, grace);
+    /** One command as it is sent; {@code graceS} in seconds, below 0: none. */
+    private static Map<String, Object> command(String op, String taskKey, long attempt, double graceS) {
+        Map<String, Object> command = new LinkedHashMap<>();
+        command.put(Wire.OP, op);
+        command.put(Wire.TASK, taskKey);
+        command.put(Wire.ATTEMPT, attempt);
+        if (graceS >= 0) {
+            command.put(Wire.GRACE, graceS);
         }
-        return o;
+        return command;
     }
 
-    void sendCommands(Machine m) {
+    /** Sends a machine's commands directly, unless it is unreachable or a direct command is in flight. Its answer is a report. */
+    void sendCommands(Machine machine) {
         long now = effects.now();
-        boolean reachable = m.address != null && isReporting(m, now);
-        if (m.commandInFlight
+        boolean reachable = machine.address != null && isReporting(machine, now);
+        if (machine.commandInFlight
                 || !reachable
-                || m.fencingToken < membership.term(m.shard) && m.fencingToken > 0 && now - m.lastMessageAtMs > 1_000) {
+                || machine.fencingToken < membership.term(machine.shard)
+                        && machine.fencingToken > 0
+                        && now - machine.lastMessageAtMs > 1_000) {
             return;
         }
-        List<Object> orders = commandsFor(m, true);
-        if (orders.isEmpty() && (m.receivesResponses || m.fencingToken < membership.term(m.shard))) {
-            // Without orders it only asks whether the worker hears us, where its reports alone don't show that.
+        List<Object> commands = commandsFor(machine, true);
+        if (commands.isEmpty()
+                && (machine.receivesResponses || machine.fencingToken < membership.term(machine.shard))) {
+            // Without commands, the request only asks whether the worker can be reached; that is needed only where
+            // its reports don't show it.
             return;
         }
-        m.commandInFlight = true;
-        long session = m.session;
-        long sent = now;
+        machine.commandInFlight = true;
+        long session = machine.session;
+        long sentAtMs = now;
         List<String> starts = new ArrayList<>();
-        for (Object o : orders) {
-            Map<String, Object> x = Fields.map(o, "order");
-            if (Wire.START.equals(x.get(Wire.OP))) {
-                starts.add(x.get(Wire.TASK) + "#" + x.get(Wire.ATTEMPT));
+        for (Object command : commands) {
+            Map<String, Object> fields = Fields.map(command, "order");
+            if (Wire.START.equals(fields.get(Wire.OP))) {
+                starts.add(fields.get(Wire.TASK) + "#" + fields.get(Wire.ATTEMPT));
             }
         }
         effects.call(
                 Destination.WORKER,
-                m.address,
+                machine.address,
                 "POST",
                 Wire.DO,
-                Map.of(Wire.TOKEN, membership.term(m.shard), Wire.SESSION, session, Wire.COMMANDS, orders),
+                Map.of(Wire.TOKEN, membership.term(machine.shard), Wire.SESSION, session, Wire.COMMANDS, commands),
                 (int) COMMAND_TIMEOUT_MS,
                 (status, body) -> {
-                    m.commandInFlight = false;
+                    machine.commandInFlight = false;
                     if (status == 0) {
                         LOG.info(
-                                "machine {} did not answer {} commands after {} ms",
-                                m.name,
-                                orders.size(),
-                                effects.now() - sent);
+                                "machine {}: no answer to {} direct commands after {} ms",
+                                machine.name,
+                                commands.size(),
+                                effects.now() - sentAtMs);
                         return;
                     }
-                    for (String ak : starts) {
-                        long[] l = m.unansweredStarts.get(ak);
-                        if (l != null && l[0] == sent) {
-                            m.unansweredStarts.remove(ak);
+                    for (String attemptKey : starts) {
+                        long[] start = machine.unansweredStarts.get(attemptKey);
+                        if (start != null && start[0] == sentAtMs) {
+                            machine.unansweredStarts.remove(attemptKey);
                         }
                     }
-                    if ((status == 200 || status == 409) && membership.owns(m.shard)) {
+                    if ((status == 200 || status == 409) && membership.owns(machine.shard)) {
                         try {
-                            Report r = Report.read(body);
-                            int zone = catalog.zones.find(r.zone());
-                            if (zone >= 0 && r.machine().equals(m.name)) {
-                                boolean held = !m.heldStarts.isEmpty();
-                                tracker.acceptReport(m, r, zone);
-                                if (held) {
-                                    // What was stopped has left: the start need not wait for the next report.
-                                    sendCommands(m);
+                            Report report = Report.read(body);
+                            int zone = catalog.zones.find(report.zone());
+                            if (zone >= 0 && report.machine().equals(machine.name)) {
+                                boolean hadHeldStarts = !machine.heldStarts.isEmpty();
+                                tracker.acceptReport(machine, report, zone);
+                                if (hadHeldStarts) {
+                                    // The stopped tasks may have left: the held start need not wait for the next
+                                    // report.
+                                    sendCommands(machine);
                                 }
                             }
-                        } catch (Fields.InvalidInputException e) {
-                            LOG.info("machine {}: unreadable answer: {}", m.name, e.getMessage());
+                        } catch (Fields.InvalidInputException invalid) {
+                            LOG.info(
+                                    "machine {}: invalid answer to direct commands: {}",
+                                    machine.name,
+                                    invalid.getMessage());
                         }
                     }
                 });
--- a/src/main/java/birchusher/workers/Counters.java
+++ b/src/main/java/birchusher/workers/Counters.java
@@ -2,7 +2,7 @@
 
 import org.HdrHistogram.Histogram;
 
-/** What operators want counted; logged at intervals. */
+/** Counters for operators, since the start of the process; logged at intervals. Not thread-safe: used on the controller's thread. */
 public final class Counters {
     public long renewed;
     public long atCap;
@@ -18,23 +18,25 @@
     public long claims;
     public long rentals;
     public long returns;
-    /** Plans made, and slots looked at for them. */
+    /** Plans made. */
     public long plans;
-
+    /** Slots examined for plans. */
     public long slotsLookedAt;
-    /** Reports that nobody waits for any more: copies, and what their workers gave up. */
+    /** Reports that no worker waits for any more: duplicates, and those whose worker has stopped waiting. */
     public long staleReports;
-    /** Reports that the answer to a direct command has overtaken; they are answered and renew the worker's lease. */
+    /** Reports overtaken by the answer to a direct command; they are answered and renew the worker's lease. */
     public long overtakenReports;
-    /** Safety rules found broken ({@link SafetyChecks}); anything but 0 is a fault of ours. */
+    /** Violations found by {@link SafetyChecks}; anything but 0 is a fault of the scheduler. */
     public long safetyViolations;
 
     private final Histogram startWaitsMs = new Histogram(3_600_000L, 2);
 
+    /** Records the time from a job's acceptance until one of its tasks runs; counted as at most an hour. */
     public void recordStartWait(long waitMs) {
         startWaitsMs.recordValue(Math.max(0, Math.min(3_600_000L, waitMs)));
     }
 
+    /** Counts an attempt that left the store, finished or to be restarted. */
     public void recordOutcome(boolean finished) {
         if (finished) {
             done++;
@@ -43,6 +45,7 @@
         }
     }
 
+    /** All counters as {@code key=value} fields of one log line. */
     public String logText() {
         return "renewed=" + renewed + " at_cap=" + atCap + " lapsed=" + lapsed + " speed_limited=" + speedLimited
                 + " refused=" + refused + " stops=" + stops + " errors=" + taskErrors + " condemned=" + condemned
--- a/src/main/java/birchusher/workers/MachineCapacity.java
+++ b/src/main/java/birchusher/workers/MachineCapacity.java
@@ -13,18 +13,22 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The room on a machine of ours by the truth known here: records, reports, reservations, and what yields to a claim. */
+/**
+ * The capacity of owned machines: what claims, reported tasks and reservations use, and which tasks are preempted for a claim. Capacity is an
+ * array of CPUs, GPUs and memory in GB. Not thread-safe: called on the controller's thread.
+ */
 final class MachineCapacity {
-    /** Asks for an attempt to be stopped. */
+    /** Requests that attempts be stopped. */
     interface TaskStopper {
-        void stop(Claim c, double graceS, String reason);
+        /** Requests that the attempt of a claim be stopped with a grace period in seconds. */
+        void stop(Claim claim, double graceS, String reason);
     }
 
     private final Effects effects;
     private final Catalog catalog;
     private final StoreView view;
     private final OutcomeRecorder outcomes;
-    /** Whether a job, by its id, lies within its team's guarantee. */
+    /** Whether a job, given by its ID, is within its team's guarantee. */
     private final Predicate<String> guaranteed;
 
     private final long reserveMs;
@@ -45,176 +49,185 @@
     }
 
     /**
-     * A claim may stand before its room is there: then work that yields to it is stopped, and its start is held. One sent too
-     * early would be refused by the worker, and a whole gang would end with it.
+     * Stops preemptible tasks of an overcommitted machine. A claim may be made before its capacity is free: then tasks that it may preempt are
+     * stopped, and its own start is held. A worker would refuse a start sent too early, and the whole gang would end with it.
      */
-    void preemptForClaims(Machine m, TaskStopper stops) {
-        Catalog.MachineType t = catalog.type(m.type);
-        double[] used = view.capacityUsedOn(m.name);
-        if (t == null
-                || used[0] <= t.cpus() + Catalog.EPSILON
-                        && used[1] <= t.gpus() + Catalog.EPSILON
-                        && used[2] <= t.memoryGb() + Catalog.EPSILON) {
-            m.heldStarts.clear();
+    void preemptForClaims(Machine machine, TaskStopper stopper) {
+        Catalog.MachineType type = catalog.type(machine.type);
+        double[] used = view.capacityUsedOn(machine.name);
+        if (type == null
+                || used[0] <= type.cpus() + Catalog.EPSILON
+                        && used[1] <= type.gpus() + Catalog.EPSILON
+                        && used[2] <= type.memoryGb() + Catalog.EPSILON) {
+            machine.heldStarts.clear();
             return;
         }
-        double[] planned = {t.cpus() - used[0], t.gpus() - used[1], t.memoryGb() - used[2]};
-        double[] present = {t.cpus(), t.gpus(), t.memoryGb()};
-        List<Claim> stand = new ArrayList<>();
+        double[] planned = {type.cpus() - used[0], type.gpus() - used[1], type.memoryGb() - used[2]};
+        double[] free = {type.cpus(), type.gpus(), type.memoryGb()};
+        List<Claim> active = new ArrayList<>();
         List<Claim> unstarted = new ArrayList<>();
-        for (Claim c : view.claims(m.name).values()) {
-            String ak = c.attemptKey();
-            if (c.job().released(c.task()) != null) {
+        for (Claim claim : view.claims(machine.name).values()) {
+            String attemptKey = claim.attemptKey();
+            if (claim.job().released(claim.task()) != null) {
                 continue;
             }
-            ReportedTask e = m.reportedTasks.get(ak);
-            boolean over = outcomes.pending(ak);
-            boolean ordered = e != null || m.attempts.containsKey(ak);
-            if (!over && ordered && (e == null || !e.exited())) {
-                subtract(present, c.job().spec);
+            ReportedTask reported = machine.reportedTasks.get(attemptKey);
+            boolean ended = outcomes.isPending(attemptKey);
+            boolean startSent = reported != null || machine.attempts.containsKey(attemptKey);
+            if (!ended && startSent && (reported == null || !reported.exited())) {
+                subtract(free, claim.job().spec);
             }
-            if (over || m.stopRequests.containsKey(ak)) {
-                add(planned, c.job().spec);
+            if (ended || machine.stopRequests.containsKey(attemptKey)) {
+                add(planned, claim.job().spec);
                 continue;
             }
-            stand.add(c);
-            if (!ordered) {
-                unstarted.add(c);
+            active.add(claim);
+            if (!startSent) {
+                unstarted.add(claim);
             }
         }
-        // The youngest lose least.
-        stand.sort(Comparator.comparingLong(c -> -c.seenAtMs()));
-        for (Claim v : stand) {
+        // Youngest first, as they lose the least work.
+        active.sort(Comparator.comparingLong(claim -> -claim.seenAtMs()));
+        for (Claim victim : active) {
             if (coversDemand(planned)) {
                 break;
             }
-            for (Claim u : unstarted) {
-                JobSpec j = v.job().spec;
-                if (j.preemptibleBy(
-                        u.job().spec,
-                        guaranteed.test(j.id()),
-                        guaranteed.test(u.job().spec.id()))) {
-                    stops.stop(
-                            v,
-                            j.isCheckpointed() ? j.checkpointWriteS() + 1 : 0,
-                            "makes room for " + u.job().spec.id());
-                    add(planned, j);
+            for (Claim waiting : unstarted) {
+                JobSpec victimSpec = victim.job().spec;
+                if (victimSpec.preemptibleBy(
+                        waiting.job().spec,
+                        guaranteed.test(victimSpec.id()),
+                        guaranteed.test(waiting.job().spec.id()))) {
+                    stopper.stop(
+                            victim,
+                            victimSpec.isCheckpointed() ? victimSpec.checkpointWriteS() + 1 : 0,
+                            "makes room for " + waiting.job().spec.id());
+                    add(planned, victimSpec);
                     break;
                 }
             }
         }
-        unstarted.removeIf(c -> m.stopRequests.containsKey(c.attemptKey()));
-        unstarted.sort(Comparator.comparing(c -> c.job().spec.priority()));
+        unstarted.removeIf(claim -> machine.stopRequests.containsKey(claim.attemptKey()));
+        unstarted.sort(Comparator.comparing(claim -> claim.job().spec.priority()));
         Map<String, Long> held = new HashMap<>();
-        for (Claim c : unstarted) {
-            if (!fits(present, c.job().spec)) {
-                held.put(c.attemptKey(), m.heldStarts.getOrDefault(c.attemptKey(), effects.now()));
+        for (Claim claim : unstarted) {
+            if (!fits(free, claim.job().spec)) {
+                held.put(claim.attemptKey(), machine.heldStarts.getOrDefault(claim.attemptKey(), effects.now()));
             }
-            subtract(present, c.job().spec);
+            subtract(free, claim.job().spec);
         }
-        m.heldStarts.clear();
-        m.heldStarts.putAll(held);
+        machine.heldStarts.clear();
+        machine.heldStarts.putAll(held);
     }
 
-    private static boolean coversDemand(double[] room) {
-        return room[0] >= -Catalog.EPSILON && room[1] >= -Catalog.EPSILON && room[2] >= -Catalog.EPSILON;
+    /** Whether no part of the capacity is overcommitted. */
+    private static boolean coversDemand(double[] capacity) {
+        return capacity[0] >= -Catalog.EPSILON && capacity[1] >= -Catalog.EPSILON && capacity[2] >= -Catalog.EPSILON;
     }
 
-    private static boolean fits(double[] room, JobSpec j) {
-        return room[0] >= j.cpus() - Catalog.EPSILON
-                && room[1] >= j.gpus() - Catalog.EPSILON
-                && room[2] >= j.memoryGb() - Catalog.EPSILON;
+    private static boolean fits(double[] capacity, JobSpec spec) {
+        return capacity[0] >= spec.cpus() - Catalog.EPSILON
+                && capacity[1] >= spec.gpus() - Catalog.EPSILON
+                && capacity[2] >= spec.memoryGb() - Catalog.EPSILON;
     }
 
-    /** Free room by the truth known here: records, reports and reservations. */
-    private double[] freeCapacity(Machine m) {
-        Catalog.MachineType t = catalog.type(m.type);
-        if (t == null) {
+    /** What claims, unclaimed tasks and reservations leave of a machine's capacity; none if the machine's type is unknown. */
+    private double[] freeCapacity(Machine machine) {
+        Catalog.MachineType type = catalog.type(machine.type);
+        if (type == null) {
             return new double[3];
         }
-        double[] f = {t.cpus(), t.gpus(), t.memoryGb()};
-        Map<String, Claim> claims = view.claims(m.name);
-        for (Claim c : claims.values()) {
-            if (c.job().released(c.task()) == null) {
-                subtract(f, c.job().spec);
+        double[] free = {type.cpus(), type.gpus(), type.memoryGb()};
+        Map<String, Claim> claims = view.claims(machine.name);
+        for (Claim claim : claims.values()) {
+            if (claim.job().released(claim.task()) == null) {
+                subtract(free, claim.job().spec);
             }
         }
-        double[] stray = unclaimedUse(m);
+        double[] unclaimed = unclaimedUse(machine);
         for (int i = 0; i < 3; i++) {
-            f[i] -= stray[i];
+            free[i] -= unclaimed[i];
         }
-        pruneReservations(m);
-        for (Machine.Reservation r : m.reservations.values()) {
-            f[0] -= r.cpus();
-            f[1] -= r.gpus();
-            f[2] -= r.memoryGb();
+        pruneReservations(machine);
+        for (Machine.Reservation reservation : machine.reservations.values()) {
+            free[0] -= reservation.cpus();
+            free[1] -= reservation.gpus();
+            free[2] -= reservation.memoryGb();
         }
-        return f;
+        return free;
     }
 
-    /** Reservations end by time, or when the claim that they were made for stands. */
-    void pruneReservations(Machine m) {
+    /** Drops reservations that have expired or whose claim is in the view. */
+    void pruneReservations(Machine machine) {
         long now = effects.now();
-        Map<String, Claim> claims = view.claims(m.name);
-        m.reservations.values().removeIf(r -> {
-            Claim c = claims.get(r.taskKey());
-            return now > r.expiresAtMs() || c != null && c.job().released(c.task()) == null;
+        Map<String, Claim> claims = view.claims(machine.name);
+        machine.reservations.values().removeIf(reservation -> {
+            Claim claim = claims.get(reservation.taskKey());
+            return now > reservation.expiresAtMs()
+                    || claim != null && claim.job().released(claim.task()) == null;
         });
     }
 
-    /** Room held by tasks that no record covers, such as those being stopped after a late command. */
-    double[] unclaimedUse(Machine m) {
-        double[] f = new double[3];
-        Map<String, Claim> claims = view.claims(m.name);
-        for (ReportedTask e : m.reportedTasks.values()) {
-            if (!e.exited() && !claims.containsKey(e.taskKey())) {
-                Job j = view.job(
-                        e.taskKey().substring(0, Math.max(0, e.taskKey().lastIndexOf('/'))));
-                Catalog.MachineType t = catalog.type(m.type);
-                if (j != null) {
-                    f[0] += j.spec.cpus();
-                    f[1] += j.spec.gpus();
-                    f[2] += j.spec.memoryGb();
-                } else if (t != null) {
-                    f[0] += t.cpus();
-                    f[1] += t.gpus();
-                    f[2] += t.memoryGb();
+    /** Capacity used by reported tasks without a claim, such as those being stopped after a late command; all of it for an unknown job. */
+    double[] unclaimedUse(Machine machine) {
+        double[] used = new double[3];
+        Map<String, Claim> claims = view.claims(machine.name);
+        for (ReportedTask reported : machine.reportedTasks.values()) {
+            if (!reported.exited() && !claims.containsKey(reported.taskKey())) {
+                Job job = view.job(reported.taskKey()
+                        .substring(0, Math.max(0, reported.taskKey().lastIndexOf('/'))));
+                Catalog.MachineType type = catalog.type(machine.type);
+                if (job != null) {
+                    used[0] += job.spec.cpus();
+                    used[1] += job.spec.gpus();
+                    used[2] += job.spec.memoryGb();
+                } else if (type != null) {
+                    used[0] += type.cpus();
+                    used[1] += type.gpus();
+                    used[2] += type.memoryGb();
                 }
             }
         }
-        return f;
+        return used;
     }
 
-    private static void add(double[] f, JobSpec j) {
-        f[0] += j.cpus();
-        f[1] += j.gpus();
-        f[2] += j.memoryGb();
+    private static void add(double[] capacity, JobSpec spec) {
+        capacity[0] += spec.cpus();
+        capacity[1] += spec.gpus();
+        capacity[2] += spec.memoryGb();
     }
 
-    private static void subtract(double[] f, JobSpec j) {
-        f[0] -= j.cpus();
-        f[1] -= j.gpus();
-        f[2] -= j.memoryGb();
+    private static void subtract(double[] capacity, JobSpec spec) {
+        capacity[0] -= spec.cpus();
+        capacity[1] -= spec.gpus();
+        capacity[2] -= spec.memoryGb();
     }
 
-    /** Whether a task fits, and if it is offered so, also into room that lower work leaves. */
-    boolean fits(Machine m, JobSpec j, boolean makesRoom) {
-        double[] f = freeCapacity(m);
+    /**
+     * Whether a task fits into the free capacity of a machine.
+     *
+     * @param makesRoom whether the capacity of tasks that it may preempt counts as free
+     */
+    boolean fits(Machine machine, JobSpec spec, boolean makesRoom) {
+        double[] free = freeCapacity(machine);
         if (makesRoom) {
-            for (Claim c : view.claims(m.name).values()) {
-                if (c.job().released(c.task()) == null
-                        && c.job()
+            for (Claim claim : view.claims(machine.name).values()) {
+                if (claim.job().released(claim.task()) == null
+                        && claim.job()
                                 .spec
-                                .preemptibleBy(j, guaranteed.test(c.job().spec.id()), guaranteed.test(j.id()))) {
-                    add(f, c.job().spec);
+                                .preemptibleBy(
+                                        spec, guaranteed.test(claim.job().spec.id()), guaranteed.test(spec.id()))) {
+                    add(free, claim.job().spec);
                 }
             }
         }
-        return fits(f, j);
+        return fits(free, spec);
     }
 
-    void reserve(Machine m, String key, JobSpec j) {
-        m.reservations.put(
-                key, new Machine.Reservation(key, j.cpus(), j.gpus(), j.memoryGb(), effects.now() + reserveMs));
+    /** Reserves the capacity of a task until its claim is in the view or the reservation time is over. */
+    void reserve(Machine machine, String taskKey, JobSpec spec) {
+        machine.reservations.put(
+                taskKey,
+                new Machine.Reservation(taskKey, spec.cpus(), spec.gpus(), spec.memoryGb(), effects.now() + reserveMs));
     }
 }
--- a/src/main/java/birchusher/workers/MachineStatus.java
+++ b/src/main/java/birchusher/workers/MachineStatus.java
@@ -3,9 +3,25 @@
 import java.util.List;
 
 /**
- * What an owner publishes about a machine, for drivers and the autoscaler. Only a hint: the owner checks every offer.
- * {@code silentMs} is 0 while reports come as they should; {@code idleSince} is our steady time, -1 while it has work. {@code reserved}: tasks whose
- * claims are awaited. {@code arriving}: reports, and will be usable as soon as its worker shows that it hears its owner.
+ * What an owner publishes about a machine, for job schedulers and the autoscaler. Only a hint: the owner checks every offer.
+ *
+ * @param machine name of the machine
+ * @param type index of its type in the catalog
+ * @param zone index of its zone in the catalog
+ * @param spot whether the cloud may take it back
+ * @param session session of its worker
+ * @param shard shard that it belongs to
+ * @param usable whether it may get tasks
+ * @param pendingConfirmation whether it reports and becomes usable as soon as its worker shows that it receives its owner's responses
+ * @param faulty whether it is to be returned because tasks of different jobs failed on it
+ * @param beingReturned whether it is to be returned to the cloud
+ * @param silentMs for how long it has been silent or does not show that it receives responses; 0 while all is well
+ * @param idleSinceMs since when it has had no tasks, by the steady clock of this controller; -1: it has tasks
+ * @param speed its speed, 1: as estimated
+ * @param unclaimedUse CPUs, GPUs and memory in GB used by tasks without a claim
+ * @param fetchingImages pairs of an image being fetched and the expected remaining time in ms
+ * @param cachedImages images in its cache, most recently used first
+ * @param reservedTasks keys of the tasks that capacity is reserved for until their claims are made
  */
 public record MachineStatus(
         String machine,
--- a/src/main/java/birchusher/workers/MachineStatusExchange.java
+++ b/src/main/java/birchusher/workers/MachineStatusExchange.java
@@ -12,26 +12,28 @@
 import java.util.Map;
 
 /**
- * The whole fleet as this controller pictures it: its own machines, and what the other owners tell of theirs. Only news is
- * told, and now and then everything again, so that what controllers send each other grows with what happens and not with
- * machines times controllers.
+ * The statuses of all machines as this controller knows them: its own, and those that other owners publish. Only changes are published, and
+ * each status again at intervals, so that the traffic between controllers grows with the number of changes and not with machines times
+ * controllers. Not thread-safe: called on the controller's thread.
  */
 public final class MachineStatusExchange {
-    /** Each machine is told again after this long, in case that a record was lost. */
+    /** Each status is published again after this time, as records may be lost. */
     private static final long REPUBLISH_MS = 4_000;
-    /** What is not told again for this long is not counted on any more. */
+    /** A status that has not been received again for this long is not used. */
     private static final long STALE_MS = 11_000;
-    /** For so long it is remembered, for an owner to come. */
+    /** A received status is kept this long, for a new owner of the machine to start from. */
     private static final long FORGET_MS = 60_000;
 
+    /** A status as it was last published. */
     private record Published(PeerRecord.Machine machine, long publishedAtMs) {}
 
+    /** A status that another owner published. */
     private record Received(MachineStatus status, int owner, long receivedAtMs) {}
 
     private final Effects effects;
     private final Catalog catalog;
     private final Membership membership;
-    private final Map<String, Published> statusFromOwner = new HashMap<>();
+    private final Map<String, Published> published = new HashMap<>();
     private final Map<String, Received> received = new HashMap<>();
     private final List<String> removedMachines = new ArrayList<>();
     private Map<String, MachineStatus> statuses = Map.of();
@@ -43,164 +45,174 @@
         this.membership = membership;
     }
 
-    /** The present picture of the fleet; ours first, as we know our own machines best. */
+    /** All machine statuses as of the last {@link #mergeStatuses}, by machine. For own machines the own status takes precedence. */
     public Map<String, MachineStatus> statuses() {
         return statuses;
     }
 
+    /** Rebuilds the statuses from those of the own machines and those received from connected owners. */
     public void mergeStatuses(List<MachineStatus> own) {
         Map<String, MachineStatus> all = new LinkedHashMap<>();
-        for (MachineStatus p : own) {
-            all.put(p.machine(), p);
+        for (MachineStatus status : own) {
+            all.put(status.machine(), status);
         }
         for (var it = received.values().iterator(); it.hasNext(); ) {
-            Received t = it.next();
-            if (effects.now() - t.receivedAtMs > FORGET_MS) {
+            Received entry = it.next();
+            if (effects.now() - entry.receivedAtMs > FORGET_MS) {
                 it.remove();
-            } else if (membership.isConnected(t.owner) && effects.now() - t.receivedAtMs <= STALE_MS) {
-                all.putIfAbsent(t.status.machine(), t.status);
+            } else if (membership.isConnected(entry.owner) && effects.now() - entry.receivedAtMs <= STALE_MS) {
+                all.putIfAbsent(entry.status.machine(), entry.status);
             }
         }
         statuses = all;
     }
 
-    /** What another owner has last told of a machine, or null. */
+    /** The status that another owner last published for a machine, or null. */
     public MachineStatus statusFromOwner(String machine) {
-        Received t = received.get(machine);
-        return t == null ? null : t.status;
+        Received entry = received.get(machine);
+        return entry == null ? null : entry.status;
     }
 
-    /** Whether another controller lately told of a worker in a zone that it hears and that hears it. */
+    /** Whether another controller has lately published a machine in a zone that is reachable for it in both directions. */
     public boolean ownerReachesZone(int owner, int zone) {
-        for (Received t : received.values()) {
-            if (t.owner == owner
-                    && t.status.zone() == zone
-                    && t.status.usable()
-                    && t.status.silentMs() == 0
-                    && effects.now() - t.receivedAtMs <= STALE_MS) {
+        for (Received entry : received.values()) {
+            if (entry.owner == owner
+                    && entry.status.zone() == zone
+                    && entry.status.usable()
+                    && entry.status.silentMs() == 0
+                    && effects.now() - entry.receivedAtMs <= STALE_MS) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The kind of a machine that is in the picture, else -1. */
+    /** The kind of a machine by {@link LossRates#kind}, or -1 if its status is not known. */
     public int machineKind(String machine) {
-        MachineStatus p = statuses.get(machine);
-        return p == null ? -1 : LossRates.kind(p.type(), p.spot());
+        MachineStatus status = statuses.get(machine);
+        return status == null ? -1 : LossRates.kind(status.type(), status.spot());
     }
 
-    /** Somebody new listens: the next news is everything. */
+    /** Has the next {@link #changedStatuses} return all statuses, as a peer has connected. */
     public void publishAllNext() {
         publishAll = true;
     }
 
-    /** What the others don't know yet of our machines; {@link #left} belongs to it. */
+    /**
+     * The own statuses to publish: changed since they were last published, or due again. {@link #removedMachines} then returns what belongs to
+     * the same publication.
+     */
     public List<PeerRecord.Machine> changedStatuses(List<MachineStatus> own) {
         long now = effects.now();
-        List<PeerRecord.Machine> news = new ArrayList<>();
+        List<PeerRecord.Machine> changes = new ArrayList<>();
         Map<String, MachineStatus> present = new HashMap<>();
-        for (MachineStatus p : own) {
-            present.put(p.machine(), p);
-            PeerRecord.Machine m = toRecord(p);
-            Published before = statusFromOwner.get(p.machine());
+        for (MachineStatus status : own) {
+            present.put(status.machine(), status);
+            PeerRecord.Machine record = toRecord(status);
+            Published before = published.get(status.machine());
             if (publishAll
                     || before == null
                     || now - before.publishedAtMs >= REPUBLISH_MS
-                    || !before.machine.sameStatus(m)) {
-                news.add(m);
-                statusFromOwner.put(p.machine(), new Published(m, now));
+                    || !before.machine.sameStatus(record)) {
+                changes.add(record);
+                published.put(status.machine(), new Published(record, now));
             }
         }
         removedMachines.clear();
-        statusFromOwner.keySet().removeIf(name -> !present.containsKey(name) && removedMachines.add(name));
+        published.keySet().removeIf(name -> !present.containsKey(name) && removedMachines.add(name));
         publishAll = false;
-        return news;
+        return changes;
     }
 
-    /** Machines that the last news does not speak of any more: returned, or somebody else's now. */
+    /** Machines that were published before and no longer are: returned, or owned by another controller. */
     public List<String> removedMachines() {
         return List.copyOf(removedMachines);
     }
 
-    private PeerRecord.Machine toRecord(MachineStatus p) {
-        List<String> images = new ArrayList<>(p.cachedImages().length);
-        for (int i : p.cachedImages()) {
+    private PeerRecord.Machine toRecord(MachineStatus status) {
+        List<String> images = new ArrayList<>(status.cachedImages().length);
+        for (int i : status.cachedImages()) {
             images.add(catalog.images.name(i));
         }
-        List<String> fetching = new ArrayList<>(p.fetchingImages().length / 2);
-        List<Integer> fetchMs = new ArrayList<>(p.fetchingImages().length / 2);
-        for (int i = 0; i < p.fetchingImages().length; i += 2) {
-            fetching.add(catalog.images.name(p.fetchingImages()[i]));
-            fetchMs.add(p.fetchingImages()[i + 1]);
+        List<String> fetchingImages = new ArrayList<>(status.fetchingImages().length / 2);
+        List<Integer> fetchMs = new ArrayList<>(status.fetchingImages().length / 2);
+        for (int i = 0; i < status.fetchingImages().length; i += 2) {
+            fetchingImages.add(catalog.images.name(status.fetchingImages()[i]));
+            fetchMs.add(status.fetchingImages()[i + 1]);
         }
-        int flags = (p.usable() ? PeerRecord.Machine.USABLE : 0)
-                | (p.pendingConfirmation() ? PeerRecord.Machine.ARRIVING : 0)
-                | (p.faulty() ? PeerRecord.Machine.FAULTY : 0)
-                | (p.beingReturned() ? PeerRecord.Machine.LEAVING : 0);
-        int idle = p.idleSinceMs() < 0 ? -1 : (int) (effects.now() - p.idleSinceMs());
+        int flags = (status.usable() ? PeerRecord.Machine.USABLE : 0)
+                | (status.pendingConfirmation() ? PeerRecord.Machine.ARRIVING : 0)
+                | (status.faulty() ? PeerRecord.Machine.FAULTY : 0)
+                | (status.beingReturned() ? PeerRecord.Machine.LEAVING : 0);
+        int idleMs = status.idleSinceMs() < 0 ? -1 : (int) (effects.now() - status.idleSinceMs());
         return new PeerRecord.Machine(
-                p.machine(),
-                catalog.typeNames.name(p.type()),
-                catalog.zones.name(p.zone()),
-                p.spot(),
-                p.session(),
-                p.shard(),
+                status.machine(),
+                catalog.typeNames.name(status.type()),
+                catalog.zones.name(status.zone()),
+                status.spot(),
+                status.session(),
+                status.shard(),
                 flags,
-                p.silentMs() / 1_000 * 1_000,
-                idle,
-                p.speed(),
-                p.unclaimedUse()[0],
-                p.unclaimedUse()[1],
-                p.unclaimedUse()[2],
-                fetching,
+                status.silentMs() / 1_000 * 1_000,
+                idleMs,
+                status.speed(),
+                status.unclaimedUse()[0],
+                status.unclaimedUse()[1],
+                status.unclaimedUse()[2],
+                fetchingImages,
                 fetchMs,
                 images,
-                p.reservedTasks());
+                status.reservedTasks());
     }
 
-    public void onHeartbeat(int from, PeerRecord.Heartbeat h) {
+    /** Applies the machine statuses of a peer's heartbeat; {@code from}: index of the member. */
+    public void onHeartbeat(int from, PeerRecord.Heartbeat heartbeat) {
         long now = effects.now();
-        for (String name : h.withdrawnMachines()) {
-            Received t = received.get(name);
-            if (t != null && t.owner == from) {
+        for (String name : heartbeat.withdrawnMachines()) {
+            Received entry = received.get(name);
+            if (entry != null && entry.owner == from) {
                 received.remove(name);
             }
         }
-        h.deletedMachines().forEach(received::remove);
-        for (PeerRecord.Machine m : h.machines()) {
-            int zone = catalog.zones.find(m.zone());
-            if (zone < 0 || m.shard() < 0 || m.shard() >= membership.shardCount()) {
+        heartbeat.deletedMachines().forEach(received::remove);
+        for (PeerRecord.Machine record : heartbeat.machines()) {
+            int zone = catalog.zones.find(record.zone());
+            if (zone < 0 || record.shard() < 0 || record.shard() >= membership.shardCount()) {
                 continue;
             }
-            int[] images = m.images().stream().mapToInt(catalog.images::add).toArray();
-            int n = Math.min(m.fetchingImages().size(), m.fetchRemainingMs().size());
-            int[] fetching = new int[n * 2];
-            for (int i = 0; i < n; i++) {
-                fetching[2 * i] = catalog.images.add(m.fetchingImages().get(i));
-                fetching[2 * i + 1] = m.fetchRemainingMs().get(i);
+            int[] images =
+                    record.images().stream().mapToInt(catalog.images::add).toArray();
+            int fetchCount = Math.min(
+                    record.fetchingImages().size(), record.fetchRemainingMs().size());
+            int[] fetchingImages = new int[fetchCount * 2];
+            for (int i = 0; i < fetchCount; i++) {
+                fetchingImages[2 * i] =
+                        catalog.images.add(record.fetchingImages().get(i));
+                fetchingImages[2 * i + 1] = record.fetchRemainingMs().get(i);
             }
             received.put(
-                    m.name(),
+                    record.name(),
                     new Received(
                             new MachineStatus(
-                                    m.name(),
-                                    catalog.typeNames.add(m.type()),
+                                    record.name(),
+                                    catalog.typeNames.add(record.type()),
                                     zone,
-                                    m.spot(),
-                                    m.session(),
-                                    m.shard(),
-                                    (m.flags() & PeerRecord.Machine.USABLE) != 0,
-                                    (m.flags() & PeerRecord.Machine.ARRIVING) != 0,
-                                    (m.flags() & PeerRecord.Machine.FAULTY) != 0,
-                                    (m.flags() & PeerRecord.Machine.LEAVING) != 0,
-                                    m.silentMs(),
-                                    m.idleMs() < 0 ? -1 : now - m.idleMs(),
-                                    m.speed(),
-                                    new double[] {m.unclaimedCpus(), m.unclaimedGpus(), m.unclaimedMemoryGb()},
-                                    fetching,
+                                    record.spot(),
+                                    record.session(),
+                                    record.shard(),
+                                    (record.flags() & PeerRecord.Machine.USABLE) != 0,
+                                    (record.flags() & PeerRecord.Machine.ARRIVING) != 0,
+                                    (record.flags() & PeerRecord.Machine.FAULTY) != 0,
+                                    (record.flags() & PeerRecord.Machine.LEAVING) != 0,
+                                    record.silentMs(),
+                                    record.idleMs() < 0 ? -1 : now - record.idleMs(),
+                                    record.speed(),
+                                    new double[] {
+                                        record.unclaimedCpus(), record.unclaimedGpus(), record.unclaimedMemoryGb()
+                                    },
+                                    fetchingImages,
                                     images,
-                                    m.reservedTasks().stream()
+                                    record.reservedTasks().stream()
                                             .filter(MachineStatusExchange::isTaskKey)
                                             .toList()),
                             from,
@@ -208,7 +220,7 @@
         }
     }
 
-    /** A job's id, a slash and a number: what comes from outside is checked once, here. */
+    /** Whether a key is a job ID, a slash and a number of up to 6 digits; input from peers is validated only here. */
     private static boolean isTaskKey(String key) {
         int slash = key.lastIndexOf('/');
         return slash > 0
--- a/src/main/java/birchusher/workers/OutcomeRecorder.java
+++ b/src/main/java/birchusher/workers/OutcomeRecorder.java
@@ -19,14 +19,18 @@
 import java.util.Map;
 
 /**
- * Brings the ends of attempts into the store. The owner of the machine has the proof; the controller that drives the job
- * writes it, so that one writer gathers what happens to a job and its rows are not fought over. When that one does not
- * get it done in time, the owner writes by itself: both conditions are the same, so it can happen only once.
+ * Records the outcomes of attempts in the store. The owner of a machine has the proof that an attempt is over; the controller that schedules the
+ * job writes it, so that a single writer batches the changes of a job and its rows have no conflicting writers. If the job scheduler does not
+ * write it in time, the owner does. Both write under the same conditions, so each outcome is applied once.
+ *
+ * <p>Not thread-safe: called on the controller's thread.
  */
 public final class OutcomeRecorder {
     /**
-     * {@code DROPPED}, {@code SILENT}: lost together with all that was on the machine, as its worker's lease ended; the first by a worker that
-     * is back with a later session, the second by one that says nothing.
+     * How an attempt ended. {@code DROPPED}, {@code SILENT}: lost together with all other tasks of its machine, because the worker's lease
+     * ended; dropped by a worker that reports again in a later session, or by a worker that is silent.
+     *
+     * <p>Peers exchange the position of a constant, so the order stays.
      */
     public enum Outcome {
         DONE,
@@ -36,6 +40,7 @@
         DROPPED,
         SILENT;
 
+        /** Whether the attempt was lost: it ended with neither a result nor an error of its own. */
         boolean isLoss() {
             return this == LOST || isDroppedWithMachine();
         }
@@ -45,26 +50,38 @@
         }
     }
 
+    /** How long the job scheduler may take to write an outcome before the owner does. */
     private static final long SCHEDULER_TIMEOUT_MS = 4_000;
-    /** A thousand tasks dropped at once need longer: written by their owners meanwhile, each loss once cost a row of its own. */
+    /**
+     * The same for tasks dropped with their machine. A thousand tasks dropped at once take longer; when their owners wrote them meanwhile, each
+     * loss cost a row write of its own.
+     */
     private static final long BULK_TIMEOUT_MS = 12_000;
 
     private static final int MAX_ITEMS_PER_RECORD = 400;
-    /** Claims have ranks up to 4 and the last priority. */
+    /** Just above the ranks of new claims, which go up to 4 plus the last priority. */
     private static final int RANK_AFTER_CLAIMS = 4 + Priority.values().length;
     /**
-     * A task of an array that is done is in no hurry: its worker keeps the result, and others of its job end as well. One that
-     * was dropped is placed anew meanwhile, and leaves its row with the same writing. Any other loss is written soon: its room is free to
-     * other drivers only then.
+     * How long a change may wait to be batched with others of the same rows, for outcomes that are not urgent. The worker keeps the result of a
+     * finished array task, and other tasks of its job end soon as well. A dropped task is placed again meanwhile, and the same write removes
+     * its old claim.
      */
     private static final long MAX_WRITE_DELAY_MS = 2_000;
 
+    /** The same for any other outcome: other job schedulers see the capacity as free only once it is written. */
     private static final long SHORT_WRITE_DELAY_MS = 300;
 
+    /**
+     * An outcome that is not yet visible in the store.
+     *
+     * @param writeByMs when the owner writes it itself
+     * @param queued whether it is with the store client already
+     */
     private record Pending(Claim claim, Outcome outcome, long writeByMs, boolean queued) {}
 
-    /** Sends a record to a member. */
+    /** Sends records to other controllers. */
     public interface PeerSender {
+        /** Sends a record to a member, by its index. */
         void send(int member, PeerRecord r);
     }
 
@@ -85,151 +102,173 @@
             Membership membership,
             Counters counters,
             LostTasks losses,
-            PeerSender mesh) {
+            PeerSender peers) {
         this.effects = effects;
         this.view = view;
         this.store = store;
         this.membership = membership;
         this.counters = counters;
         this.losses = losses;
-        this.peers = mesh;
+        this.peers = peers;
     }
 
-    /** Whether the end of this attempt is known here and not yet seen in the store: until then it must not be reaped. */
-    public boolean pending(String attemptKey) {
+    /**
+     * Whether the outcome of this attempt is known here and not yet visible in the store. Until it is, the worker must keep the attempt, as its
+     * report is the only proof.
+     */
+    public boolean isPending(String attemptKey) {
         return pending.containsKey(attemptKey);
     }
 
-    /** The caller has the proof that the attempt is over. False if that was said before. */
-    boolean recordEnd(Claim c, Outcome kind) {
-        if (pending.containsKey(c.attemptKey())) {
+    /**
+     * Records the outcome of an attempt. The caller has the proof that the attempt is over.
+     *
+     * @return false if an outcome of the attempt is already pending
+     */
+    boolean recordEnd(Claim claim, Outcome outcome) {
+        if (pending.containsKey(claim.attemptKey())) {
             return false;
         }
-        int driver = membership.schedulerOf(c.job().spec.id());
-        markReleased(c, kind, membership.term(c.shard()), true, driver == 0);
-        if (driver > 0) {
+        int scheduler = membership.schedulerOf(claim.job().spec.id());
+        markReleased(claim, outcome, membership.term(claim.shard()), true, scheduler == 0);
+        if (scheduler > 0) {
             pending.put(
-                    c.attemptKey(),
+                    claim.attemptKey(),
                     new Pending(
-                            c,
-                            kind,
-                            effects.now() + (kind.isDroppedWithMachine() ? BULK_TIMEOUT_MS : SCHEDULER_TIMEOUT_MS),
+                            claim,
+                            outcome,
+                            effects.now() + (outcome.isDroppedWithMachine() ? BULK_TIMEOUT_MS : SCHEDULER_TIMEOUT_MS),
                             false));
-            outbox.computeIfAbsent(driver, k -> new ArrayList<>())
+            outbox.computeIfAbsent(scheduler, key -> new ArrayList<>())
                     .add(new PeerRecord.AttemptOutcome(
-                            c.job().spec.id(),
-                            c.task(),
-                            c.attempt(),
-                            c.machine(),
-                            c.shard(),
-                            membership.term(c.shard()),
-                            kind.ordinal()));
+                            claim.job().spec.id(),
+                            claim.task(),
+                            claim.attempt(),
+                            claim.machine(),
+                            claim.shard(),
+                            membership.term(claim.shard()),
+                            outcome.ordinal()));
         } else {
-            write(c, kind);
+            write(claim, outcome);
         }
         return true;
     }
 
-    /** The task may be placed anew before its row is written; errors first count against its machine and its job. */
-    private void markReleased(Claim c, Outcome kind, long term, boolean own, boolean ours) {
-        if (kind.isLoss() || kind == Outcome.NOT_STARTED) {
-            view.markReleased(new Job.ReleasedClaim(c, term, own, kind.isLoss()));
+    /**
+     * Marks the claim as released in the local view, so that the task can be placed again before its row is written. Not for errors: these must
+     * first count against their machine and job.
+     *
+     * @param ownProof whether this controller has the proof itself
+     * @param ownJob whether this controller schedules the job
+     */
+    private void markReleased(Claim claim, Outcome outcome, long term, boolean ownProof, boolean ownJob) {
+        if (outcome.isLoss() || outcome == Outcome.NOT_STARTED) {
+            view.markReleased(new Job.ReleasedClaim(claim, term, ownProof, outcome.isLoss()));
         }
-        if (kind != Outcome.DROPPED) {
-            // Only a machine that lives has their room and images: nothing was rented for the losses of dead ones while
-            // they counted here.
+        if (outcome != Outcome.DROPPED) {
+            // Only a live machine still has the images of the tasks and capacity for them. While the losses of dead
+            // machines counted here too, the autoscaler rented nothing for them.
             return;
         }
-        if (ours) {
-            losses.recordDropped(c.job().spec.id(), c.task(), c.machine(), effects.now());
+        if (ownJob) {
+            losses.recordDropped(claim.job().spec.id(), claim.task(), claim.machine(), effects.now());
         } else {
-            losses.recordDroppedForPeer(c.job().spec.id(), c.task(), c.machine(), effects.now());
+            losses.recordDroppedForPeer(claim.job().spec.id(), claim.task(), claim.machine(), effects.now());
         }
     }
 
-    private void write(Claim c, Outcome kind) {
-        pending.put(c.attemptKey(), new Pending(c, kind, Long.MAX_VALUE, true));
+    private void write(Claim claim, Outcome outcome) {
+        pending.put(claim.attemptKey(), new Pending(claim, outcome, Long.MAX_VALUE, true));
         boolean queued = store.enqueue(new ReleaseClaim(
-                c.job().spec.id(),
-                c.task(),
-                c.attempt(),
-                c.machine(),
-                c.shard(),
-                membership.term(c.shard()),
-                kind,
+                claim.job().spec.id(),
+                claim.task(),
+                claim.attempt(),
+                claim.machine(),
+                claim.shard(),
+                membership.term(claim.shard()),
+                outcome,
                 true));
         if (!queued) {
-            pending.remove(c.attemptKey());
-            view.unmarkReleased(c);
+            pending.remove(claim.attemptKey());
+            view.unmarkReleased(claim);
         }
     }
 
-    /** The record of an attempt has left the view, by whoever's hand. */
-    private void countOutcome(Pending p) {
-        counters.recordOutcome(p.outcome == Outcome.DONE);
+    /** Counts an outcome whose claim has left the view, whichever controller wrote it. */
+    private void countOutcome(Pending next) {
+        counters.recordOutcome(next.outcome == Outcome.DONE);
     }
 
-    private boolean isStillClaimed(Claim c) {
-        Job j = view.job(c.job().spec.id());
-        Claim now = j == null ? null : j.claim(c.task());
-        return now != null && now.attempt() == c.attempt() && now.machine().equals(c.machine());
+    private boolean isStillClaimed(Claim claim) {
+        Job job = view.job(claim.job().spec.id());
+        Claim current = job == null ? null : job.claim(claim.task());
+        return current != null
+                && current.attempt() == claim.attempt()
+                && current.machine().equals(claim.machine());
     }
 
-    /** Sends what has gathered, and writes what drivers did not. */
+    /** Sends the gathered outcomes to the job schedulers, and writes those that they did not write in time. */
     public void tick() {
-        outbox.forEach((driver, items) -> {
+        outbox.forEach((scheduler, items) -> {
             for (int i = 0; i < items.size(); i += MAX_ITEMS_PER_RECORD) {
                 peers.send(
-                        driver,
+                        scheduler,
                         new PeerRecord.AttemptOutcomes(
                                 items.subList(i, Math.min(items.size(), i + MAX_ITEMS_PER_RECORD))));
             }
         });
         outbox.clear();
-        List<Pending> late = null;
+        List<Pending> overdue = null;
         for (var it = pending.values().iterator(); it.hasNext(); ) {
-            Pending p = it.next();
-            if (!isStillClaimed(p.claim)) {
+            Pending next = it.next();
+            if (!isStillClaimed(next.claim)) {
                 it.remove();
-                countOutcome(p);
-            } else if (!membership.owns(p.claim.shard())) {
-                // Not ours to say any more; the new owner finds its own proof.
-                view.unmarkReleased(p.claim);
+                countOutcome(next);
+            } else if (!membership.owns(next.claim.shard())) {
+                // Only the owner may release the claim; the new owner finds its own proof.
+                view.unmarkReleased(next.claim);
                 it.remove();
-            } else if (!p.queued && effects.now() > p.writeByMs) {
-                late = late == null ? new ArrayList<>() : late;
-                late.add(p);
+            } else if (!next.queued && effects.now() > next.writeByMs) {
+                overdue = overdue == null ? new ArrayList<>() : overdue;
+                overdue.add(next);
             }
         }
-        if (late != null) {
-            late.forEach(p -> write(p.claim, p.outcome));
+        if (overdue != null) {
+            overdue.forEach(next -> write(next.claim, next.outcome));
         }
     }
 
-    /** As driver: writes what an owner has proof of, as long as that owner's term stands. */
-    public void onPeerOutcomes(PeerRecord.AttemptOutcomes r) {
-        for (PeerRecord.AttemptOutcome e : r.outcomes()) {
-            if (e.shard() >= 0
-                    && e.shard() < membership.shardCount()
-                    && e.kindOrdinal() >= 0
-                    && e.kindOrdinal() < Outcome.values().length) {
-                Outcome kind = Outcome.values()[e.kindOrdinal()];
+    /** As job scheduler: writes outcomes that the owner of a machine has proof of, on condition that the owner's term is unchanged. */
+    public void onPeerOutcomes(PeerRecord.AttemptOutcomes record) {
+        for (PeerRecord.AttemptOutcome item : record.outcomes()) {
+            if (item.shard() >= 0
+                    && item.shard() < membership.shardCount()
+                    && item.kindOrdinal() >= 0
+                    && item.kindOrdinal() < Outcome.values().length) {
+                Outcome outcome = Outcome.values()[item.kindOrdinal()];
                 boolean queued = store.enqueue(new ReleaseClaim(
-                        e.job(), e.task(), e.attempt(), e.machine(), e.shard(), e.term(), kind, false));
-                Job j = view.job(e.job());
-                Claim c = j == null || e.task() >= j.spec.tasks() ? null : j.claim(e.task());
+                        item.job(),
+                        item.task(),
+                        item.attempt(),
+                        item.machine(),
+                        item.shard(),
+                        item.term(),
+                        outcome,
+                        false));
+                Job job = view.job(item.job());
+                Claim claim = job == null || item.task() >= job.spec.tasks() ? null : job.claim(item.task());
                 if (queued
-                        && c != null
-                        && c.attempt() == e.attempt()
-                        && c.machine().equals(e.machine())
-                        && c.shard() == e.shard()) {
-                    markReleased(c, kind, e.term(), false, true);
+                        && claim != null
+                        && claim.attempt() == item.attempt()
+                        && claim.machine().equals(item.machine())
+                        && claim.shard() == item.shard()) {
+                    markReleased(claim, outcome, item.term(), false, true);
                 }
             }
         }
     }
 
-    /** Takes one claim out of its row, on condition that the term under which its end was proven still stands. */
+    /** Removes one claim from its row, on condition that the shard's term under which its end was proven is unchanged. */
     private final class ReleaseClaim implements Change {
         private final String jobId;
         private final int task;
@@ -244,26 +283,36 @@
         private final long expiresAtMs;
 
         ReleaseClaim(
-                String id, int task, long attempt, String machine, int shard, long term, Outcome kind, boolean own) {
-            this.jobId = id;
+                String jobId,
+                int task,
+                long attempt,
+                String machine,
+                int shard,
+                long term,
+                Outcome outcome,
+                boolean ownProof) {
+            this.jobId = jobId;
             this.task = task;
             this.attempt = attempt;
             this.machine = machine;
             this.shard = shard;
             this.term = term;
-            this.outcome = kind;
-            this.ownProof = own;
-            expiresAtMs = effects.now() + (kind.isDroppedWithMachine() ? BULK_TIMEOUT_MS : 10_000);
-            Job j = view.job(id);
-            isArray = j != null && j.spec.shape() == Shape.ARRAY;
-            // With the last ones the job is over, and its user waits for that.
-            endsJob = j != null && kind == Outcome.DONE && j.spec.tasks() - j.doneCount() <= 1 + j.spec.tasks() / 50;
+            this.outcome = outcome;
+            this.ownProof = ownProof;
+            expiresAtMs = effects.now() + (outcome.isDroppedWithMachine() ? BULK_TIMEOUT_MS : 10_000);
+            Job job = view.job(jobId);
+            isArray = job != null && job.spec.shape() == Shape.ARRAY;
+            // The last tasks (2 % and one more) end the job, and its user waits for that: they are written without
+            // delay.
+            endsJob = job != null
+                    && outcome == Outcome.DONE
+                    && job.spec.tasks() - job.doneCount() <= 1 + job.spec.tasks() / 50;
         }
 
         @Override
         public int rank() {
-            // What was dropped leaves its row with the claim that brings it back: going first, it took the changes
-            // those need.
+            // A dropped task's old claim is removed by the same change as makes the new one. Ranked first, the
+            // removals used up the write limit that the new claims needed.
             return outcome.isDroppedWithMachine() ? RANK_AFTER_CLAIMS : 3;
         }
 
@@ -283,8 +332,8 @@
 
         @Override
         public boolean addsNoWrites(Transaction tx) {
-            Job j = view.job(jobId);
-            return j != null && tx.editsChunk(jobId, task / j.chunkSize);
+            Job job = view.job(jobId);
+            return job != null && tx.editsChunk(jobId, task / job.chunkSize);
         }
 
         @Override
@@ -294,31 +343,35 @@
 
         @Override
         public boolean build(Transaction tx) {
-            Job j = view.job(jobId);
-            // The owner may raise its own term and stays entitled; a driver knows only the term it was told.
-            if (j == null
-                    || task >= j.spec.tasks()
+            Job job = view.job(jobId);
+            // The owner may raise its own term and remains the owner; a job scheduler knows only the term in the
+            // peer's record.
+            if (job == null
+                    || task >= job.spec.tasks()
                     || (ownProof ? !membership.owns(shard) : membership.term(shard) != term)) {
                 return false;
             }
-            Claim now = j.claim(task);
-            if (now == null || now.attempt() != attempt || !now.machine().equals(machine) || now.shard() != shard) {
+            Claim current = job.claim(task);
+            if (current == null
+                    || current.attempt() != attempt
+                    || !current.machine().equals(machine)
+                    || current.shard() != shard) {
                 return false;
             }
-            Chunk chunk = tx.editChunk(j, task / j.chunkSize);
-            Claim there = chunk.claims.get(task);
-            if (there == null || there.attempt() != attempt) {
-                // The same transaction places the task anew, and has taken this claim out for that.
+            Chunk chunk = tx.editChunk(job, task / job.chunkSize);
+            Claim claimInRow = chunk.claims.get(task);
+            if (claimInRow == null || claimInRow.attempt() != attempt) {
+                // The same transaction places the task again and has replaced this claim.
                 return true;
             }
             tx.requireUnchanged(membership.shardKey(shard));
             chunk.claims.remove(task);
             if (outcome == Outcome.DONE) {
-                if (j.spec.isGang()) {
-                    // One done means all done: the rest exit by themselves.
+                if (job.spec.isGang()) {
+                    // One finished task means that the gang is done: the others exit by themselves.
                     chunk.done.set(0, chunk.size());
                 } else {
-                    chunk.done.set(task - chunk.index * j.chunkSize);
+                    chunk.done.set(task - chunk.index * job.chunkSize);
                 }
                 chunk.consecutiveErrors = 0;
             } else if (outcome == Outcome.ERROR) {
@@ -332,23 +385,23 @@
 
         @Override
         public void committed(long revision) {
-            // The view tells: see tick.
+            // Nothing to do: tick() notices in the view that the claim is gone.
         }
 
         @Override
         public void dropped() {
-            Job j = view.job(jobId);
-            Claim now = j == null || task >= j.spec.tasks() ? null : j.claim(task);
-            if (now == null || now.attempt() != attempt) {
-                // It has left the view, perhaps by this very change, whose answer was lost: see tick, which counts it.
+            Job job = view.job(jobId);
+            Claim current = job == null || task >= job.spec.tasks() ? null : job.claim(task);
+            if (current == null || current.attempt() != attempt) {
+                // The claim has left the view, perhaps by this very change if its response was lost; tick() counts it.
                 return;
             }
             if (ownProof) {
                 pending.remove(Claim.attemptKey(jobId, task, attempt));
             }
-            if (!pending.containsKey(now.attemptKey())) {
-                // It can't be written: whoever plans must see the place taken again.
-                view.unmarkReleased(now);
+            if (!pending.containsKey(current.attemptKey())) {
+                // The outcome can't be written: planners must see the capacity as used again.
+                view.unmarkReleased(current);
             }
         }
     }
--- a/src/main/java/birchusher/workers/OwnerRedirect.java
+++ b/src/main/java/birchusher/workers/OwnerRedirect.java
@@ -10,33 +10,36 @@
 import java.util.Map;
 
 /**
- * Reports of workers whose shard another controller owns. They are sent to that owner. Where several come back, or one comes back twice, and
- * one of them answers when asked, they can't reach their owner, and the shard is taken over.
+ * Handles reports of workers whose shard another controller owns: redirects them to that owner. If several come back, or one comes back twice,
+ * and one of them answers a probe, they can't reach their owner, and the shard is taken over. Not thread-safe: called on the controller's thread.
  */
 final class OwnerRedirect {
-    /** How long a worker may take to show that it hears us; within this a shard's workers are asked once. */
+    /** Time-out of a probe; within this time one worker of a shard is probed at most. */
     private static final int PROBE_MS = 3_000;
-    /** So many workers of a shard within this time, and at least one in ten, have lost their owner together. */
+    /**
+     * If at least {@link #MIN_LOST_WORKERS} workers of a shard, and at least one in {@link #LOST_WORKERS_DIVISOR}, report here within this time,
+     * they have lost their owner together.
+     */
     private static final long LOST_OWNER_WINDOW_MS = 8_000;
-    /** Three heartbeats: an owner that has died is no longer heard by then, and its shards are taken as always. */
+    /** Three heartbeats: after this time a crashed owner is no longer connected, and its shards are taken over in the ordinary way. */
     private static final long OWNER_DEATH_DETECTION_MS = 1_500;
 
     private static final int MIN_LOST_WORKERS = 3;
     private static final int LOST_WORKERS_DIVISOR = 10;
-    /** A worker that was sent to the same owner again within this is still on its way there. */
+    /** A worker redirected to the same owner again within this time is still trying to reach it. */
     private static final long REDIRECT_MEMORY_MS = 15_000;
 
     private static final int MAX_REDIRECTED = 5_000;
 
-    /** Since when, and when last, a worker has been sent to one owner; in ms of the steady clock. */
+    /** When a worker was first and last redirected to one owner, in ms of the steady clock. */
     private record Redirect(long firstAtMs, long lastAtMs) {}
 
     private final Effects effects;
     private final Membership membership;
     private final MachineStatusExchange statusExchange;
-    /** Per shard: until when a worker that was sent away and is back is being asked whether it hears anybody. */
+    /** Per shard: until when a probe of one of its workers is in flight. */
     private final Map<Integer, Long> probeUntilMs = new HashMap<>();
-    /** Per shard: machines that its owner tells of and that lately came here all the same, and when they first did. */
+    /** Per shard: machines that its owner publishes and that lately reported here nevertheless, and when they first did. */
     private final Map<Integer, Map<String, Long>> workersThatLostOwner = new HashMap<>();
 
     private final Map<String, Redirect> redirects = new LinkedHashMap<>(64, 0.75f, true) {
@@ -48,13 +51,13 @@
         }
     };
 
-    OwnerRedirect(Effects effects, Membership membership, MachineStatusExchange book) {
+    OwnerRedirect(Effects effects, Membership membership, MachineStatusExchange statusExchange) {
         this.effects = effects;
         this.membership = membership;
-        this.statusExchange = book;
+        this.statusExchange = statusExchange;
     }
 
-    /** Answers a report of a worker whose shard is another controller's: 421 naming the owner, or 503 while none is known to live. */
+    /** Answers a report of a worker whose shard another controller owns: 421 naming the owner, or 503 while no owner is known to be alive. */
     void redirect(long exchange, Report report, int shard) {
         int owner = membership.aliveOwner(shard);
         if (owner <= 0) {
@@ -63,51 +66,53 @@
             return;
         }
         long now = effects.now();
-        // Per owner: having been sent to one that died since says nothing about the one that took its place.
-        Redirect sent = redirects.compute(
+        // Counted per owner: a redirect to one that has crashed since says nothing about the one that took the shard
+        // over.
+        Redirect redirect = redirects.compute(
                 report.machine() + "@" + owner,
                 (key, old) -> new Redirect(
                         old == null || now - old.lastAtMs > REDIRECT_MEMORY_MS ? now : old.firstAtMs, now));
         if (severalLostOwner(shard, owner, report.machine(), now)
-                || now - sent.firstAtMs > PROBE_MS && isSilent(report.machine())) {
-            // Sent away, it could not report there, and is back; where connections are refused at once, after a second
-            // each time.
+                || now - redirect.firstAtMs > PROBE_MS && isSilent(report.machine())) {
+            // After its redirect the worker could not report to the owner and is back; where connections are refused
+            // at once, it is back after a second each time.
             probe(shard, report);
         }
         effects.answer(exchange, 421, Map.of(Wire.REPORT_TO, membership.memberName(owner)));
     }
 
-    /** Whether no owner that lives tells of a machine as one that it hears. */
+    /** Whether no connected owner publishes a machine as reachable. */
     private boolean isSilent(String machine) {
-        MachineStatus picture = statusExchange.statuses().get(machine);
-        return picture == null || picture.silentMs() > 0;
+        MachineStatus status = statusExchange.statuses().get(machine);
+        return status == null || status.silentMs() > 0;
     }
 
     /**
-     * Workers that their owner tells of have no reason to come here but that it does not answer them. One may be odd; several, while the
-     * owner is heard of and has not just been restarted, need not be sent back and wait for their second failure: where leases are
-     * short, that was too late for all of them.
+     * Whether several workers of a shard have lost their connected owner. Workers that their owner publishes report here only if it does not
+     * answer them. A single one may be an exception. Several, while the owner is connected and was not just restarted, need not be
+     * redirected until their second failure: where leases are short, that was too late for all of them.
      */
     private boolean severalLostOwner(int shard, int owner, String machine, long now) {
         if (statusExchange.statuses().get(machine) == null) {
             return false;
         }
-        Map<String, Long> here = workersThatLostOwner.computeIfAbsent(shard, key -> new HashMap<>());
-        here.values().removeIf(at -> now - at > LOST_OWNER_WINDOW_MS);
-        here.putIfAbsent(machine, now);
-        if (here.size() < MIN_LOST_WORKERS || !membership.isConnectedFor(owner, LOST_OWNER_WINDOW_MS)) {
+        Map<String, Long> reportedHere = workersThatLostOwner.computeIfAbsent(shard, key -> new HashMap<>());
+        reportedHere.values().removeIf(firstAtMs -> now - firstAtMs > LOST_OWNER_WINDOW_MS);
+        reportedHere.putIfAbsent(machine, now);
+        if (reportedHere.size() < MIN_LOST_WORKERS || !membership.isConnectedFor(owner, LOST_OWNER_WINDOW_MS)) {
             return false;
         }
-        long since = Collections.min(here.values());
-        long known = statusExchange.statuses().values().stream()
-                .filter(picture -> picture.shard() == shard)
+        long oldestMs = Collections.min(reportedHere.values());
+        long published = statusExchange.statuses().values().stream()
+                .filter(status -> status.shard() == shard)
                 .count();
-        return now - since >= OWNER_DEATH_DETECTION_MS && here.size() * LOST_WORKERS_DIVISOR >= known;
+        return now - oldestMs >= OWNER_DEATH_DETECTION_MS && reportedHere.size() * LOST_WORKERS_DIVISOR >= published;
     }
 
     /**
-     * A worker that hears nobody wanders over all controllers as well, and copies of old reports come back too: neither must move a
-     * shard, with all its workers, to us. Whoever lives and hears us answers when asked.
+     * Asks a worker for its report, and if it answers, reports its shard's owner as unreachable. A worker that does not receive responses also
+     * tries all controllers in turn, and duplicates of old reports arrive too; neither may move a shard, with all of its workers, to this
+     * controller. Only a worker that is alive and receives requests from here answers the probe.
      */
     private void probe(int shard, Report report) {
         if (effects.now() < probeUntilMs.getOrDefault(shard, 0L)) {
@@ -119,7 +124,7 @@
                 return;
             }
             Report answer = Report.read(body);
-            // What came here was its last message, or the one before: no copy that was long on its way.
+            // The report was the worker's last message or one shortly before: not a duplicate that was long delayed.
             if (answer.machine().equals(report.machine())
                     && answer.session() == report.session()
                     && answer.seq() <= report.seq() + 2) {
--- a/src/main/java/birchusher/workers/Report.java
+++ b/src/main/java/birchusher/workers/Report.java
@@ -5,7 +5,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A worker's report, checked. {@code noticeS} below 0: none. */
+/**
+ * A worker's report, validated.
+ *
+ * @param address where the worker takes direct commands
+ * @param session number of the worker's session; later sessions have higher numbers
+ * @param seq sequence number within the session
+ * @param fencingToken the highest term that the worker has seen; 0: none
+ * @param noticeS seconds until the cloud takes the machine back; below 0: no notice
+ * @param tasks by attempt key
+ */
 public record Report(
         String machine,
         String address,
@@ -19,25 +28,26 @@
         Map<String, ReportedTask> tasks) {
     private static final int MAX_TASKS = 2_000;
 
-    public static Report read(Map<String, Object> m) {
+    /** Reads a report from a message body; throws {@link Fields.InvalidInputException} if it is invalid. */
+    public static Report read(Map<String, Object> fields) {
         Map<String, ReportedTask> tasks = new LinkedHashMap<>();
-        for (Object o : Fields.list(m, Wire.TASKS)) {
-            ReportedTask e = ReportedTask.read(Fields.map(o, Wire.TASKS));
-            tasks.put(e.attemptKey(), e);
+        for (Object item : Fields.list(fields, Wire.TASKS)) {
+            ReportedTask task = ReportedTask.read(Fields.map(item, Wire.TASKS));
+            tasks.put(task.attemptKey(), task);
             if (tasks.size() > MAX_TASKS) {
                 throw new Fields.InvalidInputException(Wire.TASKS + ": too many");
             }
         }
         return new Report(
-                Fields.text(m, Wire.MACHINE),
-                Fields.text(m, Wire.ADDR),
-                Fields.text(m, Wire.TYPE),
-                Fields.text(m, Wire.ZONE),
-                Fields.flag(m, Wire.SPOT),
-                Fields.count(m, Wire.SESSION),
-                Fields.count(m, Wire.SEQ),
-                Fields.countOr(m, Wire.TOKEN, 0),
-                m.get(Wire.NOTICE) == null ? -1 : Fields.amount(m, Wire.NOTICE),
+                Fields.text(fields, Wire.MACHINE),
+                Fields.text(fields, Wire.ADDR),
+                Fields.text(fields, Wire.TYPE),
+                Fields.text(fields, Wire.ZONE),
+                Fields.flag(fields, Wire.SPOT),
+                Fields.count(fields, Wire.SESSION),
+                Fields.count(fields, Wire.SEQ),
+                Fields.countOr(fields, Wire.TOKEN, 0),
+                fields.get(Wire.NOTICE) == null ? -1 : Fields.amount(fields, Wire.NOTICE),
                 tasks);
     }
 }
--- a/src/main/java/birchusher/workers/ReportedTask.java
+++ b/src/main/java/birchusher/workers/ReportedTask.java
@@ -5,9 +5,14 @@
 import birchusher.wire.Wire;
 import java.util.Map;
 
-/** One task as a worker reports it. */
+/**
+ * One task attempt as a worker reports it.
+ *
+ * @param taskKey job ID, slash and the task's index
+ * @param saved whether it wrote a checkpoint before it exited
+ */
 public record ReportedTask(String taskKey, long attempt, Phase phase, ExitReason exitReason, boolean saved) {
-    /** Where a task stands on its machine. */
+    /** The progress of an attempt on its machine. */
     public enum Phase {
         FETCHING,
         WAITING,
@@ -16,16 +21,21 @@
         EXITED
     }
 
-    /** Why a task exited; {@link #NONE} before it has. */
+    /** Why an attempt exited; {@link #NONE} before it has. */
     public enum ExitReason {
         NONE,
         DONE,
         STOPPED,
+        /** Other tasks of its gang are gone. */
         PEERS,
+        /** Its gang did not become complete in time. */
         ALONE,
         ERROR,
+        /** The machine has no capacity for it. */
         NO_ROOM,
+        /** Another attempt of the task has not exited on the machine. */
         BUSY,
+        /** The API knows no such job or task. */
         UNKNOWN
     }
 
@@ -37,9 +47,10 @@
         return taskKey + "#" + attempt;
     }
 
-    public static ReportedTask read(Map<String, Object> m) {
+    /** Reads a task from the body of a report; throws {@link InvalidInputException} if it is invalid. */
+    public static ReportedTask read(Map<String, Object> fields) {
         Phase phase =
-                switch (Fields.text(m, Wire.STATE)) {
+                switch (Fields.text(fields, Wire.STATE)) {
                     case "fetching" -> Phase.FETCHING;
                     case "waiting" -> Phase.WAITING;
                     case "running" -> Phase.RUNNING;
@@ -47,9 +58,9 @@
                     case "exited" -> Phase.EXITED;
                     default -> throw new InvalidInputException(Wire.STATE + ": unknown");
                 };
-        ExitReason why = m.get(Wire.WHY) == null
+        ExitReason exitReason = fields.get(Wire.WHY) == null
                 ? ExitReason.NONE
-                : switch (Fields.text(m, Wire.WHY)) {
+                : switch (Fields.text(fields, Wire.WHY)) {
                     case "done" -> ExitReason.DONE;
                     case "halted" -> ExitReason.STOPPED;
                     case "mates_gone" -> ExitReason.PEERS;
@@ -60,10 +71,10 @@
                     default -> ExitReason.ERROR;
                 };
         return new ReportedTask(
-                Fields.text(m, Wire.TASK),
-                Fields.count(m, Wire.ATTEMPT),
+                Fields.text(fields, Wire.TASK),
+                Fields.count(fields, Wire.ATTEMPT),
                 phase,
-                why,
-                Boolean.TRUE.equals(m.get(Wire.SAVED)));
+                exitReason,
+                Boolean.TRUE.equals(fields.get(Wire.SAVED)));
     }
 }
--- a/src/main/java/birchusher/workers/SafetyChecks.java
+++ b/src/main/java/birchusher/workers/SafetyChecks.java
@@ -8,27 +8,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What must hold whatever happens, checked where it could be broken, by other means than the code that is to keep it. A broken rule is counted
- * ({@code unsafe=}) and logged as an ERROR line; where assertions are enabled, as in tests, it ends the run. Nothing is decided here.
+ * Checks safety invariants where they could be violated, by other means than the code that maintains them. A violation is counted
+ * ({@code unsafe=}) and logged as an error; where assertions are enabled, as in tests, it throws an {@link AssertionError}. The checks take no
+ * decisions.
  */
 final class SafetyChecks {
     private static final Logger LOG = LoggerFactory.getLogger(SafetyChecks.class);
     private static final int MAX_TASKS = 50_000;
     private static final long LOG_INTERVAL_MS = 1_000;
 
-    /** What the owner of the machines knows of them. */
+    /** The machines of the shards that this controller owns. */
     interface OwnedMachines {
-        /** A machine whose shard we own and whose worker has heard us, or null: nothing can be told of others. */
+        /** A machine whose shard is owned and whose worker has shown the present term, or null: nothing is certain about others. */
         Machine ownedAndCurrent(String name);
 
-        /** When the worker of a machine of ours has certainly dropped its tasks; {@link WorkerLease#NEVER}: nobody can tell. */
+        /** When the worker of an owned machine has certainly dropped its tasks, or {@link WorkerLease#NO_KNOWN_END}. */
         long leaseEndMs(Machine machine);
     }
 
     private final Effects effects;
     private final Counters counters;
     private final OwnedMachines machines;
-    /** By task: the machine of ours that last showed an attempt of it. The longest unseen are forgotten first. */
+    /** By task: the owned machine that last reported an attempt of it. The least recently used entries are dropped first. */
     private final Map<String, String> lastReportedOn = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
@@ -46,19 +47,19 @@
         this.machines = machines;
     }
 
-    /** A report shows an attempt of a task, not exited, on a machine of ours. */
+    /** Notes that an owned machine reported an attempt of a task that has not exited. */
     void recordReported(String task, Machine machine) {
         lastReportedOn.put(task, machine.name);
     }
 
-    /** No task leaves a silent machine before the latest end of all that its worker was granted. */
+    /** Checks that no claim of a silent machine is released before the latest possible end of its worker's lease. */
     void checkReleaseOfSilent(Claim claim, Machine machine) {
         if (effects.now() < machines.leaseEndMs(machine)) {
             reportViolation("release_before_lease_end", claim, machine);
         }
     }
 
-    /** No task is started while another machine of ours may still run an attempt of it. Machines of other owners are not seen here. */
+    /** Checks that no task is started while another owned machine may still run an attempt of it. Machines of other owners are not checked. */
     void checkStart(Claim claim, Machine target) {
         String name = lastReportedOn.get(claim.taskKey());
         Machine other = name == null || name.equals(target.name) ? null : machines.ownedAndCurrent(name);
@@ -71,8 +72,8 @@
         if (machine.deleted || effects.now() >= machines.leaseEndMs(machine)) {
             return false;
         }
-        for (ReportedTask entry : machine.reportedTasks.values()) {
-            if (!entry.exited() && entry.taskKey().equals(task)) {
+        for (ReportedTask reported : machine.reportedTasks.values()) {
+            if (!reported.exited() && reported.taskKey().equals(task)) {
                 return true;
             }
         }
--- a/src/main/java/birchusher/workers/Tombstones.java
+++ b/src/main/java/birchusher/workers/Tombstones.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * The last message of each machine that is not followed any more. The order of a machine's messages is known only by comparison:
- * without this, a copy that came long after its machine was returned showed it as up, free and under our term, and got work.
- * Bounded; the longest departed are forgotten first, when copies of theirs are long over.
+ * The last message of each machine that is no longer tracked. Whether a report is newer can be told only by comparing it with the last message.
+ * Without this, a duplicate that arrived long after its machine was returned showed the machine as up, free and under the present term, and
+ * the machine got tasks. Bounded: the machines removed longest ago are dropped first, when duplicates of theirs no longer arrive.
  */
 final class Tombstones {
     private static final int MAX_MACHINES = 20_000;
@@ -17,25 +17,31 @@
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, LastMessage> e) {
+        protected boolean removeEldestEntry(Map.Entry<String, LastMessage> eldest) {
             return size() > MAX_MACHINES;
         }
     };
 
-    void recordRemoval(Machine m) {
-        LastMessage old = lastMessages.get(m.name);
-        lastMessages.put(m.name, new LastMessage(m.session, m.lastSeq, m.deleted || old != null && old.deleted));
+    /** Keeps the last message of a machine that is no longer tracked. */
+    void recordRemoval(Machine machine) {
+        LastMessage old = lastMessages.get(machine.name);
+        lastMessages.put(
+                machine.name,
+                new LastMessage(machine.session, machine.lastSeq, machine.deleted || old != null && old.deleted));
     }
 
-    /** The cloud confirmed the deletion. Names are never given again, so that is for good. */
+    /** Notes that the cloud confirmed the deletion of a machine. Names are never reused, so no later report of it is admitted. */
     void recordDeletion(String machine) {
         LastMessage old = lastMessages.get(machine);
         lastMessages.put(machine, new LastMessage(old == null ? 0 : old.session, old == null ? 0 : old.seq, true));
     }
 
-    /** Whether a report may begin a machine's following: it is not gone, and this is newer than all that was heard of it. */
-    boolean admits(Report r) {
-        LastMessage l = lastMessages.get(r.machine());
-        return l == null || !l.deleted && (r.session() > l.session || r.session() == l.session && r.seq() > l.seq);
+    /** Whether a report may start the tracking of its machine: the machine is not deleted, and the report is newer than its last message. */
+    boolean admits(Report report) {
+        LastMessage last = lastMessages.get(report.machine());
+        return last == null
+                || !last.deleted
+                        && (report.session() > last.session
+                                || report.session() == last.session && report.seq() > last.seq);
     }
 }
--- a/src/main/java/birchusher/workers/WorkerRegistry.java
+++ b/src/main/java/birchusher/workers/WorkerRegistry.java
@@ -26,14 +26,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The workers this controller owns: their reports, the commands they get, and the proofs that tasks are gone. A claim
- * leaves the store only through {@link #release}, and each caller of it names its proof.
+ * The workers of the shards that this controller owns: handles their reports, sends their commands, and collects the proofs that tasks are
+ * gone. A claim is removed from the store only through {@link #releaseClaim}, and each of its callers names the proof.
+ *
+ * <p>Not thread-safe: everything is called on the controller's thread. All times are milliseconds of the steady clock.
  */
 public final class WorkerRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerRegistry.class);
-    /** Steps come many times a second; after such a pause we stood still. */
+    /** Ticks come many times a second; a longer gap between two of them counts as a process pause. */
     private static final long PAUSE_THRESHOLD_MS = 2_000;
-    /** Events that other slices want to hear of. */
+    /** Stops gangs; implemented by the job scheduler, as the tasks of a gang may run on machines of several owners. */
     public interface GangStopper {
         void stopGang(Job job, double graceS, String reason);
     }
@@ -49,7 +51,7 @@
     private final Counters counters;
     private final GangStopper gangStopper;
     private final OutcomeRecorder outcomes;
-    /** What the owners before us told of their machines, so that a new owner starts from what the old one knew. */
+    /** Holds the statuses that previous owners published, so that a new owner of a machine starts from what the old one knew. */
     private final MachineStatusExchange statusExchange;
 
     private final MachineCapacity capacity;
@@ -63,7 +65,10 @@
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final List<Machine> changedMachines = new ArrayList<>();
     private final long quarantineMs;
-    /** Since when we have listened without a break: whoever stood still has heard nobody, which tells nothing of the machines. */
+    /**
+     * End of the last process pause, -1 before the first tick. A stalled process receives no reports, so missing reports from before this
+     * time say nothing about the machines.
+     */
     private long listeningSinceMs = -1;
 
     private long lastTickMs = Long.MIN_VALUE / 2;
@@ -72,34 +77,34 @@
 
     public WorkerRegistry(
             Effects effects,
-            Settings s,
+            Settings settings,
             Catalog catalog,
             StoreView view,
             StoreClient store,
             Membership membership,
-            EstimateBias speeds,
-            Tuning t,
+            EstimateBias estimateBias,
+            Tuning tuning,
             Counters counters,
             OutcomeRecorder outcomes,
-            MachineStatusExchange book,
-            ActionCounters orders,
-            GangStopper listener,
+            MachineStatusExchange statusExchange,
+            ActionCounters actionCounters,
+            GangStopper gangStopper,
             Predicate<String> guaranteed) {
         this.effects = effects;
-        this.settings = s;
+        this.settings = settings;
         this.catalog = catalog;
         this.view = view;
         this.store = store;
         this.membership = membership;
-        this.estimateBias = speeds;
+        this.estimateBias = estimateBias;
         this.counters = counters;
-        this.gangStopper = listener;
+        this.gangStopper = gangStopper;
         this.outcomes = outcomes;
-        this.statusExchange = book;
-        this.actionCounters = orders;
-        leaseSettings = LeaseSettings.from(t);
-        quarantineMs = t.ms("workers.quarantine-s");
-        capacity = new MachineCapacity(effects, catalog, view, outcomes, guaranteed, t.ms("placement.reserve-s"));
+        this.statusExchange = statusExchange;
+        this.actionCounters = actionCounters;
+        leaseSettings = LeaseSettings.from(tuning);
+        quarantineMs = tuning.ms("workers.quarantine-s");
+        capacity = new MachineCapacity(effects, catalog, view, outcomes, guaranteed, tuning.ms("placement.reserve-s"));
         safetyChecks = new SafetyChecks(effects, counters, new SafetyChecks.OwnedMachines() {
             @Override
             public Machine ownedAndCurrent(String name) {
@@ -114,74 +119,85 @@
         });
         commands = new Commands(
                 effects,
-                s,
+                settings,
                 catalog,
                 view,
                 store,
                 membership,
                 outcomes,
-                orders,
+                actionCounters,
                 safetyChecks,
                 new Commands.AttemptTracker() {
                     @Override
-                    public AttemptState newAttempt(Machine m, JobSpec j, long now) {
-                        return WorkerRegistry.this.newAttempt(m, j, now);
+                    public AttemptState newAttempt(Machine machine, JobSpec spec, long now) {
+                        return WorkerRegistry.this.newAttempt(machine, spec, now);
                     }
 
                     @Override
-                    public boolean acceptReport(Machine m, Report r, int zone) {
-                        return WorkerRegistry.this.acceptReport(m, r, zone, true);
+                    public boolean acceptReport(Machine machine, Report report, int zone) {
+                        return WorkerRegistry.this.acceptReport(machine, report, zone, true);
                     }
                 });
-        reachability =
-                new Reachability(commands.reportTimeoutMs(), 1 + s.peers().size());
-        ownerRedirect = new OwnerRedirect(effects, membership, book);
+        reachability = new Reachability(
+                commands.reportTimeoutMs(), 1 + settings.peers().size());
+        ownerRedirect = new OwnerRedirect(effects, membership, statusExchange);
         view.onMachineChange(this::markChanged);
     }
 
-    private void markChanged(String machine) {
-        Machine m = machines.get(machine);
-        if (m != null && !m.changed) {
-            m.changed = true;
-            changedMachines.add(m);
+    private void markChanged(String machineName) {
+        Machine machine = machines.get(machineName);
+        if (machine != null && !machine.changed) {
+            machine.changed = true;
+            changedMachines.add(machine);
         }
     }
 
     // ---- reports
 
+    /**
+     * Answers the report of a worker: 200 with commands, 421 if another controller owns the worker's shard, or 503 if this controller can't
+     * act for the worker.
+     *
+     * @param exchange the HTTP exchange to answer
+     */
     public void onReport(long exchange, Map<String, Object> body) {
-        Report r = Report.read(body);
-        int zone = catalog.zones.find(r.zone());
+        Report report = Report.read(body);
+        int zone = catalog.zones.find(report.zone());
         if (!store.loaded() || !membership.canAct() || zone < 0) {
             effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
-        int shard = membership.shardOf(r.machine(), zone);
+        int shard = membership.shardOf(report.machine(), zone);
         if (!membership.owns(shard)) {
-            ownerRedirect.redirect(exchange, r, shard);
+            ownerRedirect.redirect(exchange, report, shard);
             return;
         }
         long term = membership.term(shard);
-        if (r.fencingToken() > term) {
-            // Someone holds a higher term than we know of: an answer of ours would be dropped and hold the worker here.
+        if (report.fencingToken() > term) {
+            // Another controller holds a higher term than is known here. The worker would drop a response with a
+            // lower token, and would keep reporting to this controller.
             effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
-        if (!machines.containsKey(r.machine()) && !tombstones.admits(r)) {
-            // A late copy, or a machine that is gone: nothing of it may be used, and nobody waits for this answer.
+        if (!machines.containsKey(report.machine()) && !tombstones.admits(report)) {
+            // A delayed duplicate, or the report of a deleted machine: its contents must not be used, and no worker
+            // waits for the response.
             counters.staleReports++;
             effects.answer(exchange, 200, WorkerLease.responseWithoutRenewal());
             return;
         }
-        Machine m = findOrCreate(r.machine(), shard);
-        if (acceptReport(m, r, zone, false)) {
-            effects.answer(exchange, 200, m.workerLease.renewalResponse(r, term, commands.commandsFor(m, false)));
-            if (reachability.needsProbe(m, term)) {
-                commands.sendCommands(m);
+        Machine machine = findOrCreate(report.machine(), shard);
+        if (acceptReport(machine, report, zone, false)) {
+            effects.answer(
+                    exchange,
+                    200,
+                    machine.workerLease.renewalResponse(report, term, commands.commandsFor(machine, false)));
+            if (reachability.needsProbe(machine, term)) {
+                commands.sendCommands(machine);
             }
-        } else if (m.workerLease.isOvertaken(r)) {
+        } else if (machine.workerLease.isOvertaken(report)) {
             counters.overtakenReports++;
-            effects.answer(exchange, 200, m.workerLease.renewalResponse(r, term, List.of()));
+            effects.answer(exchange, 200, machine.workerLease.renewalResponse(report, term, List.of()));
         } else {
             counters.staleReports++;
             effects.answer(exchange, 200, WorkerLease.responseWithoutRenewal());
@@ -189,425 +205,484 @@
     }
 
     private Machine findOrCreate(String name, int shard) {
-        return machines.computeIfAbsent(name, n -> {
-            Machine m = new Machine(n, shard, settings.leaseS());
-            MachineStatus p = statusExchange.statusFromOwner(n);
-            if (p != null) {
-                m.speed = new birchusher.lease.MachineSpeed(p.speed());
-                for (int i = p.cachedImages().length - 1; i >= 0; i--) {
-                    m.recordImageUse(p.cachedImages()[i], catalog);
+        return machines.computeIfAbsent(name, machineName -> {
+            Machine machine = new Machine(machineName, shard, settings.leaseS());
+            MachineStatus status = statusExchange.statusFromOwner(machineName);
+            if (status != null) {
+                machine.speed = new birchusher.lease.MachineSpeed(status.speed());
+                for (int i = status.cachedImages().length - 1; i >= 0; i--) {
+                    machine.recordImageUse(status.cachedImages()[i], catalog);
                 }
-                m.faulty = p.faulty();
+                machine.faulty = status.faulty();
             }
-            return m;
+            return machine;
         });
     }
 
-    /** Takes a report if it is newer than the last one. */
-    private boolean acceptReport(Machine m, Report r, int zone, boolean direct) {
-        if (r.session() < m.session || r.session() == m.session && r.seq() <= m.lastSeq) {
+    /**
+     * Applies a report if it is newer than the last one of its machine.
+     *
+     * @param direct whether the report is the answer to a direct command
+     * @return whether it was newer
+     */
+    private boolean acceptReport(Machine machine, Report report, int zone, boolean direct) {
+        if (report.session() < machine.session
+                || report.session() == machine.session && report.seq() <= machine.lastSeq) {
             return false;
         }
-        if (r.session() > m.session && m.session > 0) {
-            LOG.info("machine {} session {} follows {}", m.name, r.session(), m.session);
-            m.attempts.clear();
-            m.stopRequests.clear();
-            m.unansweredStarts.clear();
-            m.startsInResponses.clear();
+        if (report.session() > machine.session && machine.session > 0) {
+            LOG.info("machine {}: session {} replaces session {}", machine.name, report.session(), machine.session);
+            machine.attempts.clear();
+            machine.stopRequests.clear();
+            machine.unansweredStarts.clear();
+            machine.startsInResponses.clear();
         }
-        reachability.onMessage(m, r, membership.term(m.shard), direct, effects.now());
-        boolean later = r.session() > m.session;
-        boolean followed = m.lastMessageAtMs >= 0;
+        reachability.onMessage(machine, report, membership.term(machine.shard), direct, effects.now());
+        boolean newSession = report.session() > machine.session;
+        boolean followed = machine.lastMessageAtMs >= 0;
         if (!followed) {
             LOG.info(
-                    "machine {} reports: {} in {}, session {}, {} tasks",
-                    m.name,
-                    r.type(),
-                    r.zone(),
-                    r.session(),
-                    r.tasks().size());
-        }
-        m.session = r.session();
-        m.lastSeq = r.seq();
-        m.fencingToken = Math.max(m.fencingToken, r.fencingToken());
-        m.address = r.address();
-        m.zone = zone;
-        m.type = catalog.typeNames.add(r.type());
-        m.spot = r.spot();
-        m.lastMessageAtMs = effects.now();
-        m.workerLease.onMessage(r, membership.term(m.shard), effects.now());
-        long tokenNow = m.fencingToken;
-        m.unansweredStarts.values().removeIf(l -> l[1] < tokenNow);
-        if (r.noticeS() >= 0) {
-            long at = effects.now() + Math.round(r.noticeS() * 1000);
-            if (m.interruptionAtMs < 0) {
+                    "first report of machine {}: type {}, zone {}, session {}, {} tasks",
+                    machine.name,
+                    report.type(),
+                    report.zone(),
+                    report.session(),
+                    report.tasks().size());
+        }
+        machine.session = report.session();
+        machine.lastSeq = report.seq();
+        machine.fencingToken = Math.max(machine.fencingToken, report.fencingToken());
+        machine.address = report.address();
+        machine.zone = zone;
+        machine.type = catalog.typeNames.add(report.type());
+        machine.spot = report.spot();
+        machine.lastMessageAtMs = effects.now();
+        machine.workerLease.onMessage(report, membership.term(machine.shard), effects.now());
+        long shownToken = machine.fencingToken;
+        machine.unansweredStarts.values().removeIf(start -> start[1] < shownToken);
+        if (report.noticeS() >= 0) {
+            long interruptionAtMs = effects.now() + Math.round(report.noticeS() * 1000);
+            if (machine.interruptionAtMs < 0) {
                 counters.notices++;
-                LOG.info("machine {} will be taken back in {} s", m.name, r.noticeS());
+                LOG.info(
+                        "machine {} has an interruption notice: the cloud takes it back in {} s",
+                        machine.name,
+                        report.noticeS());
             }
-            // The first report that we take may be a copy: counted from its arrival, the end would be later than it is.
-            m.interruptionAtMs = m.interruptionAtMs < 0 ? at : Math.min(m.interruptionAtMs, at);
+            // The first report that is accepted may be a delayed duplicate; counted from its arrival, the
+            // interruption would come later than it does. Hence the minimum.
+            machine.interruptionAtMs = machine.interruptionAtMs < 0
+                    ? interruptionAtMs
+                    : Math.min(machine.interruptionAtMs, interruptionAtMs);
         }
-        if (later) {
-            view.claims(m.name).values().forEach(c -> rememberImage(m, c, followed));
+        if (newSession) {
+            view.claims(machine.name).values().forEach(claim -> rememberImage(machine, claim, followed));
         }
-        m.reportedTasks = r.tasks();
-        reconcile(m);
+        machine.reportedTasks = report.tasks();
+        reconcile(machine);
         return true;
     }
 
     /**
-     * A worker keeps its images though its lease is over, and nothing but the records of what ran there tells a new owner of them.
-     * Without this, a fleet full of warm caches fetched everything anew after a crash of all controllers.
+     * Adds the image of a claim to the machine's known cache. A worker keeps its images when its lease ends, and a new owner learns of them
+     * only from the claims of what ran there. Without this, all images were fetched again after a crash of all controllers, although the
+     * machines still had them.
+     *
+     * @param followed whether this controller received messages of the machine before
      */
-    private void rememberImage(Machine m, Claim c, boolean followed) {
-        ReportedTask e = m.reportedTasks.get(c.attemptKey());
-        if (e == null ? !followed : e.phase() != ReportedTask.Phase.FETCHING) {
-            m.recordImageUse(c.job().spec.image(), catalog);
+    private void rememberImage(Machine machine, Claim claim, boolean followed) {
+        ReportedTask reported = machine.reportedTasks.get(claim.attemptKey());
+        if (reported == null ? !followed : reported.phase() != ReportedTask.Phase.FETCHING) {
+            machine.recordImageUse(claim.job().spec.image(), catalog);
         }
     }
 
-    // ---- what the report and the records say together
+    // ---- reconciliation of reports and claims
 
-    private void reconcile(Machine m) {
+    private void reconcile(Machine machine) {
         long now = effects.now();
-        boolean any = false;
-        for (Claim c : List.copyOf(view.claims(m.name).values())) {
-            String ak = c.attemptKey();
-            ReportedTask e = m.reportedTasks.get(ak);
-            Reconciliation.ClaimState row = commands.recordedState(m, c);
-            Reconciliation.ClaimOutcome write =
-                    Reconciliation.claimOutcome(row, Commands.reportedState(e), commands.ownerKnowledge(m, ak));
-            any |= row != Reconciliation.ClaimState.EARLIER;
-            if (e == null || row == Reconciliation.ClaimState.EARLIER || row == Reconciliation.ClaimState.LATER) {
-                if (write == Reconciliation.ClaimOutcome.LOST) {
-                    boolean dropped = row == Reconciliation.ClaimState.EARLIER;
-                    // A worker that hears nobody will not take it back: nothing is to wait for that.
+        boolean busy = false;
+        for (Claim claim : List.copyOf(view.claims(machine.name).values())) {
+            String attemptKey = claim.attemptKey();
+            ReportedTask reported = machine.reportedTasks.get(attemptKey);
+            Reconciliation.ClaimState claimState = commands.recordedState(machine, claim);
+            Reconciliation.ClaimOutcome claimOutcome = Reconciliation.claimOutcome(
+                    claimState, Commands.reportedState(reported), commands.ownerKnowledge(machine, attemptKey));
+            busy |= claimState != Reconciliation.ClaimState.EARLIER;
+            if (reported == null
+                    || claimState == Reconciliation.ClaimState.EARLIER
+                    || claimState == Reconciliation.ClaimState.LATER) {
+                if (claimOutcome == Reconciliation.ClaimOutcome.LOST) {
+                    boolean dropped = claimState == Reconciliation.ClaimState.EARLIER;
+                    // A worker that does not receive responses can't start the task again, so the job scheduler must
+                    // not wait for this machine.
                     releaseClaim(
-                            c,
+                            claim,
                             !dropped
                                     ? OutcomeRecorder.Outcome.LOST
-                                    : m.noResponsesInPreviousSession
+                                    : machine.noResponsesInPreviousSession
                                             ? OutcomeRecorder.Outcome.SILENT
                                             : OutcomeRecorder.Outcome.DROPPED,
                             dropped ? "a later session" : "absent from a newer report");
-                } else if (write == Reconciliation.ClaimOutcome.NOT_STARTED) {
-                    // Never shown, and nothing of ours or of an earlier owner is under way any more.
-                    releaseClaim(c, OutcomeRecorder.Outcome.NOT_STARTED, "not started");
+                } else if (claimOutcome == Reconciliation.ClaimOutcome.NOT_STARTED) {
+                    // Never reported, and no start of this or an earlier owner can still reach the worker.
+                    releaseClaim(claim, OutcomeRecorder.Outcome.NOT_STARTED, "not started");
                 }
                 continue;
             }
-            AttemptState run = m.attempts.computeIfAbsent(ak, k -> newAttempt(m, c.job().spec, now));
-            run.reported = true;
-            if (e.exited()) {
-                onExited(m, c, e, run, write);
+            AttemptState attempt =
+                    machine.attempts.computeIfAbsent(attemptKey, k -> newAttempt(machine, claim.job().spec, now));
+            attempt.reported = true;
+            if (reported.exited()) {
+                onExited(machine, claim, reported, attempt, claimOutcome);
             } else {
-                safetyChecks.recordReported(c.taskKey(), m);
-                updateAttempt(m, c, e, run, now);
+                safetyChecks.recordReported(claim.taskKey(), machine);
+                updateAttempt(machine, claim, reported, attempt, now);
             }
         }
-        // A stop also waits for a start that is still under way to show itself.
-        m.stopRequests.keySet().removeIf(ak -> !m.reportedTasks.containsKey(ak) && !isClaimed(m, ak));
-        m.startsInResponses.values().removeIf(at -> now - at > Settings.NO_ANSWER_MS * 2);
-        if (m.attempts.size() > 8 + m.reportedTasks.size()) {
-            // Attempts whose records are gone: theirs is all told.
-            m.attempts.keySet().removeIf(ak -> !m.reportedTasks.containsKey(ak) && !isClaimed(m, ak));
+        // A stop request of a claim is kept even if the attempt is not reported: its start may still be in flight.
+        machine.stopRequests
+                .keySet()
+                .removeIf(attemptKey ->
+                        !machine.reportedTasks.containsKey(attemptKey) && !isClaimed(machine, attemptKey));
+        machine.startsInResponses.values().removeIf(sentAtMs -> now - sentAtMs > Settings.NO_ANSWER_MS * 2);
+        if (machine.attempts.size() > 8 + machine.reportedTasks.size()) {
+            // Drops the state of attempts that are neither reported nor claimed any more.
+            machine.attempts
+                    .keySet()
+                    .removeIf(attemptKey ->
+                            !machine.reportedTasks.containsKey(attemptKey) && !isClaimed(machine, attemptKey));
         }
-        for (ReportedTask e : m.reportedTasks.values()) {
-            any |= !e.exited();
+        for (ReportedTask reported : machine.reportedTasks.values()) {
+            busy |= !reported.exited();
         }
-        m.idleSinceMs = any ? -1 : m.idleSinceMs < 0 ? now : m.idleSinceMs;
-        capacity.preemptForClaims(m, this::requestStop);
-        if (m.interruptionAtMs >= 0) {
-            drain(m, now);
+        machine.idleSinceMs = busy ? -1 : machine.idleSinceMs < 0 ? now : machine.idleSinceMs;
+        capacity.preemptForClaims(machine, this::requestStop);
+        if (machine.interruptionAtMs >= 0) {
+            drain(machine, now);
         }
     }
 
-    private boolean isClaimed(Machine m, String attemptKey) {
-        Claim c = view.claims(m.name).get(attemptKey.substring(0, attemptKey.lastIndexOf('#')));
-        return c != null && c.attemptKey().equals(attemptKey);
+    private boolean isClaimed(Machine machine, String attemptKey) {
+        Claim claim = view.claims(machine.name).get(attemptKey.substring(0, attemptKey.lastIndexOf('#')));
+        return claim != null && claim.attemptKey().equals(attemptKey);
     }
 
-    private AttemptState newAttempt(Machine m, JobSpec j, long now) {
-        AttemptState run = new AttemptState();
-        long fetch = expectedFetchMs(m, j);
-        run.startedAtMs = now;
-        run.lease = new TaskLease(leaseSettings, now, fetch, leaseSettings.capMs(j, fetch));
-        return run;
+    private AttemptState newAttempt(Machine machine, JobSpec spec, long now) {
+        AttemptState attempt = new AttemptState();
+        long fetchMs = expectedFetchMs(machine, spec);
+        attempt.startedAtMs = now;
+        attempt.lease = new TaskLease(leaseSettings, now, fetchMs, leaseSettings.capMs(spec, fetchMs));
+        return attempt;
     }
 
-    /** Expected ms of fetching a job's image on a machine, none if it is there. */
-    private long expectedFetchMs(Machine m, JobSpec j) {
-        Catalog.MachineType t = catalog.type(m.type);
-        return t == null || m.cachedImages.contains(j.image()) ? 0 : Math.round(j.imageGb() / t.fetchGbPerS() * 1000);
+    /** Expected time to fetch a job's image, 0 if the machine has it or its type is unknown. */
+    private long expectedFetchMs(Machine machine, JobSpec spec) {
+        Catalog.MachineType type = catalog.type(machine.type);
+        return type == null || machine.cachedImages.contains(spec.image())
+                ? 0
+                : Math.round(spec.imageGb() / type.fetchGbPerS() * 1000);
     }
 
-    private void updateAttempt(Machine m, Claim c, ReportedTask e, AttemptState run, long now) {
-        if (e.phase() == ReportedTask.Phase.FETCHING && run.fetchEndMs < 0) {
-            run.fetchEndMs = now + expectedFetchMs(m, c.job().spec);
+    private void updateAttempt(Machine machine, Claim claim, ReportedTask reported, AttemptState attempt, long now) {
+        if (reported.phase() == ReportedTask.Phase.FETCHING && attempt.fetchEndMs < 0) {
+            attempt.fetchEndMs = now + expectedFetchMs(machine, claim.job().spec);
         }
-        boolean running = e.phase() == ReportedTask.Phase.RUNNING || e.phase() == ReportedTask.Phase.SAVING;
-        boolean before = run.lease.runningSinceMs() >= 0;
-        TaskLease.Renewal got = run.lease.renew(now, running);
-        if (e.phase() != ReportedTask.Phase.FETCHING) {
-            m.recordImageUse(c.job().spec.image(), catalog);
+        boolean running =
+                reported.phase() == ReportedTask.Phase.RUNNING || reported.phase() == ReportedTask.Phase.SAVING;
+        boolean wasRunning = attempt.lease.runningSinceMs() >= 0;
+        TaskLease.Renewal renewal = attempt.lease.renew(now, running);
+        if (reported.phase() != ReportedTask.Phase.FETCHING) {
+            machine.recordImageUse(claim.job().spec.image(), catalog);
         }
-        if (running && !before) {
-            counters.recordStartWait(effects.wallTime() - c.job().acceptedAtMs);
-            LOG.info("task {} attempt {} runs on {}", c.taskKey(), c.attempt(), m.name);
+        if (running && !wasRunning) {
+            counters.recordStartWait(effects.wallTime() - claim.job().acceptedAtMs);
+            LOG.info("task {} attempt {} runs on {}", claim.taskKey(), claim.attempt(), machine.name);
         }
-        if (got == TaskLease.Renewal.GRANTED) {
+        if (renewal == TaskLease.Renewal.GRANTED) {
             counters.renewed++;
-        } else if (got == TaskLease.Renewal.AT_CAP && !run.countedAtCap) {
-            run.countedAtCap = true;
+        } else if (renewal == TaskLease.Renewal.AT_CAP && !attempt.countedAtCap) {
+            attempt.countedAtCap = true;
             counters.atCap++;
-            onCapReached(m, c, run, now);
-        } else if (got == TaskLease.Renewal.LAPSED) {
-            onLeaseExpired(m, c, run);
+            onCapReached(machine, claim, attempt, now);
+        } else if (renewal == TaskLease.Renewal.LAPSED) {
+            onLeaseExpired(machine, claim, attempt);
         }
     }
 
-    /** At its cap a task is moved only if it loses nothing by it; else it runs on and the machine counts as slower. */
-    private void onCapReached(Machine m, Claim c, AttemptState run, long now) {
-        JobSpec j = c.job().spec;
-        LOG.info("task {} attempt {} on {} is at its cap", c.taskKey(), c.attempt(), m.name);
-        m.speed.observe(j.estimateS() * estimateBias.bias(j.jobClass()), (now - run.lease.runningSinceMs()) / 1000.0);
-        if (j.isCheckpointed()) {
-            stopTaskOrGang(c, j.checkpointWriteS() + 4, "at cap");
+    /** At its lease cap a task is moved only if it can resume from a checkpoint; else it runs on and the machine counts as slower. */
+    private void onCapReached(Machine machine, Claim claim, AttemptState attempt, long now) {
+        JobSpec spec = claim.job().spec;
+        LOG.info("task {} attempt {} on {} has reached its lease cap", claim.taskKey(), claim.attempt(), machine.name);
+        machine.speed.observe(
+                spec.estimateS() * estimateBias.bias(spec.jobClass()), (now - attempt.lease.runningSinceMs()) / 1000.0);
+        if (spec.isCheckpointed()) {
+            stopTaskOrGang(claim, spec.checkpointWriteS() + 4, "at cap");
         }
     }
 
-    private void onLeaseExpired(Machine m, Claim c, AttemptState run) {
-        if (!run.expiryHandled) {
-            run.expiryHandled = true;
+    private void onLeaseExpired(Machine machine, Claim claim, AttemptState attempt) {
+        if (!attempt.expiryHandled) {
+            attempt.expiryHandled = true;
             counters.lapsed++;
-            m.speed.observe(1, 4);
-            LOG.info("lease of task {} attempt {} on {} lapsed", c.taskKey(), c.attempt(), m.name);
-            stopTaskOrGang(c, 0, "lapsed");
+            machine.speed.observe(1, 4);
+            LOG.info("lease of task {} attempt {} on {} expired", claim.taskKey(), claim.attempt(), machine.name);
+            stopTaskOrGang(claim, 0, "lapsed");
         }
     }
 
-    private void stopTaskOrGang(Claim c, double grace, String reason) {
-        if (c.job().spec.isGang()) {
-            gangStopper.stopGang(c.job(), grace, reason);
+    private void stopTaskOrGang(Claim claim, double graceS, String reason) {
+        if (claim.job().spec.isGang()) {
+            gangStopper.stopGang(claim.job(), graceS, reason);
         } else {
-            requestStop(c, grace, reason);
+            requestStop(claim, graceS, reason);
         }
     }
 
-    private void onExited(Machine m, Claim c, ReportedTask e, AttemptState run, Reconciliation.ClaimOutcome write) {
-        JobSpec j = c.job().spec;
+    private void onExited(
+            Machine machine,
+            Claim claim,
+            ReportedTask reported,
+            AttemptState attempt,
+            Reconciliation.ClaimOutcome claimOutcome) {
+        JobSpec spec = claim.job().spec;
         long now = effects.now();
-        switch (write) {
+        switch (claimOutcome) {
             case DONE -> {
-                if (run.lease.runningSinceMs() >= 0
-                        && c.attempt() == 1
-                        && !run.countedAtCap
-                        && j.estimateS() > 0
-                        && !outcomes.pending(e.attemptKey())) {
-                    double took = (now - run.lease.runningSinceMs()) / 1000.0;
-                    estimateBias.observe(j.jobClass(), j.estimateS(), took);
-                    m.speed.observe(j.estimateS() * estimateBias.bias(j.jobClass()), took);
+                if (attempt.lease.runningSinceMs() >= 0
+                        && claim.attempt() == 1
+                        && !attempt.countedAtCap
+                        && spec.estimateS() > 0
+                        && !outcomes.isPending(reported.attemptKey())) {
+                    double tookS = (now - attempt.lease.runningSinceMs()) / 1000.0;
+                    estimateBias.observe(spec.jobClass(), spec.estimateS(), tookS);
+                    machine.speed.observe(spec.estimateS() * estimateBias.bias(spec.jobClass()), tookS);
                 }
-                m.errorsByJob.clear();
-                releaseClaim(c, OutcomeRecorder.Outcome.DONE, "done");
+                machine.errorsByJob.clear();
+                releaseClaim(claim, OutcomeRecorder.Outcome.DONE, "done");
             }
             case ERROR -> {
-                if (!outcomes.pending(e.attemptKey())) {
-                    onTaskError(m, c);
+                if (!outcomes.isPending(reported.attemptKey())) {
+                    onTaskError(machine, claim);
                 }
-                releaseClaim(c, OutcomeRecorder.Outcome.ERROR, "error");
+                releaseClaim(claim, OutcomeRecorder.Outcome.ERROR, "error");
             }
-            default -> releaseClaim(c, OutcomeRecorder.Outcome.LOST, e.exitReason() + (e.saved() ? ", saved" : ""));
+            default -> releaseClaim(
+                    claim, OutcomeRecorder.Outcome.LOST, reported.exitReason() + (reported.saved() ? ", saved" : ""));
         }
     }
 
-    /** Errors of different jobs speak against the machine; of one job on several machines, against the job. */
-    private void onTaskError(Machine m, Claim c) {
+    /** Errors of different jobs on one machine count against the machine, errors of one job on several machines against the job. */
+    private void onTaskError(Machine machine, Claim claim) {
         counters.taskErrors++;
-        for (String name : errorAttribution.recordError(c.job(), m)) {
-            Machine x = machines.get(name);
-            if (x != null && x != m && errorAttribution.countJobsAgainst(x, view::job) == 0) {
-                x.quarantineUntilMs = 0;
+        for (String name : errorAttribution.recordError(claim.job(), machine)) {
+            Machine other = machines.get(name);
+            if (other != null && other != machine && errorAttribution.countJobsAgainst(other, view::job) == 0) {
+                other.quarantineUntilMs = 0;
             }
         }
-        if (errorAttribution.countJobsAgainst(m, view::job) > 0) {
-            m.quarantineUntilMs = effects.now() + quarantineMs;
+        if (errorAttribution.countJobsAgainst(machine, view::job) > 0) {
+            machine.quarantineUntilMs = effects.now() + quarantineMs;
         }
-        if (!m.faulty && m.faultCheckAtMs < 0 && errorAttribution.isFaulty(m, view::job)) {
-            m.faultCheckAtMs = effects.now() + quarantineMs;
+        if (!machine.faulty && machine.faultCheckAtMs < 0 && errorAttribution.isFaulty(machine, view::job)) {
+            machine.faultCheckAtMs = effects.now() + quarantineMs;
         }
     }
 
     /**
-     * While a machine gets nothing new, the same jobs may come to fail elsewhere too. Judged at its second job's first error, machines
-     * were given up with all their replicas for two jobs that failed everywhere.
+     * Decides after the quarantine whether the machine is faulty. During the quarantine the same jobs may fail on other machines too.
+     * Decided at the first error of the second job, machines were given up with all their replicas because of two jobs that failed everywhere.
      */
-    private void checkForFault(Machine m) {
-        m.faultCheckAtMs = -1;
-        if (errorAttribution.isFaulty(m, view::job)) {
-            m.faulty = true;
+    private void checkForFault(Machine machine) {
+        machine.faultCheckAtMs = -1;
+        if (errorAttribution.isFaulty(machine, view::job)) {
+            machine.faulty = true;
             counters.condemned++;
-            LOG.info("machine {} fails tasks of different jobs, it is given up", m.name);
+            LOG.info("machine {} is faulty: tasks of different jobs failed on it; it will be returned", machine.name);
         }
     }
 
-    /** Takes a claim out of the store, the caller having the proof that the task is not on the machine any more. */
-    private void releaseClaim(Claim c, OutcomeRecorder.Outcome outcome, String proof) {
-        if (outcomes.recordEnd(c, outcome)) {
-            LOG.info("task {} attempt {} left {}: {}", c.taskKey(), c.attempt(), c.machine(), proof);
+    /** Removes a claim from the store. The caller has proof that the task is no longer on the machine, and names it for the log. */
+    private void releaseClaim(Claim claim, OutcomeRecorder.Outcome outcome, String proof) {
+        if (outcomes.recordEnd(claim, outcome)) {
+            LOG.info("task {} attempt {} left {}: {}", claim.taskKey(), claim.attempt(), claim.machine(), proof);
         }
     }
 
     // ---- commands
 
-    /** Sends starts and stops straight to machines whose state changed, so that they need not wait for a report. */
+    /** Sends starts and stops directly to machines whose claims or stop requests changed, so that they need not wait for the next report. */
     public void flushCommands() {
         if (changedMachines.isEmpty()) {
             return;
         }
-        List<Machine> all = new ArrayList<>(changedMachines);
+        List<Machine> pending = new ArrayList<>(changedMachines);
         changedMachines.clear();
-        for (Machine m : all) {
-            m.changed = false;
-            if (membership.owns(m.shard) && m.lastMessageAtMs >= 0) {
-                reconcile(m);
-                commands.sendCommands(m);
+        for (Machine machine : pending) {
+            machine.changed = false;
+            if (membership.owns(machine.shard) && machine.lastMessageAtMs >= 0) {
+                reconcile(machine);
+                commands.sendCommands(machine);
             }
         }
     }
 
-    /** Asks for an attempt to be stopped; repeated until it is seen to be saving or gone. */
-    public void requestStop(Claim c, double graceS, String reason) {
-        Machine m = machines.get(c.machine());
-        String ak = c.attemptKey();
-        if (m == null || !membership.owns(c.shard())) {
+    /**
+     * Requests that an attempt be stopped. The command is repeated until the attempt is reported as saving or is gone. A request with a
+     * shorter grace period replaces an earlier one. Ignored if this controller does not own the claim's shard.
+     *
+     * @param reason cause for the log and for {@link ActionCounters}
+     */
+    public void requestStop(Claim claim, double graceS, String reason) {
+        Machine machine = machines.get(claim.machine());
+        String attemptKey = claim.attemptKey();
+        if (machine == null || !membership.owns(claim.shard())) {
             return;
         }
-        StopRequest old = m.stopRequests.get(ak);
+        StopRequest old = machine.stopRequests.get(attemptKey);
         if (old == null || old.graceS > graceS) {
-            m.stopRequests.put(ak, new StopRequest(graceS, reason, effects.now()));
+            machine.stopRequests.put(attemptKey, new StopRequest(graceS, reason, effects.now()));
             counters.stops++;
-            actionCounters.recordStop(ak, reason, effects.now());
-            LOG.info("task {} attempt {} on {} is to stop: {}", c.taskKey(), c.attempt(), m.name, reason);
-            markChanged(m.name);
+            actionCounters.recordStop(attemptKey, reason, effects.now());
+            LOG.info("task {} attempt {} on {} is to stop: {}", claim.taskKey(), claim.attempt(), machine.name, reason);
+            markChanged(machine.name);
         }
     }
 
-    /** A notice: what can save does so at once; what ends in time may; the rest starts elsewhere without waiting. */
-    private void drain(Machine m, long now) {
-        long left = m.interruptionAtMs - now;
-        for (Claim c : view.claims(m.name).values()) {
-            JobSpec j = c.job().spec;
-            String ak = c.attemptKey();
-            if (m.stopRequests.containsKey(ak) || !m.reportedTasks.containsKey(ak)) {
+    /**
+     * Empties a machine with an interruption notice: checkpointed tasks save at once, tasks expected to end in time run on, and all others are
+     * stopped so that they start elsewhere without waiting.
+     */
+    private void drain(Machine machine, long now) {
+        long leftMs = machine.interruptionAtMs - now;
+        for (Claim claim : view.claims(machine.name).values()) {
+            JobSpec spec = claim.job().spec;
+            String attemptKey = claim.attemptKey();
+            if (machine.stopRequests.containsKey(attemptKey) || !machine.reportedTasks.containsKey(attemptKey)) {
                 continue;
             }
-            AttemptState run = m.attempts.get(ak);
-            double expected = j.estimateS() * estimateBias.bias(j.jobClass()) * 1000 / m.speed.value();
-            boolean endsInTime = !j.isService()
-                    && !j.isCheckpointed()
-                    && run != null
-                    && run.lease.runningSinceMs() >= 0
-                    && run.lease.runningSinceMs() + expected < m.interruptionAtMs
-                    && left > 2_500;
+            AttemptState attempt = machine.attempts.get(attemptKey);
+            double expectedMs = spec.estimateS() * estimateBias.bias(spec.jobClass()) * 1000 / machine.speed.value();
+            boolean endsInTime = !spec.isService()
+                    && !spec.isCheckpointed()
+                    && attempt != null
+                    && attempt.lease.runningSinceMs() >= 0
+                    && attempt.lease.runningSinceMs() + expectedMs < machine.interruptionAtMs
+                    && leftMs > 2_500;
             if (!endsInTime) {
-                stopTaskOrGang(c, j.isCheckpointed() ? j.checkpointWriteS() + 1 : 0, "notice");
+                stopTaskOrGang(claim, spec.isCheckpointed() ? spec.checkpointWriteS() + 1 : 0, "notice");
             }
         }
     }
 
     // ---- offers
 
-    private boolean isUsable(Machine m) {
-        return isUsableOnceConfirmed(m) && isConfirmedReachable(m);
+    /** Whether a machine may get tasks. */
+    private boolean isUsable(Machine machine) {
+        return isUsableOnceConfirmed(machine) && isConfirmedReachable(machine);
     }
 
-    /** Whether a machine's worker has shown that it hears us as its owner. */
-    private boolean isConfirmedReachable(Machine m) {
-        return m.fencingToken >= membership.term(m.shard) && m.receivesResponses;
+    /** Whether a machine's worker has shown that it receives the responses of this controller as its owner. */
+    private boolean isConfirmedReachable(Machine machine) {
+        return machine.fencingToken >= membership.term(machine.shard) && machine.receivesResponses;
     }
 
-    /** Whether nothing but the evidence that its worker hears us keeps a machine from getting tasks. */
-    private boolean isUsableOnceConfirmed(Machine m) {
+    /** Whether a machine may get tasks as soon as its worker has shown that it receives responses. */
+    private boolean isUsableOnceConfirmed(Machine machine) {
         long now = effects.now();
-        return m.lastMessageAtMs >= 0
-                && membership.owns(m.shard)
-                && !m.faulty
-                && !m.beingReturned
-                && !m.deleted
-                && m.interruptionAtMs < 0
-                && m.session != m.expiredSession
-                && commands.isReporting(m, now)
-                && now >= m.quarantineUntilMs;
-    }
-
-    /** Checks a task offered to one of our machines and keeps room for it; returns why not, or null. */
-    public String reserve(JobSpec j, int task, String machine, long session, boolean makesRoom) {
-        Machine m = machines.get(machine);
-        if (m == null || !isUsable(m)) {
+        return machine.lastMessageAtMs >= 0
+                && membership.owns(machine.shard)
+                && !machine.faulty
+                && !machine.beingReturned
+                && !machine.deleted
+                && machine.interruptionAtMs < 0
+                && machine.session != machine.expiredSession
+                && commands.isReporting(machine, now)
+                && now >= machine.quarantineUntilMs;
+    }
+
+    /**
+     * Checks the offer of a task to an owned machine and reserves capacity for it.
+     *
+     * @param session the worker session that the job scheduler saw
+     * @param makesRoom whether the capacity of tasks that yield to this one counts as free
+     * @return null if the capacity is reserved, else the reason of the refusal
+     */
+    public String reserve(JobSpec spec, int task, String machineName, long session, boolean makesRoom) {
+        Machine machine = machines.get(machineName);
+        if (machine == null || !isUsable(machine)) {
             return "not usable";
         }
-        if (m.session != session) {
+        if (machine.session != session) {
             return "other session";
         }
-        if (m.errorsByJob.containsKey(j.id())) {
+        if (machine.errorsByJob.containsKey(spec.id())) {
             return "failed here";
         }
-        String key = j.id() + "/" + task;
-        for (ReportedTask e : m.reportedTasks.values()) {
-            if (e.taskKey().equals(key) && !e.exited()) {
+        String taskKey = spec.id() + "/" + task;
+        for (ReportedTask reported : machine.reportedTasks.values()) {
+            if (reported.taskKey().equals(taskKey) && !reported.exited()) {
                 return "still here";
             }
         }
-        if (!capacity.fits(m, j, makesRoom)) {
+        if (!capacity.fits(machine, spec, makesRoom)) {
             return "no room";
         }
-        capacity.reserve(m, key, j);
+        capacity.reserve(machine, taskKey, spec);
         return null;
     }
 
-    /** An accepted offer is called off: without this, gangs that found only part of their room kept it from each other. */
-    public void cancelReservation(String machine, String key) {
-        Machine m = machines.get(machine);
-        if (m != null) {
-            m.reservations.remove(key);
+    /**
+     * Drops the reservation of an accepted offer that was withdrawn. Without this, gangs that found only part of their capacity blocked it
+     * for each other.
+     */
+    public void cancelReservation(String machineName, String taskKey) {
+        Machine machine = machines.get(machineName);
+        if (machine != null) {
+            machine.reservations.remove(taskKey);
         }
     }
 
-    /** The autoscaler wants to return a machine: agreed only if nothing is or may come to be on it. */
-    public boolean prepareReturn(String machine, boolean withTasks) {
-        Machine m = machines.get(machine);
-        if (m == null || !membership.owns(m.shard)) {
+    /**
+     * Prepares the return of a machine to the cloud: it gets no new tasks.
+     *
+     * @param withTasks whether a machine with claims is to be emptied, replica by replica
+     * @return whether the machine may be returned at once: it is faulty, or has neither claims nor reservations
+     */
+    public boolean prepareReturn(String machineName, boolean withTasks) {
+        Machine machine = machines.get(machineName);
+        if (machine == null || !membership.owns(machine.shard)) {
             return false;
         }
-        // Without this, one old reservation kept a machine rented for good.
-        capacity.pruneReservations(m);
-        if (m.faulty || view.claims(machine).isEmpty() && m.reservations.isEmpty()) {
-            m.beingReturned = true;
+        // Without this, one expired reservation kept a machine rented for ever.
+        capacity.pruneReservations(machine);
+        if (machine.faulty || view.claims(machineName).isEmpty() && machine.reservations.isEmpty()) {
+            machine.beingReturned = true;
             return true;
         }
-        if (withTasks && m.reservations.isEmpty()) {
-            m.beingReturned = true;
+        if (withTasks && machine.reservations.isEmpty()) {
+            machine.beingReturned = true;
         }
         return false;
     }
 
-    /** The cloud confirmed that a machine is gone: proof for all that was on it. */
-    public void onMachineDeleted(String machine) {
-        Machine m = machines.get(machine);
-        if (m != null) {
-            m.deleted = true;
+    /** The cloud confirmed that a machine is deleted, which proves that all of its tasks are gone. */
+    public void onMachineDeleted(String machineName) {
+        Machine machine = machines.get(machineName);
+        if (machine != null) {
+            machine.deleted = true;
         }
-        tombstones.recordDeletion(machine);
-        for (Claim c : List.copyOf(view.claims(machine).values())) {
-            if (membership.owns(c.shard())) {
-                releaseClaim(c, OutcomeRecorder.Outcome.LOST, "machine gone");
+        tombstones.recordDeletion(machineName);
+        for (Claim claim : List.copyOf(view.claims(machineName).values())) {
+            if (membership.owns(claim.shard())) {
+                releaseClaim(claim, OutcomeRecorder.Outcome.LOST, "machine gone");
             }
         }
     }
 
-    // ---- time
+    // ---- periodic work
 
+    /** Periodic work, called many times a second: expires leases, releases claims of silent machines, and repeats commands. */
     public void tick() {
         long now = effects.now();
         if (now - lastTickMs > PAUSE_THRESHOLD_MS) {
@@ -622,195 +697,206 @@
             return;
         }
         nextSweepMs = now + 500;
-        boolean sweepLeases = now >= nextLeaseSweepMs;
-        if (sweepLeases) {
+        boolean leaseSweepDue = now >= nextLeaseSweepMs;
+        if (leaseSweepDue) {
             nextLeaseSweepMs = now + leaseSettings.sweepIntervalMs();
         }
         for (String name : List.copyOf(view.claimedMachines())) {
             Map<String, Claim> claims = view.claims(name);
-            Claim any = claims.isEmpty() ? null : claims.values().iterator().next();
-            if (any != null && membership.owns(any.shard())) {
-                releaseIfLeaseOver(findOrCreate(name, any.shard()), now);
+            Claim anyClaim =
+                    claims.isEmpty() ? null : claims.values().iterator().next();
+            if (anyClaim != null && membership.owns(anyClaim.shard())) {
+                releaseIfLeaseOver(findOrCreate(name, anyClaim.shard()), now);
             }
         }
-        for (Machine m : List.copyOf(machines.values())) {
-            if (!membership.isRecordedOwner(m.shard)) {
-                machines.remove(m.name);
+        for (Machine machine : List.copyOf(machines.values())) {
+            if (!membership.isRecordedOwner(machine.shard)) {
+                machines.remove(machine.name);
                 continue;
             }
-            if (!membership.owns(m.shard)) {
-                // Between two owners: what is known must not be forgotten, loose commands above all.
+            if (!membership.owns(machine.shard)) {
+                // The ownership is only suspended: the machine's state must be kept, above all its unanswered starts,
+                // which may still arrive.
                 continue;
             }
-            if (m.lastMessageAtMs >= 0
-                            && now - m.lastMessageAtMs > 120_000
-                            && view.claims(m.name).isEmpty()
-                    || m.deleted && view.claims(m.name).isEmpty() && now - m.lastMessageAtMs > 30_000) {
-                tombstones.recordRemoval(m);
-                machines.remove(m.name);
+            if (machine.lastMessageAtMs >= 0
+                            && now - machine.lastMessageAtMs > 120_000
+                            && view.claims(machine.name).isEmpty()
+                    || machine.deleted
+                            && view.claims(machine.name).isEmpty()
+                            && now - machine.lastMessageAtMs > 30_000) {
+                tombstones.recordRemoval(machine);
+                machines.remove(machine.name);
                 continue;
             }
-            if (sweepLeases) {
-                expireLeases(m, now);
+            if (leaseSweepDue) {
+                expireLeases(machine, now);
             }
-            if (m.faultCheckAtMs >= 0 && now >= m.faultCheckAtMs) {
-                checkForFault(m);
+            if (machine.faultCheckAtMs >= 0 && now >= machine.faultCheckAtMs) {
+                checkForFault(machine);
             }
-            if (m.interruptionAtMs >= 0) {
-                drain(m, now);
+            if (machine.interruptionAtMs >= 0) {
+                drain(machine, now);
             }
-            if (m.beingReturned) {
-                moveNextReplica(m);
+            if (machine.beingReturned) {
+                moveNextReplica(machine);
             }
-            if (!m.stopRequests.isEmpty()
-                    || hasUnstartedClaims(m)
-                    || reachability.needsProbe(m, membership.term(m.shard))) {
-                commands.sendCommands(m);
+            if (!machine.stopRequests.isEmpty()
+                    || hasUnstartedClaims(machine)
+                    || reachability.needsProbe(machine, membership.term(machine.shard))) {
+                commands.sendCommands(machine);
             }
         }
     }
 
-    /** Replicas leave a machine that is to be returned one at a time, so that only one is down at any moment. */
-    private void moveNextReplica(Machine m) {
-        for (Claim c : view.claims(m.name).values()) {
-            if (m.stopRequests.containsKey(c.attemptKey())) {
+    /** Moves the replicas off a machine that is being returned one at a time, so that only one is down at any moment. */
+    private void moveNextReplica(Machine machine) {
+        for (Claim claim : view.claims(machine.name).values()) {
+            if (machine.stopRequests.containsKey(claim.attemptKey())) {
                 return;
             }
         }
-        for (Claim c : view.claims(m.name).values()) {
-            if (c.job().spec.isService() && m.reportedTasks.containsKey(c.attemptKey())) {
-                requestStop(c, 0, "moves");
+        for (Claim claim : view.claims(machine.name).values()) {
+            if (claim.job().spec.isService() && machine.reportedTasks.containsKey(claim.attemptKey())) {
+                requestStop(claim, 0, "moves");
                 return;
             }
         }
     }
 
-    private boolean hasUnstartedClaims(Machine m) {
-        for (Claim c : view.claims(m.name).values()) {
-            if (!m.reportedTasks.containsKey(c.attemptKey())) {
+    private boolean hasUnstartedClaims(Machine machine) {
+        for (Claim claim : view.claims(machine.name).values()) {
+            if (!machine.reportedTasks.containsKey(claim.attemptKey())) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The paper's sweep: lapsed leases are stopped, counted, and go elsewhere once the machine confirms. */
-    private void expireLeases(Machine m, long now) {
-        for (Claim c : view.claims(m.name).values()) {
-            AttemptState run = m.attempts.get(c.attemptKey());
-            if (run != null && run.lease.expired(now)) {
-                onLeaseExpired(m, c, run);
+    /** Counts and stops the tasks whose leases have expired; they start elsewhere once the machine confirms the stop. */
+    private void expireLeases(Machine machine, long now) {
+        for (Claim claim : view.claims(machine.name).values()) {
+            AttemptState attempt = machine.attempts.get(claim.attemptKey());
+            if (attempt != null && attempt.lease.expired(now)) {
+                onLeaseExpired(machine, claim, attempt);
             }
         }
     }
 
-    /** A worker drops its tasks once its lease is over ({@link WorkerLease}); until then a silent machine keeps its claims. */
-    private void releaseIfLeaseOver(Machine m, long now) {
-        if (now < leaseEndMs(m)) {
+    /**
+     * Releases the claims of a machine whose worker's lease is over. A worker drops its tasks when its lease ends, see {@link WorkerLease};
+     * until then a silent machine keeps its claims.
+     */
+    private void releaseIfLeaseOver(Machine machine, long now) {
+        if (now < leaseEndMs(machine)) {
             return;
         }
-        if (m.expiredSession != m.session) {
-            m.expiredSession = m.session;
+        if (machine.expiredSession != machine.session) {
+            machine.expiredSession = machine.session;
             LOG.info(
                     "lease over machine={} session={} term={} owned_ms={} {}",
-                    m.name,
-                    m.session,
-                    membership.term(m.shard),
-                    now - membership.ownedSinceMs(m.shard),
-                    m.workerLease.logFields(now));
-        }
-        for (Claim c : List.copyOf(view.claims(m.name).values())) {
-            if (m.session == 0 || c.session() <= m.session) {
-                rememberImage(m, c, m.lastMessageAtMs >= 0);
-                safetyChecks.checkReleaseOfSilent(c, m);
-                releaseClaim(c, OutcomeRecorder.Outcome.SILENT, "worker's lease over");
+                    machine.name,
+                    machine.session,
+                    membership.term(machine.shard),
+                    now - membership.ownedSinceMs(machine.shard),
+                    machine.workerLease.logFields(now));
+        }
+        for (Claim claim : List.copyOf(view.claims(machine.name).values())) {
+            if (machine.session == 0 || claim.session() <= machine.session) {
+                rememberImage(machine, claim, machine.lastMessageAtMs >= 0);
+                safetyChecks.checkReleaseOfSilent(claim, machine);
+                releaseClaim(claim, OutcomeRecorder.Outcome.SILENT, "worker's lease over");
             }
         }
     }
 
     /**
-     * Whether what a machine shows tells of now. Before its worker has heard us it may be a copy from before its lease was over; and what
-     * comes in a session that was already over was held back on its way.
+     * Whether the machine's latest report describes its present state. A report without the present term may be a delayed duplicate from
+     * before the end of the worker's lease, and a report of a session that has already expired was delayed on its way.
      */
-    private boolean isCurrent(Machine m) {
-        return m.fencingToken >= membership.term(m.shard) && m.session != m.expiredSession;
+    private boolean isCurrent(Machine machine) {
+        return machine.fencingToken >= membership.term(machine.shard) && machine.session != machine.expiredSession;
     }
 
-    /** When the worker of a machine of ours has certainly dropped its tasks, or {@link WorkerLease#NEVER}. */
-    private long leaseEndMs(Machine m) {
-        return m.workerLease.certainEndMs(
-                membership.term(m.shard),
-                new WorkerLease.Ownership(membership.ownedSinceMs(m.shard), membership.fencedAtMs(m.shard)));
+    /** When the worker of an owned machine has certainly dropped its tasks, or {@link WorkerLease#NO_KNOWN_END}. */
+    private long leaseEndMs(Machine machine) {
+        return machine.workerLease.certainEndMs(
+                membership.term(machine.shard),
+                new WorkerLease.Ownership(
+                        membership.ownedSinceMs(machine.shard), membership.fencedAtMs(machine.shard)));
     }
 
+    /** The present statuses of all owned machines that have reported and are not deleted. */
     public List<MachineStatus> statuses() {
         long now = effects.now();
-        List<MachineStatus> l = new ArrayList<>();
-        for (Machine m : machines.values()) {
-            if (m.lastMessageAtMs < 0 || m.deleted || !membership.owns(m.shard)) {
+        List<MachineStatus> statuses = new ArrayList<>();
+        for (Machine machine : machines.values()) {
+            if (machine.lastMessageAtMs < 0 || machine.deleted || !membership.owns(machine.shard)) {
                 continue;
             }
-            capacity.pruneReservations(m);
-            int silentMs = silentMs(m, now);
-            boolean fit = isUsableOnceConfirmed(m);
-            boolean hears = isConfirmedReachable(m);
-            l.add(new MachineStatus(
-                    m.name,
-                    m.type,
-                    m.zone,
-                    m.spot,
-                    m.session,
-                    m.shard,
-                    fit && hears,
-                    fit && !hears && silentMs == 0,
-                    m.faulty,
-                    m.beingReturned,
+            capacity.pruneReservations(machine);
+            int silentMs = silentMs(machine, now);
+            boolean usableOnceConfirmed = isUsableOnceConfirmed(machine);
+            boolean confirmedReachable = isConfirmedReachable(machine);
+            statuses.add(new MachineStatus(
+                    machine.name,
+                    machine.type,
+                    machine.zone,
+                    machine.spot,
+                    machine.session,
+                    machine.shard,
+                    usableOnceConfirmed && confirmedReachable,
+                    usableOnceConfirmed && !confirmedReachable && silentMs == 0,
+                    machine.faulty,
+                    machine.beingReturned,
                     silentMs,
-                    m.idleSinceMs,
-                    m.speed.value(),
-                    capacity.unclaimedUse(m),
-                    fetchingImages(m, now),
-                    m.cachedImages.stream().mapToInt(i -> i).toArray(),
-                    m.reservations.isEmpty() ? List.of() : List.copyOf(m.reservations.keySet())));
+                    machine.idleSinceMs,
+                    machine.speed.value(),
+                    capacity.unclaimedUse(machine),
+                    fetchingImages(machine, now),
+                    machine.cachedImages.stream().mapToInt(i -> i).toArray(),
+                    machine.reservations.isEmpty() ? List.of() : List.copyOf(machine.reservations.keySet())));
         }
-        return l;
+        return statuses;
     }
 
     /**
-     * Without its second part, a controller that had stood still for 13 s told that its machines were silent for as long, and the autoscaler
-     * deleted those that had something to do.
+     * How long a machine has been silent, but at most the time since the last process pause. Without that bound, a controller that had
+     * stalled for 13 s published all of its machines as silent for that long, and the autoscaler deleted those with tasks.
      */
-    private int silentMs(Machine m, long now) {
-        return (int) Math.min(reachability.silentMs(m, commands.isReporting(m, now), now), now - listeningSinceMs);
-    }
-
-    /** Images being fetched, each with the ms that it should still take: image, ms, image, ms. */
-    private int[] fetchingImages(Machine m, long now) {
-        Map<Integer, Integer> left = new LinkedHashMap<>();
-        for (Claim c : view.claims(m.name).values()) {
-            ReportedTask e = m.reportedTasks.get(c.attemptKey());
-            AttemptState run = m.attempts.get(c.attemptKey());
-            int image = c.job().spec.image();
-            if (m.cachedImages.contains(image) || e != null && e.phase() != ReportedTask.Phase.FETCHING) {
+    private int silentMs(Machine machine, long now) {
+        return (int) Math.min(
+                reachability.silentMs(machine, commands.isReporting(machine, now), now), now - listeningSinceMs);
+    }
+
+    /** Pairs of an image being fetched and the expected remaining time in ms, flattened: image, ms, image, ms. */
+    private int[] fetchingImages(Machine machine, long now) {
+        Map<Integer, Integer> remainingMs = new LinkedHashMap<>();
+        for (Claim claim : view.claims(machine.name).values()) {
+            ReportedTask reported = machine.reportedTasks.get(claim.attemptKey());
+            AttemptState attempt = machine.attempts.get(claim.attemptKey());
+            int image = claim.job().spec.image();
+            if (machine.cachedImages.contains(image)
+                    || reported != null && reported.phase() != ReportedTask.Phase.FETCHING) {
                 continue;
             }
-            long ms = run == null || run.fetchEndMs < 0
-                    ? expectedFetchMs(m, c.job().spec)
-                    : Math.max(1_000, run.fetchEndMs - now);
-            left.merge(image, (int) ms, Math::min);
+            long fetchMs = attempt == null || attempt.fetchEndMs < 0
+                    ? expectedFetchMs(machine, claim.job().spec)
+                    : Math.max(1_000, attempt.fetchEndMs - now);
+            remainingMs.merge(image, (int) fetchMs, Math::min);
         }
-        int[] flat = new int[left.size() * 2];
+        int[] pairs = new int[remainingMs.size() * 2];
         int i = 0;
-        for (Map.Entry<Integer, Integer> e : left.entrySet()) {
-            flat[i++] = e.getKey();
-            flat[i++] = e.getValue();
+        for (Map.Entry<Integer, Integer> imageMs : remainingMs.entrySet()) {
+            pairs[i++] = imageMs.getKey();
+            pairs[i++] = imageMs.getValue();
         }
-        return flat;
+        return pairs;
     }
 
-    /** The shard of a machine of ours, or null. */
-    public Integer shardOf(String machine) {
-        Machine m = machines.get(machine);
-        return m == null ? null : m.shard;
+    /** The shard of a machine that this controller tracks, or null. */
+    public Integer shardOf(String machineName) {
+        Machine machine = machines.get(machineName);
+        return machine == null ? null : machine.shard;
     }
 }
--- a/src/test/java/birchusher/workers/ErrorAttributionTest.java
+++ b/src/test/java/birchusher/workers/ErrorAttributionTest.java
@@ -14,7 +14,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Seen in the plants' incident: eleven jobs submitted with a mistake made 404 errors, and each left a machine idle for ten seconds. */
+/**
+ * Errors of jobs that fail on every machine must not take machines out of use. Eleven jobs submitted with a mistake once made 404 errors, and
+ * each error left a machine idle for ten seconds.
+ */
 class ErrorAttributionTest {
     private final Catalog catalog =
             new Catalog(SettingsReader.read(TestJobs.SETTINGS.getBytes(StandardCharsets.UTF_8)));
@@ -25,22 +28,22 @@
     private long revision;
 
     private Job job(String id) {
-        Map<String, Object> m = TestJobs.job();
-        m.putAll(Map.of("name_id", id, "pieces", 4L));
-        view.put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 100L, "t", 0L, "j", m)), ++revision);
+        Map<String, Object> fields = TestJobs.job();
+        fields.putAll(Map.of("name_id", id, "pieces", 4L));
+        view.put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 100L, "t", 0L, "j", fields)), ++revision);
         return view.job(id);
     }
 
     @Test
     void aJobThatFailsOnSeveralMachinesIsBlamedUntilOneOfItsTasksSucceeds() {
-        Job bad = job("wk-bad");
-        attribution.recordError(bad, firstMachine);
+        Job badJob = job("wk-bad");
+        attribution.recordError(badJob, firstMachine);
         assertThat(attribution.countJobsAgainst(firstMachine, view::job)).isEqualTo(1);
-        assertThat(attribution.recordError(bad, secondMachine)).containsExactlyInAnyOrder("a", "b");
+        assertThat(attribution.recordError(badJob, secondMachine)).containsExactlyInAnyOrder("a", "b");
         assertThat(attribution.countJobsAgainst(firstMachine, view::job)).isZero();
         assertThat(attribution.countJobsAgainst(secondMachine, view::job)).isZero();
         view.put(Keys.placement("wk-bad", 0), new HashMap<>(Map.of("a", 3L, "d", "1", "c", "")), ++revision);
-        assertThat(bad.doneCount()).as("a task ended well").isEqualTo(1);
+        assertThat(badJob.doneCount()).as("finished tasks").isEqualTo(1);
         assertThat(attribution.countJobsAgainst(firstMachine, view::job)).isEqualTo(1);
     }
 
@@ -53,15 +56,15 @@
         assertThat(attribution.isFaulty(firstMachine, view::job)).isFalse();
         attribution.recordError(job("wk-fine"), secondMachine);
         assertThat(attribution.isFaulty(secondMachine, view::job))
-                .as("four jobs, and nothing ended well between them")
+                .as("errors of four jobs, and no task ended well between them")
                 .isTrue();
-        Machine c = new Machine("c", 0, 10);
-        attribution.recordError(view.job("wk-fine"), c);
-        attribution.recordError(job("wk-good"), c);
-        assertThat(attribution.isFaulty(c, view::job))
-                .as("one of the two failed elsewhere as well")
+        Machine thirdMachine = new Machine("c", 0, 10);
+        attribution.recordError(view.job("wk-fine"), thirdMachine);
+        attribution.recordError(job("wk-good"), thirdMachine);
+        assertThat(attribution.isFaulty(thirdMachine, view::job))
+                .as("one of the two jobs failed on other machines too")
                 .isFalse();
-        attribution.recordError(job("wk-too"), c);
-        assertThat(attribution.isFaulty(c, view::job)).isTrue();
+        attribution.recordError(job("wk-too"), thirdMachine);
+        assertThat(attribution.isFaulty(thirdMachine, view::job)).isTrue();
     }
 }
--- a/src/test/java/birchusher/workers/WorkerLeaseGrantTest.java
+++ b/src/test/java/birchusher/workers/WorkerLeaseGrantTest.java
@@ -19,22 +19,22 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What {@link WorkerLease} says was granted to a worker, and that {@link SafetyChecks} sees when it is not kept to. */
+/** Bounds of the lease that {@link WorkerLease} says a worker was granted, and violations that {@link SafetyChecks} detects. */
 class WorkerLeaseGrantTest {
     private static final long TERM = 5;
-    /** A lease of 10 s, the clocks' drift and the margin. */
+    /** A lease of 10 s with the clock drift and the margin. */
     private static final long DURATION_MS = 11_010;
 
     private static final WorkerLease.Ownership OWNERSHIP = new WorkerLease.Ownership(1_000, 2_000);
 
     private final WorkerLease lease = new WorkerLease(10);
 
-    private static Report report(long session, long tick, long token, Map<String, ReportedTask> tasks) {
-        return new Report("n-1", "n-1:1", "g4", "east", false, session, tick, token, -1, tasks);
+    private static Report report(long session, long seq, long token, Map<String, ReportedTask> tasks) {
+        return new Report("n-1", "n-1:1", "g4", "east", false, session, seq, token, -1, tasks);
     }
 
-    private static Report report(long tick) {
-        return report(1, tick, TERM, Map.of());
+    private static Report report(long seq) {
+        return report(1, seq, TERM, Map.of());
     }
 
     private void answer(Report report, long now) {
@@ -50,7 +50,9 @@
     void aReportThatWasOvertakenIsGrantedFromTheMessageThatOvertookIt() {
         answer(report(10), 10_000);
         lease.onMessage(report(12), TERM, 13_000);
-        assertThat(certainEndMs()).as("a direct command renews nothing").isEqualTo(10_000 + DURATION_MS);
+        assertThat(certainEndMs())
+                .as("the answer to a direct command does not renew the lease")
+                .isEqualTo(10_000 + DURATION_MS);
         assertThat(lease.isOvertaken(report(11))).isTrue();
         assertThat(lease.renewalResponse(report(11), TERM, List.of())).containsEntry(Wire.TOKEN, TERM);
         assertThat(certainEndMs()).isEqualTo(13_000 + DURATION_MS);
@@ -61,13 +63,15 @@
         answer(report(10), 10_000);
         lease.onMessage(report(13), TERM, 11_000);
         lease.renewalResponse(report(12), TERM, List.of());
-        for (Report copy : List.of(report(10), report(11), report(12))) {
-            assertThat(lease.isOvertaken(copy)).isFalse();
+        for (Report duplicate : List.of(report(10), report(11), report(12))) {
+            assertThat(lease.isOvertaken(duplicate)).isFalse();
         }
         assertThat(WorkerLease.responseWithoutRenewal()).doesNotContainKey(Wire.TOKEN);
         assertThat(certainEndMs()).isEqualTo(11_000 + DURATION_MS);
         lease.onMessage(report(2, 14, TERM, Map.of()), TERM, 30_000);
-        assertThat(lease.isOvertaken(report(13))).as("of an earlier session").isFalse();
+        assertThat(lease.isOvertaken(report(13)))
+                .as("a report of an earlier session")
+                .isFalse();
     }
 
     @Test
@@ -79,11 +83,13 @@
         assertThat(lease.certainEndMs(TERM, unfenced)).isEqualTo(WorkerLease.NO_KNOWN_END);
         lease.onMessage(report(11), TERM, 13_500);
         assertThat(lease.certainEndMs(TERM, unfenced))
-                .as("it may have heard an earlier owner up to then")
+                .as("an earlier owner may have renewed it up to then")
                 .isEqualTo(13_500 + DURATION_MS);
         lease.onMessage(report(12), TERM, 16_000);
         assertThat(certainEndMs()).isEqualTo(13_500 + DURATION_MS);
-        assertThat(lease.certainEndMs(TERM + 1, unfenced)).as("a new term").isEqualTo(WorkerLease.NO_KNOWN_END);
+        assertThat(lease.certainEndMs(TERM + 1, unfenced))
+                .as("a new term that was not shown yet")
+                .isEqualTo(WorkerLease.NO_KNOWN_END);
     }
 
     @Test
@@ -117,21 +123,21 @@
         Map<String, Object> body = TestJobs.job();
         body.put("name_id", "wk-1");
         view.put(Keys.JOB + "wk-1", new HashMap<>(Map.of("s", "OPEN", "k", 100L, "t", 0L, "j", body)), 1);
-        Claim next = new Claim(view.job("wk-1"), 0, 2, "n-2", 1, 0);
-        assertThatThrownBy(() -> checks.checkStart(next, second))
+        Claim nextAttempt = new Claim(view.job("wk-1"), 0, 2, "n-2", 1, 0);
+        assertThatThrownBy(() -> checks.checkStart(nextAttempt, second))
                 .isInstanceOf(AssertionError.class)
                 .hasMessageContaining("started_while_elsewhere");
-        assertThatThrownBy(() -> checks.checkReleaseOfSilent(next, first))
+        assertThatThrownBy(() -> checks.checkReleaseOfSilent(nextAttempt, first))
                 .isInstanceOf(AssertionError.class)
                 .hasMessageContaining("release_before_lease_end");
         assertThat(counters.safetyViolations).isEqualTo(2);
-        checks.checkStart(next, first);
+        checks.checkStart(nextAttempt, first);
         effects.setTime(20_000 + DURATION_MS, 0);
-        checks.checkStart(next, second);
-        checks.checkReleaseOfSilent(next, first);
+        checks.checkStart(nextAttempt, second);
+        checks.checkReleaseOfSilent(nextAttempt, first);
         owned.remove("n-1");
         effects.setTime(25_000, 0);
-        checks.checkStart(next, second);
+        checks.checkStart(nextAttempt, second);
         assertThat(counters.safetyViolations).isEqualTo(2);
     }
 }
