--- a/src/main/java/birchusher/workers/WorkerRegistry.java
+++ b/src/main/java/birchusher/workers/WorkerRegistry.java
@@ -719,12 +719,7 @@
                 // which may still arrive.
                 continue;
             }
-            if (machine.lastMessageAtMs >= 0
-                            && now - machine.lastMessageAtMs > 120_000
-                            && view.claims(machine.name).isEmpty()
-                    || machine.deleted
-                            && view.claims(machine.name).isEmpty()
-                            && now - machine.lastMessageAtMs > 30_000) {
+            if (mayDropState(machine, now)) {
                 tombstones.recordRemoval(machine);
                 machines.remove(machine.name);
                 continue;
@@ -749,6 +744,17 @@
         }
     }
 
+    /**
+     * Whether the state of a machine may be dropped: the machine has no claims, and either it is deleted and has sent no
+     * message for over 30 s, or it has reported before, but not for over 120 s.
+     */
+    private boolean mayDropState(Machine machine, long now) {
+        return machine.lastMessageAtMs >= 0
+                        && now - machine.lastMessageAtMs > 120_000
+                        && view.claims(machine.name).isEmpty()
+                || machine.deleted && view.claims(machine.name).isEmpty() && now - machine.lastMessageAtMs > 30_000;
+    }
+
     /** Moves the replicas off a machine that is being returned one at a time, so that only one is down at any moment. */
     private void moveNextReplica(Machine machine) {
         for (Claim claim : view.claims(machine.name).values()) {
