--- a/src/main/java/birchusher/model/Catalog.java
+++ b/src/main/java/birchusher/model/Catalog.java
@@ -7,9 +7,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** The indices of every name the core uses, and the machine types once they are known. */
+/**
+ * Maps the names of teams, zones, machine types, images, job classes and members to indices, and holds the machine
+ * types once they are known. Not thread-safe.
+ */
 public final class Catalog {
-    /** One machine type. {@code zones} are indices; prices are per hour. */
+    /**
+     * A machine type. {@code zones} are indices of the zones that offer it; {@code fetchGbPerS} is the bandwidth for
+     * images; prices are per hour.
+     */
     public record MachineType(
             int index,
             String name,
@@ -22,26 +28,30 @@
             double spotPricePerHour,
             double bootS,
             int[] zones) {
+        /** Whether the zone offers this type. */
         public boolean offeredIn(int zone) {
-            for (int z : zones) {
-                if (z == zone) {
+            for (int offered : zones) {
+                if (offered == zone) {
                     return true;
                 }
             }
             return false;
         }
 
-        /** Room that frees within this time is not worth a new machine. */
+        /** Time in ms: renting a machine is not worth it if capacity becomes free sooner. */
         public double rentBreakEvenMs() {
             return bootS * 700;
         }
 
-        public boolean fits(JobSpec j) {
-            return j.cpus() <= cpus + EPSILON && j.gpus() <= gpus + EPSILON && j.memoryGb() <= memoryGb + EPSILON;
+        /** Whether an empty machine of this type can hold one task of the job. */
+        public boolean fits(JobSpec spec) {
+            return spec.cpus() <= cpus + EPSILON
+                    && spec.gpus() <= gpus + EPSILON
+                    && spec.memoryGb() <= memoryGb + EPSILON;
         }
     }
 
-    /** Amounts are decimal numbers; sums of them need a little play. */
+    /** Tolerance in comparisons of sums of cpus, gpus and memory, which are floating-point numbers. */
     public static final double EPSILON = 1e-6;
 
     public final NameIndex teams = new NameIndex();
@@ -55,28 +65,29 @@
     private boolean typesKnown;
     private final Int2DoubleOpenHashMap imageGb = new Int2DoubleOpenHashMap();
 
-    public Catalog(Settings s) {
-        zones = new NameIndex(s.zones());
-        s.teams().forEach(t -> teams.add(t.name()));
-        teamSettings = s.teams();
-        members.add(s.member());
-        s.peers().forEach(p -> members.add(p.member()));
-        s.objectives().forEach(o -> {
-            if (o.cls() != null) {
-                classes.add(o.cls());
+    public Catalog(Settings settings) {
+        zones = new NameIndex(settings.zones());
+        settings.teams().forEach(team -> teams.add(team.name()));
+        teamSettings = settings.teams();
+        members.add(settings.member());
+        settings.peers().forEach(peer -> members.add(peer.member()));
+        settings.objectives().forEach(objective -> {
+            if (objective.cls() != null) {
+                classes.add(objective.cls());
             }
         });
     }
 
-    public Settings.Team team(int i) {
-        return teamSettings.get(i);
+    public Settings.Team team(int index) {
+        return teamSettings.get(index);
     }
 
-    /** Notes an image's size, as jobs tell it. */
+    /** Records an image's size in GB, as jobs state it. */
     public void setImageGb(int image, double gb) {
         imageGb.put(image, gb);
     }
 
+    /** Size of an image in GB; 0 if unknown. */
     public double imageGb(int image) {
         return imageGb.get(image);
     }
@@ -85,88 +96,100 @@
         return typesKnown;
     }
 
-    /** Takes the machine types as the cloud, or another controller's row, tells them. Types are only added. */
-    public void addTypes(List<MachineType> list) {
-        for (MachineType t : list) {
-            if (t.index() >= types.length) {
-                types = java.util.Arrays.copyOf(types, t.index() + 1);
+    /** Adds or replaces machine types, as the cloud or a row of another controller lists them. No type is removed. */
+    public void addTypes(List<MachineType> added) {
+        for (MachineType type : added) {
+            if (type.index() >= types.length) {
+                types = java.util.Arrays.copyOf(types, type.index() + 1);
             }
-            types[t.index()] = t;
+            types[type.index()] = type;
         }
-        typesKnown |= !list.isEmpty();
+        typesKnown |= !added.isEmpty();
     }
 
-    public MachineType type(int i) {
-        return i >= 0 && i < types.length ? types[i] : null;
+    /** The machine type of an index, or null if it is not known yet. */
+    public MachineType type(int index) {
+        return index >= 0 && index < types.length ? types[index] : null;
     }
 
     public List<MachineType> types() {
-        List<MachineType> l = new ArrayList<>();
-        for (MachineType t : types) {
-            if (t != null) {
-                l.add(t);
+        List<MachineType> result = new ArrayList<>();
+        for (MachineType type : types) {
+            if (type != null) {
+                result.add(type);
             }
         }
-        return l;
+        return result;
     }
 
-    /** Why a job can never run here, or null. */
-    public String unschedulableReason(JobSpec j) {
+    /** Why a job can never be scheduled in this deployment; null if it can. */
+    public String unschedulableReason(JobSpec spec) {
         boolean fits = false;
-        for (MachineType t : types()) {
-            fits |= j.allowsType(t.index())
-                    && t.fits(j)
-                    && (j.zone() < 0 ? t.zones().length > 0 : t.offeredIn(j.zone()));
+        for (MachineType type : types()) {
+            fits |= spec.allowsType(type.index())
+                    && type.fits(spec)
+                    && (spec.zone() < 0 ? type.zones().length > 0 : type.offeredIn(spec.zone()));
         }
         if (!fits) {
             return "no allowed machine type fits a task";
         }
-        Settings.Team team = team(j.team());
-        int n = j.shape() == Shape.ARRAY ? 1 : j.tasks();
-        if (exceeds(team.cpusMax(), n * j.cpus()) || exceeds(team.gpusMax(), n * j.gpus())) {
+        Settings.Team team = team(spec.team());
+        int simultaneousTasks = spec.shape() == Shape.ARRAY ? 1 : spec.tasks();
+        if (exceeds(team.cpusMax(), simultaneousTasks * spec.cpus())
+                || exceeds(team.gpusMax(), simultaneousTasks * spec.gpus())) {
             return "more than the team's limit";
         }
         return null;
     }
 
-    /** 0 as a limit means that there is none. */
+    /** Whether the use exceeds the limit. A limit of 0 means no limit. */
     public static boolean exceeds(double limit, double use) {
         return limit > 0 && use > limit + EPSILON;
     }
 
-    /** Whether this much of a team's work lies within its guarantee; a dimension without one counts only if it is all. */
+    /**
+     * Whether cpus and gpus in use lie within a team's guarantee. Without guaranteed gpus no gpus may be in use;
+     * without guaranteed cpus any cpus are within it, provided that gpus are in use.
+     */
     public boolean withinGuarantee(int team, double cpus, double gpus) {
-        Settings.Team t = team(team);
-        if (t.gpus() <= 0 && t.cpus() <= 0) {
+        Settings.Team settings = team(team);
+        if (settings.gpus() <= 0 && settings.cpus() <= 0) {
             return false;
         }
-        boolean g = t.gpus() > 0 ? gpus <= t.gpus() + EPSILON : gpus <= EPSILON;
-        boolean c = t.cpus() > 0 ? cpus <= t.cpus() + EPSILON : t.gpus() > 0 && gpus > EPSILON;
-        return g && c;
+        boolean gpusWithin = settings.gpus() > 0 ? gpus <= settings.gpus() + EPSILON : gpus <= EPSILON;
+        boolean cpusWithin =
+                settings.cpus() > 0 ? cpus <= settings.cpus() + EPSILON : settings.gpus() > 0 && gpus > EPSILON;
+        return gpusWithin && cpusWithin;
     }
 
-    public static MachineType type(NameIndex typeNames, NameIndex zones, Map<String, Object> m, String[] f) {
-        List<?> zs = birchusher.core.Fields.list(m, f[8]);
-        int[] z = new int[zs.size()];
-        for (int i = 0; i < z.length; i++) {
-            z[i] = zones.add(String.valueOf(zs.get(i)));
+    /**
+     * Reads a machine type from a row or a response.
+     *
+     * @param fields the names of its fields: name, cpus, gpus, memory, cache, fetch rate, price, spot price, zones,
+     * boot time
+     */
+    public static MachineType type(NameIndex typeNames, NameIndex zones, Map<String, Object> row, String[] fields) {
+        List<?> zoneNames = birchusher.core.Fields.list(row, fields[8]);
+        int[] zoneIndexes = new int[zoneNames.size()];
+        for (int i = 0; i < zoneIndexes.length; i++) {
+            zoneIndexes[i] = zones.add(String.valueOf(zoneNames.get(i)));
         }
-        String name = birchusher.core.Fields.text(m, f[0]);
+        String name = birchusher.core.Fields.text(row, fields[0]);
         return new MachineType(
                 typeNames.add(name),
                 name,
-                amountOrZero(m, f[1]),
-                amountOrZero(m, f[2]),
-                amountOrZero(m, f[3]),
-                amountOrZero(m, f[4]),
-                Math.max(1e-3, amountOrZero(m, f[5])),
-                amountOrZero(m, f[6]),
-                amountOrZero(m, f[7]),
-                amountOrZero(m, f[9]),
-                z);
+                amountOrZero(row, fields[1]),
+                amountOrZero(row, fields[2]),
+                amountOrZero(row, fields[3]),
+                amountOrZero(row, fields[4]),
+                Math.max(1e-3, amountOrZero(row, fields[5])),
+                amountOrZero(row, fields[6]),
+                amountOrZero(row, fields[7]),
+                amountOrZero(row, fields[9]),
+                zoneIndexes);
     }
 
-    private static double amountOrZero(Map<String, Object> m, String key) {
-        return birchusher.core.Fields.amountOr(m, key, 0);
+    private static double amountOrZero(Map<String, Object> row, String key) {
+        return birchusher.core.Fields.amountOr(row, key, 0);
     }
 }
--- a/src/main/java/birchusher/model/JobSpec.java
+++ b/src/main/java/birchusher/model/JobSpec.java
@@ -3,8 +3,28 @@
 import java.util.Map;
 
 /**
- * A job as submitted, names already indices (see {@link Catalog}). {@code zone} -1: any; {@code types} null: any;
- * {@code deadlineS} 0: none.
+ * A job as submitted, with names as indices of {@link Catalog}.
+ *
+ * @param id unique id of the job
+ * @param jobClass class of the job, for objectives and statistics
+ * @param team team that the job counts for
+ * @param shape how its tasks belong together
+ * @param priority priority of its tasks
+ * @param tasks number of tasks
+ * @param cpus cpus of each task
+ * @param gpus gpus of each task
+ * @param memoryGb memory of each task
+ * @param image image that its tasks run
+ * @param imageGb size of the image
+ * @param allowedTypes machine types that its tasks may use; null: any
+ * @param zone zone of all tasks; -1: any
+ * @param oneZone whether all tasks have to be in the same zone
+ * @param spread whether tasks have to be spread over zones, see {@link #maxTasksPerZone}
+ * @param allowsSpot whether its tasks may run on spot machines
+ * @param estimateS estimated run time of a task
+ * @param checkpointIntervalS time between checkpoints; 0: none
+ * @param checkpointWriteS time that writing a checkpoint takes
+ * @param deadlineS time after submission by which the job should be complete; 0: none
  */
 public record JobSpec(
         String id,
@@ -28,6 +48,7 @@
         double checkpointWriteS,
         double deadlineS) {
 
+    /** Whether its tasks resume from checkpoints. */
     public boolean isCheckpointed() {
         return checkpointIntervalS > 0;
     }
@@ -40,24 +61,29 @@
         return shape == Shape.GANG;
     }
 
+    /** Whether its tasks may use a machine type. */
     public boolean allowsType(int type) {
         if (allowedTypes == null) {
             return true;
         }
-        for (int t : allowedTypes) {
-            if (t == type) {
+        for (int allowed : allowedTypes) {
+            if (allowed == type) {
                 return true;
             }
         }
         return false;
     }
 
-    /** At most this many tasks may be in one zone. */
+    /** Maximum number of tasks in one zone: half of them, rounded up, if they are spread, otherwise all. */
     public int maxTasksPerZone() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
-    /** Whether one more of its tasks may go to a zone by its zone rules, given how many are in each. */
+    /**
+     * Whether the zone rules allow one more task in a zone.
+     *
+     * @param tasksByZone number of the job's tasks in each zone; zones without tasks are absent
+     */
     public boolean allowsZone(Map<Integer, Integer> tasksByZone, int taskZone) {
         if (zone >= 0 && zone != taskZone) {
             return false;
@@ -68,20 +94,25 @@
         return !spread || tasksByZone.getOrDefault(taskZone, 0) < maxTasksPerZone();
     }
 
-    /** A gang of several tasks: to end one is to end all of them. */
+    /** Whether it is a gang of several tasks, where ending one task means ending all of them. */
     public boolean isMultiTaskGang() {
         return isGang() && tasks > 1;
     }
 
     /**
-     * Whether a task of this may be stopped for another job: of lower priority, but not within its guarantee for what is beyond its
-     * own; or beyond its team's guarantee, for another team's guaranteed work. To stop one replica for another gains nothing and
-     * once went on for minutes.
+     * Whether a task of this job may be preempted for another job. It may if its priority is lower, unless this job is
+     * within its team's guarantee and the other job is neither guaranteed nor production; or if it is beyond its team's
+     * guarantee, not production, and the other job is guaranteed and of another team. Tasks of gangs of several tasks
+     * are never preempted. Preempting one replica for another gains nothing and once went on for minutes.
+     *
+     * @param guaranteed whether this job lies within its team's guarantee
+     * @param guaranteedOther whether the other job does
      */
-    public boolean preemptibleBy(JobSpec o, boolean guaranteed, boolean guaranteedOther) {
-        boolean lower = priority.compareTo(o.priority) > 0
-                && (o.priority == Priority.PRODUCTION || guaranteedOther || !guaranteed);
-        boolean beyond = guaranteedOther && !guaranteed && priority != Priority.PRODUCTION && team != o.team;
-        return (lower || beyond) && !isMultiTaskGang();
+    public boolean preemptibleBy(JobSpec other, boolean guaranteed, boolean guaranteedOther) {
+        boolean lowerPriority = priority.compareTo(other.priority) > 0
+                && (other.priority == Priority.PRODUCTION || guaranteedOther || !guaranteed);
+        boolean beyondGuarantee =
+                guaranteedOther && !guaranteed && priority != Priority.PRODUCTION && team != other.team;
+        return (lowerPriority || beyondGuarantee) && !isMultiTaskGang();
     }
 }
--- a/src/main/java/birchusher/model/Priority.java
+++ b/src/main/java/birchusher/model/Priority.java
@@ -1,6 +1,6 @@
 package birchusher.model;
 
-/** Highest first, so that {@code ordinal} orders them. */
+/** Priority of a job, highest first, as {@code ordinal} and {@code compareTo} order them. */
 public enum Priority {
     PRODUCTION,
     HIGH,
