--- a/src/main/java/birchusher/placement/JobScheduler.java
+++ b/src/main/java/birchusher/placement/JobScheduler.java
@@ -36,50 +36,66 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Places the tasks of the jobs this controller drives: plan, offer to the machines' owners, claim by one transaction. */
+/**
+ * Places the tasks of the jobs that this controller schedules.
+ *
+ * <p>Each {@link #tick} makes a plan for the jobs of the whole cluster, offers the placements of this controller's own
+ * jobs to the owners of the machines, and claims what the owners accept, each batch in one transaction of the state
+ * service. Jobs that would start late may request the preemption of other tasks. As the owner of machines, the
+ * controller also evaluates the offers of its peers here. Not thread-safe: all calls come from the controller's event
+ * loop.
+ */
 public final class JobScheduler {
     private static final Logger LOG = LoggerFactory.getLogger(JobScheduler.class);
     private static final int MAX_OFFERED_TASKS = 400;
-    /** Offers under way that are always allowed in a return, however scarce changes are. */
+    /** Open batches that are always allowed during restart recovery, however few rows can be written. */
     private static final int MIN_OPEN_BATCHES = 8;
-    /** Waiting jobs for which one plan looks for work to stop. */
+    /** Waiting jobs for which one plan searches for tasks to preempt. */
     private static final int MAX_PREEMPTION_REQUESTS = 12;
 
     private static final int MAX_PREEMPTIONS_PER_PLAN = 8;
-    /** A job that has asked for others' room does not ask again before it can be seen what came of it. */
+    /**
+     * Time between two preemption requests of one job, so that the effect of the first is visible before the second.
+     */
     private static final long PREEMPTION_RETRY_MS = 3_000;
 
     private static final String JOB_NOT_IN_VIEW = "job not known yet";
 
-    /** Sends a record to a member; index 0 is ourselves. */
+    /** Sends a record to another controller. Member 0 is this controller itself. */
     public interface PeerSender {
-        void send(int member, PeerRecord r);
+        void send(int member, PeerRecord record);
     }
 
-    /** Tasks of one job offered together; for a gang all of them must be accepted. */
+    /** Tasks of one job that are offered together; a gang needs all of them to be accepted. */
     private static final class OfferBatch {
         final Job job;
         final List<Planner.Placement> placements;
         final Map<Integer, Long> acceptedTerms = new TreeMap<>();
-        /** Counts on room that the owners make once its claim stands. */
+        /** The placements rely on capacity that the owners free by preemption once the claims are recorded. */
         final boolean withPreemption;
 
         int awaitedReplies;
         boolean anyRefused;
         long offeredAtMs;
 
-        OfferBatch(Job job, List<Planner.Placement> choices, boolean makesRoom, long since) {
+        OfferBatch(Job job, List<Planner.Placement> placements, boolean withPreemption, long offeredAtMs) {
             this.job = job;
-            this.placements = choices;
-            this.withPreemption = makesRoom;
-            this.offeredAtMs = since;
+            this.placements = placements;
+            this.withPreemption = withPreemption;
+            this.offeredAtMs = offeredAtMs;
         }
     }
 
-    /** A job that would be served late, by how much, and whether it lies within its team's guarantee. */
+    /**
+     * A job whose tasks would start late. {@code guaranteed}: it lies within its team's guarantee; {@code delayS}: by
+     * how much it would start late, {@code Double.MAX_VALUE} without any capacity in sight.
+     */
     private record PreemptionRequest(Job job, boolean guaranteed, double delayS) {}
 
-    /** So many errors without a task that ended well are more than one faulty machine at the beginning makes. */
+    /**
+     * Consecutive errors, without any finished task, after which an array runs one task at a time. One faulty machine
+     * at the start causes fewer.
+     */
     private static final int PROBE_AFTER_ERRORS = 6;
 
     private record PendingOffer(OfferBatch batch, List<Planner.Placement> placements) {}
@@ -96,24 +112,32 @@
     private final Preemption preemption;
     private final Counters counters;
     private final PeerSender peerSender;
-    /** Whether the fleet has been heard since the rows were read: until then work is not stopped for want of room. */
+    /**
+     * Whether the machines have reported since the rows were loaded. Until then no task is preempted for lack of
+     * capacity.
+     */
     private final BooleanSupplier fleetKnown;
-    /** Dropped tasks of the cluster that are to find their places again. */
+    /** Number of dropped tasks in the cluster that wait to be placed again. */
     private final IntSupplier tasksToRestore;
-    /** Per job and task: until when it is on its way and must not be planned again. */
+    /**
+     * Per job and task: steady time in ms until which the task is offered or being claimed and must not be planned
+     * again.
+     */
     private final Map<String, Map<Integer, Long>> heldTasks = new HashMap<>();
 
     private int heldTaskCount;
-    /** Per job and machine: until when an offer there is not repeated. */
+    /** Per job and machine: steady time in ms until which the job is not offered there again. */
     private final Map<String, Map<String, Long>> refusedMachines = new HashMap<>();
 
     private final Map<Long, PendingOffer> pendingOffers = new HashMap<>();
-    /** Offered, and not yet claimed or given up. Each takes a row or more. */
+    /** Batches that are offered and neither claimed nor withdrawn yet. Each writes at least one row. */
     private final Set<OfferBatch> openBatches = new HashSet<>();
-    /** Jobs that have asked for others' room: until when they don't ask again. */
-    private final Map<String, Long> preemptionRetryAt = new HashMap<>();
+    /** Per job: steady time in ms before which it does not request preemption again. */
+    private final Map<String, Long> preemptionRetryAtMs = new HashMap<>();
 
+    /** Per job: the consecutive errors last seen, and the steady time in ms at which its back-off ends. */
     private final Map<String, long[]> errorBackoff = new HashMap<>();
+
     private final long offerTimeoutMs;
     private final long planGapMs;
     private final double slotsPerMs;
@@ -122,16 +146,19 @@
     private long plannedViewChanges = -1;
     private long plannedAtMs = -1_000_000;
     private long nextExpiryMs;
-    /** The fleet as it was when the plan at hand began. */
+    /** Machine statuses at the time of the current plan. */
     private Map<String, MachineStatus> machineStatuses = Map.of();
-    /** Of offers. Begins anew with each life's time of day: a verdict on an earlier life's offer must not pass for one on ours. */
+    /**
+     * Id of the next offer. The sequence of an incarnation starts from its wall-clock time, so that a reply to an offer
+     * of an earlier incarnation is not taken for a reply to one of this incarnation.
+     */
     private long nextOfferId;
 
     private Planner.Plan lastPlan = new Planner.Plan(List.of(), List.of(), Set.of(), 0, 0, List.of());
 
     public JobScheduler(
             Effects effects,
-            Settings s,
+            Settings settings,
             Catalog catalog,
             StoreView view,
             StoreClient store,
@@ -139,50 +166,55 @@
             WorkerRegistry workerRegistry,
             Planner planner,
             Counters counters,
-            Tuning t,
-            PeerSender mesh,
+            Tuning tuning,
+            PeerSender peerSender,
             BooleanSupplier fleetKnown,
-            IntSupplier returning) {
+            IntSupplier tasksToRestore) {
         this.effects = effects;
-        this.settings = s;
+        this.settings = settings;
         this.catalog = catalog;
         this.view = view;
         this.store = store;
         this.membership = membership;
         this.workerRegistry = workerRegistry;
         this.planner = planner;
-        quotas = new Quotas(catalog, view, 1 + s.peers().size());
+        quotas = new Quotas(catalog, view, 1 + settings.peers().size());
         preemption = new Preemption(view, this::runningMs);
         this.counters = counters;
-        this.peerSender = mesh;
+        this.peerSender = peerSender;
         this.fleetKnown = fleetKnown;
-        this.tasksToRestore = returning;
+        this.tasksToRestore = tasksToRestore;
         nextOfferId = effects.wallTime() << 20;
-        offerTimeoutMs = t.ms("placement.offer-s");
-        preemptDelayMs = t.num("placement.preempt-delay-s") * 1000;
-        planGapMs = t.ms("placement.plan-gap-s");
-        slotsPerMs = t.num("placement.slots-per-s") / 1000;
+        offerTimeoutMs = tuning.ms("placement.offer-s");
+        preemptDelayMs = tuning.num("placement.preempt-delay-s") * 1000;
+        planGapMs = tuning.ms("placement.plan-gap-s");
+        slotsPerMs = tuning.num("placement.slots-per-s") / 1000;
         planner.zoneOfShard(membership::zoneOf);
     }
 
-    /** What the last plan made of the waiting tasks: room now, room soon, none; overdue of the second. */
+    /**
+     * Result of the last plan as a part of the counters log line: placements on available capacity, placements on
+     * capacity that becomes available soon, tasks without capacity, and how many of the second are overdue.
+     */
     public String logText() {
-        long now =
-                lastPlan.placements().stream().filter(c -> c.slot().available).count();
-        return "room_now=" + now + " room_soon=" + (lastPlan.placements().size() - now) + " no_room="
+        long available = lastPlan.placements().stream()
+                .filter(placement -> placement.slot().available)
+                .count();
+        return "room_now=" + available + " room_soon=" + (lastPlan.placements().size() - available) + " no_room="
                 + lastPlan.unplaced().stream()
                         .mapToInt(Planner.UnplacedTasks::taskCount)
                         .sum() + " overdue="
                 + lastPlan.placements().stream()
-                        .filter(c -> c.overdue(effects.wallTime()))
+                        .filter(placement -> placement.overdue(effects.wallTime()))
                         .count();
     }
 
+    /** The last plan; empty before the first one. */
     public Planner.Plan lastPlan() {
         return lastPlan;
     }
 
-    /** Whether a plan is due; the pictures need to be drawn only then. */
+    /** Whether a plan is due. Machine statuses need to be collected only then. */
     public boolean planDue() {
         long now = effects.now();
         return store.loaded()
@@ -191,9 +223,14 @@
                 && (plannedViewChanges != view.changeCount() || now - plannedAtMs >= 1_000);
     }
 
-    /** {@code coming}: room that is not there yet; looked for only when something waits. */
-    public void tick(Map<String, MachineStatus> pictures, Supplier<List<Slot>> coming) {
-        machineStatuses = pictures;
+    /**
+     * Makes a plan, and acts on it if this controller is a member and the state service is healthy.
+     *
+     * @param statuses the status of each machine, by name
+     * @param upcoming supplies slots of capacity that is not available yet; called only if tasks wait
+     */
+    public void tick(Map<String, MachineStatus> statuses, Supplier<List<Slot>> upcoming) {
+        machineStatuses = statuses;
         long now = effects.now();
         plannedAtMs = now;
         plannedViewChanges = view.changeCount();
@@ -203,21 +240,20 @@
             nextPlanMs = now + planGapMs;
             return;
         }
-        List<Slot> slots = freeSlots(pictures);
-        slots.addAll(coming.get());
+        List<Slot> slots = freeSlots(statuses);
+        slots.addAll(upcoming.get());
         Planner.Plan plan = planner.plan(slots, schedulingState, inFlight(), now, effects.wallTime());
         lastPlan = plan;
-        // Large fleets and long queues make plans dear: they are then made less often, not at the cost of the reports.
-        // Every claim
-        // is looked at too, for the room that it will leave.
+        // Large fleets and long queues make plans expensive. Plans then become less frequent instead of delaying
+        // reports. Every claim counts as well, since the capacity that it will free is examined.
         nextPlanMs = now + Math.max(planGapMs, Math.round((plan.slotsExamined() + view.claimCount()) / slotsPerMs));
         counters.plans++;
         counters.slotsLookedAt += plan.slotsExamined();
         counters.speedLimited += plan.speedLimited();
         if (membership.canAct() && store.healthy()) {
-            offerPlanned(plan, pictures, now);
+            offerPlanned(plan, statuses, now);
             if (fleetKnown.getAsBoolean()) {
-                requestPreemptions(plan, pictures, now);
+                requestPreemptions(plan, statuses, now);
             }
         }
     }
@@ -225,34 +261,37 @@
     private void removeExpired(long now) {
         if (now >= nextExpiryMs) {
             nextExpiryMs = now + 100;
-            heldTasks.values().removeIf(m -> {
-                m.values().removeIf(until -> now > until);
-                return m.isEmpty();
+            heldTasks.values().removeIf(byKey -> {
+                byKey.values().removeIf(until -> now > until);
+                return byKey.isEmpty();
             });
             heldTaskCount = heldTasks.values().stream().mapToInt(Map::size).sum();
-            refusedMachines.values().removeIf(m -> {
-                m.values().removeIf(until -> now > until);
-                return m.isEmpty();
+            refusedMachines.values().removeIf(byKey -> {
+                byKey.values().removeIf(until -> now > until);
+                return byKey.isEmpty();
             });
-            preemptionRetryAt.values().removeIf(until -> now > until);
-            // An owner that died answers no offer: forgetting it only with the next offer once left a replica waiting
-            // for
-            // good, as its own old offer took the one place its zone rule allowed.
-            pendingOffers.values().removeIf(a -> now - a.batch.offeredAtMs > offerTimeoutMs);
-            openBatches.removeIf(g -> g.awaitedReplies > 0 && now - g.offeredAtMs > offerTimeoutMs);
+            preemptionRetryAtMs.values().removeIf(until -> now > until);
+            // A crashed owner never replies. Such an offer has to expire here and not only when the next offer is made:
+            // a replica once waited forever because its own old offer occupied the only place that its zone rule
+            // allowed.
+            pendingOffers.values().removeIf(offer -> now - offer.batch.offeredAtMs > offerTimeoutMs);
+            openBatches.removeIf(batch -> batch.awaitedReplies > 0 && now - batch.offeredAtMs > offerTimeoutMs);
             errorBackoff.keySet().removeIf(id -> view.job(id) == null);
         }
     }
 
-    private void holdTask(Planner.Placement c, long until) {
-        if (heldTasks.computeIfAbsent(c.job().spec.id(), k -> new HashMap<>()).put(c.task(), until) == null) {
+    private void holdTask(Planner.Placement placement, long untilMs) {
+        if (heldTasks
+                        .computeIfAbsent(placement.job().spec.id(), k -> new HashMap<>())
+                        .put(placement.task(), untilMs)
+                == null) {
             heldTaskCount++;
         }
     }
 
-    private void releaseTask(Planner.Placement c) {
-        Map<Integer, Long> m = heldTasks.get(c.job().spec.id());
-        if (m != null && m.remove(c.task()) != null) {
+    private void releaseTask(Planner.Placement placement) {
+        Map<Integer, Long> untilByTask = heldTasks.get(placement.job().spec.id());
+        if (untilByTask != null && untilByTask.remove(placement.task()) != null) {
             heldTaskCount--;
         }
     }
@@ -260,30 +299,30 @@
     private final Planner.SchedulingState schedulingState = new Planner.SchedulingState() {
         @Override
         public IntPredicate heldTasks(String job) {
-            Map<Integer, Long> m = heldTasks.get(job);
-            IntOpenHashSet others = reservedElsewhere.get(job);
-            if (m == null || m.isEmpty()) {
-                return others == null ? null : others::contains;
+            Map<Integer, Long> own = heldTasks.get(job);
+            IntOpenHashSet elsewhere = reservedElsewhere.get(job);
+            if (own == null || own.isEmpty()) {
+                return elsewhere == null ? null : elsewhere::contains;
             }
-            return others == null ? m::containsKey : t -> m.containsKey(t) || others.contains(t);
+            return elsewhere == null ? own::containsKey : task -> own.containsKey(task) || elsewhere.contains(task);
         }
 
         @Override
         public Set<String> refusedMachines(String job) {
-            Map<String, Long> m = refusedMachines.get(job);
-            return m == null || m.isEmpty() ? null : m.keySet();
+            Map<String, Long> untilByMachine = refusedMachines.get(job);
+            return untilByMachine == null || untilByMachine.isEmpty() ? null : untilByMachine.keySet();
         }
 
         @Override
-        public boolean backingOff(Job j) {
-            return JobScheduler.this.backingOff(j);
+        public boolean backingOff(Job job) {
+            return JobScheduler.this.backingOff(job);
         }
 
         @Override
-        public boolean probing(Job j) {
-            return j.spec.shape() == Shape.ARRAY
-                    && j.doneCount() == 0
-                    && j.consecutiveErrors() >= Math.min(PROBE_AFTER_ERRORS, Math.max(2, j.spec.tasks()));
+        public boolean probing(Job job) {
+            return job.spec.shape() == Shape.ARRAY
+                    && job.doneCount() == 0
+                    && job.consecutiveErrors() >= Math.min(PROBE_AFTER_ERRORS, Math.max(2, job.spec.tasks()));
         }
 
         @Override
@@ -293,205 +332,234 @@
         }
     };
 
-    /** For how long this controller has seen a claim stand, in ms. */
-    public long runningMs(Claim c) {
-        return c.seenAtMs() < 0 ? 0 : effects.now() - c.seenAtMs();
+    /** Time in ms for which this controller has seen the claim on record; 0 if it has not seen it yet. */
+    public long runningMs(Claim claim) {
+        return claim.seenAtMs() < 0 ? 0 : effects.now() - claim.seenAtMs();
     }
 
-    /** Expected end of a claim by what this controller has seen of it, in steady ms. */
-    public long expectedEndMs(Claim c) {
-        if (c.job().spec.isService()) {
+    /**
+     * Expected end of a claim's task in ms of steady time, from the estimated run time and the time this controller has
+     * seen the claim; {@code Long.MAX_VALUE} for a service.
+     */
+    public long expectedEndMs(Claim claim) {
+        if (claim.job().spec.isService()) {
             return Long.MAX_VALUE;
         }
-        long ran = runningMs(c);
-        double left = planner.expectedRunS(c.job().spec) * 1000 + 3_000 - ran;
-        // The longer a task is overdue, the less its end is near: "any moment now" kept others waiting for minutes.
-        return effects.now() + Math.round(Math.max(left, 0.4 * ran));
+        long ranMs = runningMs(claim);
+        double leftMs = planner.expectedRunS(claim.job().spec) * 1000 + 3_000 - ranMs;
+        // The longer a task is overdue, the less certain is its end: expecting it at any moment kept other tasks
+        // waiting for minutes.
+        return effects.now() + Math.round(Math.max(leftMs, 0.4 * ranMs));
     }
 
-    /** A job whose tasks keep failing waits longer and longer, so that it does not wear out machines. */
-    private boolean backingOff(Job j) {
-        long errors = j.consecutiveErrors();
+    /**
+     * Whether a job with failing tasks is in its back-off. The back-off grows with the errors, up to 60 s, so that the
+     * job does not occupy machines with restarts.
+     */
+    private boolean backingOff(Job job) {
+        long errors = job.consecutiveErrors();
         if (errors < 2) {
-            errorBackoff.remove(j.spec.id());
+            errorBackoff.remove(job.spec.id());
             return false;
         }
-        long[] seen = errorBackoff.computeIfAbsent(j.spec.id(), k -> new long[] {0, 0});
-        if (seen[0] != errors) {
-            seen[0] = errors;
-            seen[1] = effects.now()
-                    + Math.min(60_000, 500L << Math.min(7, errors / Math.max(1, Math.min(8, j.spec.tasks()))));
+        long[] backoff = errorBackoff.computeIfAbsent(job.spec.id(), k -> new long[] {0, 0});
+        if (backoff[0] != errors) {
+            backoff[0] = errors;
+            backoff[1] = effects.now()
+                    + Math.min(60_000, 500L << Math.min(7, errors / Math.max(1, Math.min(8, job.spec.tasks()))));
         }
-        return effects.now() < seen[1];
+        return effects.now() < backoff[1];
     }
 
     private List<Planner.Placement> inFlight() {
-        List<Planner.Placement> l = new ArrayList<>(pendingClaims.values());
-        pendingOffers.values().forEach(a -> l.addAll(a.placements()));
-        return l;
+        List<Planner.Placement> result = new ArrayList<>(pendingClaims.values());
+        pendingOffers.values().forEach(offer -> result.addAll(offer.placements()));
+        return result;
     }
 
-    /** Free room on every machine in the pictures, less what the store records. */
-    public List<Slot> freeSlots(Map<String, MachineStatus> pictures) {
-        List<Slot> slots = new ArrayList<>(pictures.size());
+    /**
+     * Free capacity of every usable machine: what its claims, offers in flight, reservations and unclaimed tasks leave.
+     *
+     * @param statuses the status of each machine, by name
+     */
+    public List<Slot> freeSlots(Map<String, MachineStatus> statuses) {
+        List<Slot> slots = new ArrayList<>(statuses.size());
         reservedElsewhere.clear();
-        Map<String, List<Planner.Placement>> underway = new HashMap<>();
-        for (Planner.Placement c : inFlight()) {
-            underway.computeIfAbsent(c.slot().machine, k -> new ArrayList<>()).add(c);
+        Map<String, List<Planner.Placement>> inFlightByMachine = new HashMap<>();
+        for (Planner.Placement placement : inFlight()) {
+            inFlightByMachine
+                    .computeIfAbsent(placement.slot().machine, name -> new ArrayList<>())
+                    .add(placement);
         }
-        for (MachineStatus p : pictures.values()) {
-            Catalog.MachineType t = catalog.type(p.type());
-            if (!p.usable() || t == null) {
+        for (MachineStatus status : statuses.values()) {
+            Catalog.MachineType type = catalog.type(status.type());
+            if (!status.usable() || type == null) {
                 continue;
             }
-            double[] used = view.capacityUsedOn(p.machine());
-            double[] f = {
-                t.cpus() - p.unclaimedUse()[0] - used[0],
-                t.gpus() - p.unclaimedUse()[1] - used[1],
-                t.memoryGb() - p.unclaimedUse()[2] - used[2]
+            double[] used = view.capacityUsedOn(status.machine());
+            double[] free = {
+                type.cpus() - status.unclaimedUse()[0] - used[0],
+                type.gpus() - status.unclaimedUse()[1] - used[1],
+                type.memoryGb() - status.unclaimedUse()[2] - used[2]
             };
-            for (Planner.Placement c : underway.getOrDefault(p.machine(), List.of())) {
-                Claim stands = c.job().isPlaced(c.task()) ? c.job().claim(c.task()) : null;
-                if (stands == null || !stands.machine().equals(p.machine())) {
-                    subtract(f, c.job().spec);
+            for (Planner.Placement placement : inFlightByMachine.getOrDefault(status.machine(), List.of())) {
+                Claim recorded = placement.job().isPlaced(placement.task())
+                        ? placement.job().claim(placement.task())
+                        : null;
+                if (recorded == null || !recorded.machine().equals(status.machine())) {
+                    subtract(free, placement.job().spec);
                 }
             }
-            for (String key : p.reservedTasks()) {
+            for (String key : status.reservedTasks()) {
                 int slash = key.lastIndexOf('/');
-                Job j = view.job(key.substring(0, Math.max(0, slash)));
-                if (j != null && !pendingOffers(j, key.substring(slash + 1), p.machine(), underway)) {
-                    subtract(f, j.spec);
+                Job job = view.job(key.substring(0, Math.max(0, slash)));
+                if (job != null
+                        && !countedAlready(job, key.substring(slash + 1), status.machine(), inFlightByMachine)) {
+                    subtract(free, job.spec);
                 }
             }
-            slots.add(Slot.of(p, t, p.shard(), 0, true, f));
+            slots.add(Slot.of(status, type, status.shard(), 0, true, free));
         }
         return slots;
     }
 
-    /** Whether a reservation is already counted: as a claim that stands, or as an offer of our own. */
-    private boolean pendingOffers(Job j, String task, String machine, Map<String, List<Planner.Placement>> underway) {
-        int n = Integer.parseInt(task);
-        if (n >= j.spec.tasks() || j.isPlaced(n)) {
+    /**
+     * Whether the free capacity already accounts for a reservation, by a recorded claim or by an offer of this
+     * controller. If not, the task is noted as reserved by another controller.
+     */
+    private boolean countedAlready(
+            Job job, String task, String machine, Map<String, List<Planner.Placement>> inFlightByMachine) {
+        int taskIndex = Integer.parseInt(task);
+        if (taskIndex >= job.spec.tasks() || job.isPlaced(taskIndex)) {
             return true;
         }
-        for (Planner.Placement c : underway.getOrDefault(machine, List.of())) {
-            if (c.task() == n && c.job().spec.id().equals(j.spec.id())) {
+        for (Planner.Placement placement : inFlightByMachine.getOrDefault(machine, List.of())) {
+            if (placement.task() == taskIndex && placement.job().spec.id().equals(job.spec.id())) {
                 return true;
             }
         }
         reservedElsewhere
-                .computeIfAbsent(j.spec.id(), k -> new IntOpenHashSet())
-                .add(n);
+                .computeIfAbsent(job.spec.id(), id -> new IntOpenHashSet())
+                .add(taskIndex);
         return false;
     }
 
-    /** Per job the tasks that other drivers' reservations are for: as good as placed. */
+    /** Per job the tasks for which other controllers hold reservations. The planner treats them as placed. */
     private final Map<String, IntOpenHashSet> reservedElsewhere = new HashMap<>();
 
+    /** Placements whose claims are queued or sent, by task key. */
     private final Map<String, Planner.Placement> pendingClaims = new HashMap<>();
 
-    private static void subtract(double[] f, JobSpec j) {
-        f[0] -= j.cpus();
-        f[1] -= j.gpus();
-        f[2] -= j.memoryGb();
+    private static void subtract(double[] free, JobSpec spec) {
+        free[0] -= spec.cpus();
+        free[1] -= spec.gpus();
+        free[2] -= spec.memoryGb();
     }
 
     // ---- offers
 
-    private void offerPlanned(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        Map<String, List<Planner.Placement>> groups = new LinkedHashMap<>();
-        Map<String, Boolean> whole = new HashMap<>();
-        for (Planner.Placement c : plan.placements()) {
-            JobSpec s = c.job().spec;
-            if (!c.slot().available) {
-                whole.put(s.id(), false);
+    private void offerPlanned(Planner.Plan plan, Map<String, MachineStatus> statuses, long now) {
+        Map<String, List<Planner.Placement>> batches = new LinkedHashMap<>();
+        Map<String, Boolean> fullyAvailable = new HashMap<>();
+        for (Planner.Placement placement : plan.placements()) {
+            JobSpec spec = placement.job().spec;
+            if (!placement.slot().available) {
+                fullyAvailable.put(spec.id(), false);
                 continue;
             }
-            if (heldTaskCount + groups.size() > MAX_OFFERED_TASKS || !membership.schedules(s.id())) {
+            if (heldTaskCount + batches.size() > MAX_OFFERED_TASKS || !membership.schedules(spec.id())) {
                 continue;
             }
-            String key = s.isGang() ? s.id() : s.id() + "/" + c.task() / c.job().chunkSize;
-            groups.computeIfAbsent(key, k -> new ArrayList<>()).add(c);
-        }
-        // In a return no more than can be claimed before the offers end, the first in the plan's order: ten times as
-        // many were offered,
-        // and most of them only kept room from the others until they were given up. On other days the limit made arrays
-        // late.
-        int rows = Math.max(MIN_OPEN_BATCHES, store.expectedRowsWithin(offerTimeoutMs));
-        int most = tasksToRestore.getAsInt() > rows ? rows : Integer.MAX_VALUE;
-        for (List<Planner.Placement> choices : groups.values()) {
-            if (openBatches.size() >= most) {
+            String key = spec.isGang() ? spec.id() : spec.id() + "/" + placement.task() / placement.job().chunkSize;
+            batches.computeIfAbsent(key, k -> new ArrayList<>()).add(placement);
+        }
+        // During restart recovery only as many batches are offered as can be claimed before the offers expire, in the
+        // order of the plan. Without the limit ten times as many were offered, and most of them only reserved capacity
+        // that other tasks needed until the offers expired. At other times the limit would delay arrays.
+        int rowsInTime = Math.max(MIN_OPEN_BATCHES, store.expectedRowsWithin(offerTimeoutMs));
+        int maxOpenBatches = tasksToRestore.getAsInt() > rowsInTime ? rowsInTime : Integer.MAX_VALUE;
+        for (List<Planner.Placement> placements : batches.values()) {
+            if (openBatches.size() >= maxOpenBatches) {
                 return;
             }
-            Job j = choices.get(0).job();
-            if (j.spec.isGang() && (!whole.getOrDefault(j.spec.id(), true) || choices.size() < j.spec.tasks())) {
+            Job job = placements.get(0).job();
+            if (job.spec.isGang()
+                    && (!fullyAvailable.getOrDefault(job.spec.id(), true) || placements.size() < job.spec.tasks())) {
                 continue;
             }
-            List<Planner.Placement> sooner = preemptingGangPlacement(j, choices, plan, pictures);
-            sendOffers(sooner == null ? new OfferBatch(j, choices, false, now) : new OfferBatch(j, sooner, true, now));
+            List<Planner.Placement> withPreemption = preemptingGangPlacement(job, placements, plan, statuses);
+            sendOffers(
+                    withPreemption == null
+                            ? new OfferBatch(job, placements, false, now)
+                            : new OfferBatch(job, withPreemption, true, now));
         }
     }
 
-    /** For a gang that would miss an aim only as its images have to come: places where they are, if others may be stopped there. */
+    /**
+     * Placements with preemption for a gang that would miss an objective only because its images have to be fetched, on
+     * machines that have them; null if there are none or the gang does not need them.
+     */
     private List<Planner.Placement> preemptingGangPlacement(
-            Job j, List<Planner.Placement> choices, Planner.Plan plan, Map<String, MachineStatus> pictures) {
-        if (!j.spec.isMultiTaskGang()) {
+            Job job, List<Planner.Placement> placements, Planner.Plan plan, Map<String, MachineStatus> statuses) {
+        if (!job.spec.isMultiTaskGang()) {
             return null;
         }
-        double spareMs = planner.startSlackMs(j, effects.wallTime());
-        if (choices.stream().noneMatch(c -> c.startDelayMs() > spareMs)) {
+        double slackMs = planner.startSlackMs(job, effects.wallTime());
+        if (placements.stream().noneMatch(placement -> placement.startDelayMs() > slackMs)) {
             return null;
         }
-        List<Slot> slots = freeSlots(pictures);
-        allocateHigherRanked(plan, j, slots);
-        List<Planner.Placement> l = preemption.placeGang(
-                j,
-                plan.guaranteedJobs().contains(j.spec.id()),
+        List<Slot> slots = freeSlots(statuses);
+        allocateHigherRanked(plan, job, slots);
+        List<Planner.Placement> preempting = preemption.placeGang(
+                job,
+                plan.guaranteedJobs().contains(job.spec.id()),
                 Double.MAX_VALUE,
-                spareMs,
+                slackMs,
                 plan,
                 slots,
                 catalog.zones.size(),
-                schedulingState.refusedMachines(j.spec.id()));
-        return l == null || l.stream().anyMatch(c -> c.startDelayMs() > spareMs) ? null : l;
+                schedulingState.refusedMachines(job.spec.id()));
+        return preempting == null || preempting.stream().anyMatch(placement -> placement.startDelayMs() > slackMs)
+                ? null
+                : preempting;
     }
 
-    private void sendOffers(OfferBatch g) {
+    private void sendOffers(OfferBatch batch) {
         Map<Integer, List<Planner.Placement>> byOwner = new TreeMap<>();
-        for (Planner.Placement c : g.placements) {
-            int owner = membership.owns(c.slot().shard) ? 0 : membership.connectedOwner(c.slot().shard);
-            if (owner < 0 || owner == 0 && !membership.owns(c.slot().shard)) {
-                g.anyRefused = true;
+        for (Planner.Placement placement : batch.placements) {
+            int owner = membership.owns(placement.slot().shard) ? 0 : membership.connectedOwner(placement.slot().shard);
+            if (owner < 0 || owner == 0 && !membership.owns(placement.slot().shard)) {
+                batch.anyRefused = true;
                 continue;
             }
-            byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(c);
+            byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(placement);
         }
-        if (g.anyRefused && g.job.spec.isGang()) {
+        if (batch.anyRefused && batch.job.spec.isGang()) {
             return;
         }
-        for (Planner.Placement c : g.placements) {
-            holdTask(c, effects.now() + offerTimeoutMs);
-            RestorePlanner.Obstacle obstacle = planner.restoreObstacle(c);
+        for (Planner.Placement placement : batch.placements) {
+            holdTask(placement, effects.now() + offerTimeoutMs);
+            RestorePlanner.Obstacle obstacle = planner.restoreObstacle(placement);
             if (obstacle != null && LOG.isDebugEnabled()) {
                 LOG.debug(
                         "dropped task offered elsewhere task={} machine={} obstacle={}",
-                        taskKey(c),
-                        c.slot().machine,
+                        taskKey(placement),
+                        placement.slot().machine,
                         obstacle);
             }
         }
-        openBatches.add(g);
-        g.awaitedReplies = byOwner.size();
-        if (g.awaitedReplies == 0) {
-            openBatches.remove(g);
+        openBatches.add(batch);
+        batch.awaitedReplies = byOwner.size();
+        if (batch.awaitedReplies == 0) {
+            openBatches.remove(batch);
         }
-        byOwner.forEach((owner, items) -> {
+        byOwner.forEach((owner, placements) -> {
             long id = nextOfferId++;
-            pendingOffers.put(id, new PendingOffer(g, items));
-            List<PeerRecord.OfferedTask> list = new ArrayList<>();
-            items.forEach(c -> list.add(offerItem(c)));
-            PeerRecord.Offer offer =
-                    new PeerRecord.Offer(id, g.job.spec.isGang() || g.withPreemption, g.withPreemption, list);
+            pendingOffers.put(id, new PendingOffer(batch, placements));
+            List<PeerRecord.OfferedTask> tasks = new ArrayList<>();
+            placements.forEach(placement -> tasks.add(offerItem(placement)));
+            PeerRecord.Offer offer = new PeerRecord.Offer(
+                    id, batch.job.spec.isGang() || batch.withPreemption, batch.withPreemption, tasks);
             if (owner == 0) {
                 handleReply(evaluateOffer(offer));
             } else {
@@ -500,101 +568,109 @@
         });
     }
 
-    private static String taskKey(Planner.Placement c) {
-        return c.job().spec.id() + "/" + c.task();
+    private static String taskKey(Planner.Placement placement) {
+        return placement.job().spec.id() + "/" + placement.task();
     }
 
-    /** As owner: checks an offer against the truth, keeping room for what is accepted. */
+    /**
+     * As owner: checks an offer against the current state of the machines and reserves the capacity of what it accepts.
+     */
     public PeerRecord.OfferReply evaluateOffer(PeerRecord.Offer offer) {
         List<String> refusals = new ArrayList<>();
         List<Long> terms = new ArrayList<>();
-        boolean all = true;
-        for (PeerRecord.OfferedTask i : offer.tasks()) {
-            Job j = view.job(i.job());
-            String no = j == null
+        boolean allAccepted = true;
+        for (PeerRecord.OfferedTask task : offer.tasks()) {
+            Job job = view.job(task.job());
+            String refusal = job == null
                     ? JOB_NOT_IN_VIEW
-                    : workerRegistry.reserve(j.spec, i.task(), i.machine(), i.session(), offer.withPreemption());
-            refusals.add(no == null ? "" : no);
-            all &= no == null;
-            Integer shard = workerRegistry.shardOf(i.machine());
+                    : workerRegistry.reserve(
+                            job.spec, task.task(), task.machine(), task.session(), offer.withPreemption());
+            refusals.add(refusal == null ? "" : refusal);
+            allAccepted &= refusal == null;
+            Integer shard = workerRegistry.shardOf(task.machine());
             terms.add(shard == null ? 0 : membership.term(shard));
         }
-        if (offer.allOrNothing() && !all) {
+        if (offer.allOrNothing() && !allAccepted) {
             releaseReservations(new PeerRecord.WithdrawnOffer(offer.tasks()));
         }
         return new PeerRecord.OfferReply(offer.id(), refusals, terms);
     }
 
-    /** As owner: frees the room kept for offers that come to nothing. */
-    public void releaseReservations(PeerRecord.WithdrawnOffer o) {
-        o.tasks().forEach(i -> workerRegistry.cancelReservation(i.machine(), i.job() + "/" + i.task()));
+    /** As owner: releases the reservations of an offer that its sender has withdrawn. */
+    public void releaseReservations(PeerRecord.WithdrawnOffer offer) {
+        offer.tasks().forEach(task -> workerRegistry.cancelReservation(task.machine(), task.job() + "/" + task.task()));
     }
 
-    /** As driver: tells the owners that what they accepted will not be claimed. */
-    private void withdrawOffers(List<Planner.Placement> choices) {
+    /** As job scheduler: informs the owners that accepted placements will not be claimed. */
+    private void withdrawOffers(List<Planner.Placement> placements) {
         Map<Integer, List<PeerRecord.OfferedTask>> byOwner = new TreeMap<>();
-        for (Planner.Placement c : choices) {
-            int owner = membership.owns(c.slot().shard) ? 0 : membership.connectedOwner(c.slot().shard);
+        for (Planner.Placement placement : placements) {
+            int owner = membership.owns(placement.slot().shard) ? 0 : membership.connectedOwner(placement.slot().shard);
             if (owner >= 0) {
-                byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(offerItem(c));
+                byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(offerItem(placement));
             }
         }
-        byOwner.forEach((owner, items) -> {
-            PeerRecord.WithdrawnOffer o = new PeerRecord.WithdrawnOffer(items);
+        byOwner.forEach((owner, tasks) -> {
+            PeerRecord.WithdrawnOffer withdrawn = new PeerRecord.WithdrawnOffer(tasks);
             if (owner == 0) {
-                releaseReservations(o);
+                releaseReservations(withdrawn);
             } else {
-                peerSender.send(owner, o);
+                peerSender.send(owner, withdrawn);
             }
         });
     }
 
-    private static PeerRecord.OfferedTask offerItem(Planner.Placement c) {
-        return new PeerRecord.OfferedTask(c.job().spec.id(), c.task(), c.slot().machine, c.slot().session);
+    private static PeerRecord.OfferedTask offerItem(Planner.Placement placement) {
+        return new PeerRecord.OfferedTask(
+                placement.job().spec.id(), placement.task(), placement.slot().machine, placement.slot().session);
     }
 
-    public void handleReply(PeerRecord.OfferReply v) {
-        PendingOffer a = pendingOffers.remove(v.id());
-        if (a == null
-                || v.refusals().size() != a.placements().size()
-                || v.terms().size() != a.placements().size()) {
+    /**
+     * As job scheduler: takes an owner's reply. Once all owners of a batch have replied, it is claimed or withdrawn.
+     */
+    public void handleReply(PeerRecord.OfferReply reply) {
+        PendingOffer offer = pendingOffers.remove(reply.id());
+        if (offer == null
+                || reply.refusals().size() != offer.placements().size()
+                || reply.terms().size() != offer.placements().size()) {
             return;
         }
-        OfferBatch g = a.batch();
-        for (int i = 0; i < a.placements().size(); i++) {
-            Planner.Placement c = a.placements().get(i);
-            String no = v.refusals().get(i);
-            if (no.isEmpty()) {
-                g.acceptedTerms.put(c.task(), v.terms().get(i));
+        OfferBatch batch = offer.batch();
+        for (int i = 0; i < offer.placements().size(); i++) {
+            Planner.Placement placement = offer.placements().get(i);
+            String refusal = reply.refusals().get(i);
+            if (refusal.isEmpty()) {
+                batch.acceptedTerms.put(placement.task(), reply.terms().get(i));
             } else {
-                g.anyRefused = true;
+                batch.anyRefused = true;
                 counters.refused++;
-                LOG.debug("offer of {} to {} refused: {}", taskKey(c), c.slot().machine, no);
-                releaseTask(c);
+                LOG.debug("offer of {} to {} refused: {}", taskKey(placement), placement.slot().machine, refusal);
+                releaseTask(placement);
                 refusedMachines
-                        .computeIfAbsent(c.job().spec.id(), k -> new HashMap<>())
-                        .put(c.slot().machine, effects.now() + refusalTimeoutMs(no));
+                        .computeIfAbsent(placement.job().spec.id(), k -> new HashMap<>())
+                        .put(placement.slot().machine, effects.now() + refusalTimeoutMs(refusal));
             }
         }
-        if (--g.awaitedReplies > 0) {
+        if (--batch.awaitedReplies > 0) {
             return;
         }
-        if (g.job.spec.isGang() && g.anyRefused || g.acceptedTerms.isEmpty()) {
-            openBatches.remove(g);
-            g.placements.forEach(this::releaseTask);
-            preemptionRetryAt.remove(g.job.spec.id());
-            withdrawOffers(g.placements.stream()
-                    .filter(c -> g.acceptedTerms.containsKey(c.task()))
+        if (batch.job.spec.isGang() && batch.anyRefused || batch.acceptedTerms.isEmpty()) {
+            openBatches.remove(batch);
+            batch.placements.forEach(this::releaseTask);
+            preemptionRetryAtMs.remove(batch.job.spec.id());
+            withdrawOffers(batch.placements.stream()
+                    .filter(placement -> batch.acceptedTerms.containsKey(placement.task()))
                     .toList());
             return;
         }
-        submitClaims(g);
+        submitClaims(batch);
     }
 
-    private static long refusalTimeoutMs(String why) {
-        return switch (why) {
+    /** How long a job is not offered to a machine again after a refusal for this reason, in ms. */
+    private static long refusalTimeoutMs(String reason) {
+        return switch (reason) {
             case "failed here" -> 60_000;
-                // The owner's view is a watch behind: waiting for longer made gangs miss their start for nothing.
+                // The owner's view lags by one watch: a longer time made gangs miss their start needlessly.
             case JOB_NOT_IN_VIEW -> 250;
             default -> 1_500;
         };
@@ -602,70 +678,80 @@
 
     // ---- claims
 
-    private void submitClaims(OfferBatch g) {
-        JobSpec s = g.job.spec;
-        List<Planner.Placement> list = new ArrayList<>();
-        List<Planner.Placement> over = new ArrayList<>();
-        IntOpenHashSet rows = new IntOpenHashSet();
-        if (zoneRulesSpanRows(g.job)) {
-            rows.add(0);
-        }
-        Set<String> shards = new HashSet<>();
-        for (Planner.Placement c : g.placements) {
-            if (!g.acceptedTerms.containsKey(c.task())) {
+    private void submitClaims(OfferBatch batch) {
+        JobSpec spec = batch.job.spec;
+        List<Planner.Placement> accepted = new ArrayList<>();
+        List<Planner.Placement> overflow = new ArrayList<>();
+        IntOpenHashSet rowIndexes = new IntOpenHashSet();
+        if (zoneRulesSpanRows(batch.job)) {
+            rowIndexes.add(0);
+        }
+        Set<String> shardKeys = new HashSet<>();
+        for (Planner.Placement placement : batch.placements) {
+            if (!batch.acceptedTerms.containsKey(placement.task())) {
                 continue;
             }
-            int row = c.task() / g.job.chunkSize;
-            if (!s.isGang() && !rows.contains(row) && rows.size() + 2 > settings.txnOps()) {
-                // Lost tasks of a huge array stand in more rows than a transaction may write: the others are planned
+            int rowIndex = placement.task() / batch.job.chunkSize;
+            if (!spec.isGang() && !rowIndexes.contains(rowIndex) && rowIndexes.size() + 2 > settings.txnOps()) {
+                // Lost tasks of a large array may be in more rows than a transaction can write. The rest is planned
                 // again.
-                over.add(c);
-                releaseTask(c);
+                overflow.add(placement);
+                releaseTask(placement);
                 continue;
             }
-            rows.add(row);
-            shards.add(membership.shardKey(c.slot().shard));
-            list.add(c);
-            pendingClaims.put(taskKey(c), c);
-            holdTask(c, effects.now() + 30_000);
+            rowIndexes.add(rowIndex);
+            shardKeys.add(membership.shardKey(placement.slot().shard));
+            accepted.add(placement);
+            pendingClaims.put(taskKey(placement), placement);
+            holdTask(placement, effects.now() + 30_000);
         }
-        withdrawOffers(over);
+        withdrawOffers(overflow);
         boolean queued = store.enqueue(new Change() {
-            private List<Planner.Placement> made = List.of();
-            /** What was sent without an answer: carried out all the same, if the rows show it. */
-            private List<Planner.Placement> inDoubt = List.of();
-
-            /** Whole gangs and replicas are few and somebody waits for them: not behind the ends of hundreds of small tasks. */
+            private List<Planner.Placement> claimed = List.of();
+            /** Sent in a transaction without a response, which may still be applied: claimed if the rows show them. */
+            private List<Planner.Placement> unconfirmed = List.of();
+
+            /**
+             * Claims of gangs and replicas are few and awaited, so they do not queue behind the recorded ends of
+             * hundreds of small tasks.
+             */
             @Override
             public int rank() {
-                return s.shape() == Shape.ARRAY ? 4 + s.priority().ordinal() : 2;
+                return spec.shape() == Shape.ARRAY ? 4 + spec.priority().ordinal() : 2;
             }
 
             @Override
             public int maxWrites() {
-                return rows.size() + 1;
+                return rowIndexes.size() + 1;
             }
 
-            /** Counted, as a guess once let claims on machines of many shards make a transaction that was refused whole. */
+            /**
+             * Counted exactly: an estimate once let claims on machines of many shards form a transaction that the state
+             * service rejected as a whole.
+             */
             @Override
             public int maxConditions(Transaction tx) {
-                int n = 2 + rows.size() + Math.min(g.job.released().size(), membership.shardCount());
-                for (String shard : shards) {
-                    n += tx.lacksCondition(shard) ? 1 : 0;
+                int conditions =
+                        2 + rowIndexes.size() + Math.min(batch.job.released().size(), membership.shardCount());
+                for (String shardKey : shardKeys) {
+                    conditions += tx.lacksCondition(shardKey) ? 1 : 0;
                 }
-                return n;
+                return conditions;
             }
 
-            /** Of an array more tasks may find room in a moment; the reservations do not last long, though. */
+            /**
+             * More tasks of an array may be placed shortly and share the transaction. The delay is short because
+             * reservations expire.
+             */
             @Override
             public long maxDelayMs() {
-                return s.shape() == Shape.ARRAY ? offerTimeoutMs / 4 : 0;
+                return spec.shape() == Shape.ARRAY ? offerTimeoutMs / 4 : 0;
             }
 
             @Override
             public boolean addsNoWrites(Transaction tx) {
-                for (Planner.Placement c : list) {
-                    if (!tx.editsChunk(s.id(), c.task() / g.job.chunkSize)) {
+                for (Planner.Placement placement : accepted) {
+                    if (!tx.editsChunk(spec.id(), placement.task() / batch.job.chunkSize)) {
                         return false;
                     }
                 }
@@ -674,327 +760,368 @@
 
             @Override
             public long expiresAtMs() {
-                return g.offeredAtMs + offerTimeoutMs;
+                return batch.offeredAtMs + offerTimeoutMs;
             }
 
             @Override
             public boolean build(Transaction tx) {
-                made = effects.now() > expiresAtMs() ? List.of() : permitted(tx, g, list);
-                if (made.isEmpty()) {
+                claimed = effects.now() > expiresAtMs() ? List.of() : permitted(tx, batch, accepted);
+                if (claimed.isEmpty()) {
                     return false;
                 }
-                double n = made.size();
-                Quotas.Decision pass = quotas.tryClaim(tx, s.team(), made.size(), n * s.cpus(), n * s.gpus());
-                if (pass == Quotas.Decision.GRANTED) {
-                    writeClaims(tx, s, made);
+                double taskCount = claimed.size();
+                Quotas.Decision decision = quotas.tryClaim(
+                        tx, spec.team(), claimed.size(), taskCount * spec.cpus(), taskCount * spec.gpus());
+                if (decision == Quotas.Decision.GRANTED) {
+                    writeClaims(tx, spec, claimed);
                 } else {
-                    made = List.of();
+                    claimed = List.of();
                 }
-                return pass != Quotas.Decision.REFUSED;
+                return decision != Quotas.Decision.REFUSED;
             }
 
             @Override
             public void outcomeUnknown() {
-                inDoubt = made;
+                unconfirmed = claimed;
             }
 
             @Override
             public void committed(long revision) {
-                over();
+                finish();
             }
 
             @Override
             public void dropped() {
-                made = List.of();
-                over();
+                claimed = List.of();
+                finish();
             }
 
-            private boolean stands(Planner.Placement c) {
-                Job j = view.job(s.id());
-                Claim x = j == null ? null : j.claim(c.task());
-                return x != null && x.machine().equals(c.slot().machine) && x.session() == c.slot().session;
+            private boolean isRecorded(Planner.Placement placement) {
+                Job job = view.job(spec.id());
+                Claim claim = job == null ? null : job.claim(placement.task());
+                return claim != null
+                        && claim.machine().equals(placement.slot().machine)
+                        && claim.session() == placement.slot().session;
             }
 
-            private void over() {
-                openBatches.remove(g);
-                if (!inDoubt.isEmpty()) {
-                    List<Planner.Placement> all = new ArrayList<>(made);
-                    inDoubt.stream().filter(c -> !made.contains(c) && stands(c)).forEach(all::add);
-                    made = all;
+            private void finish() {
+                openBatches.remove(batch);
+                if (!unconfirmed.isEmpty()) {
+                    List<Planner.Placement> all = new ArrayList<>(claimed);
+                    unconfirmed.stream()
+                            .filter(placement -> !claimed.contains(placement) && isRecorded(placement))
+                            .forEach(all::add);
+                    claimed = all;
                 }
-                counters.claims += made.size();
-                for (Planner.Placement c : made) {
+                counters.claims += claimed.size();
+                for (Planner.Placement placement : claimed) {
                     LOG.info(
                             "task {} claimed on {} ({})",
-                            taskKey(c),
-                            c.slot().machine,
-                            s.isGang() ? "gang" : s.shape());
+                            taskKey(placement),
+                            placement.slot().machine,
+                            spec.isGang() ? "gang" : spec.shape());
                 }
-                List<Planner.Placement> not = new ArrayList<>(list);
-                not.removeAll(made);
-                withdrawOffers(not);
-                for (Planner.Placement c : list) {
-                    pendingClaims.remove(taskKey(c));
-                    releaseTask(c);
+                List<Planner.Placement> unclaimed = new ArrayList<>(accepted);
+                unclaimed.removeAll(claimed);
+                withdrawOffers(unclaimed);
+                for (Planner.Placement placement : accepted) {
+                    pendingClaims.remove(taskKey(placement));
+                    releaseTask(placement);
                 }
             }
         });
         if (!queued) {
-            openBatches.remove(g);
-            withdrawOffers(list);
-            list.forEach(c -> {
-                pendingClaims.remove(taskKey(c));
-                releaseTask(c);
+            openBatches.remove(batch);
+            withdrawOffers(accepted);
+            accepted.forEach(placement -> {
+                pendingClaims.remove(taskKey(placement));
+                releaseTask(placement);
             });
         }
     }
 
-    /** Checks everything that the rules need against the records that the transaction conditions on. */
-    private List<Planner.Placement> permitted(Transaction tx, OfferBatch g, List<Planner.Placement> list) {
-        JobSpec s = g.job.spec;
-        Job j = view.job(s.id());
-        if (j == null
-                || j.state() != Job.State.OPEN
-                || s.isGang() && j.claimCount() > replaceable(j)
-                || tx.writes(Keys.JOB + s.id())) {
+    /**
+     * Those placements that may be claimed: checked against the records that the transaction conditions on, for the
+     * state of the job, the owners' terms, the team's limit and the zone rules. For a gang all of them or none.
+     */
+    private List<Planner.Placement> permitted(Transaction tx, OfferBatch batch, List<Planner.Placement> placements) {
+        JobSpec spec = batch.job.spec;
+        Job job = view.job(spec.id());
+        if (job == null
+                || job.state() != Job.State.OPEN
+                || spec.isGang() && job.claimCount() > replaceable(job)
+                || tx.writes(Keys.JOB + spec.id())) {
             return List.of();
         }
-        Settings.Team team = catalog.team(s.team());
-        double[] extra = tx.claimedByTeam(s.team());
-        double cpus = view.claimedCpus(s.team()) + extra[0];
-        double gpus = view.claimedGpus(s.team()) + extra[1];
-        // Another change of this same transaction may already have placed tasks of this job.
-        // With a single row, what may be replaced leaves it by the same writing; of several rows, some may stay as they
-        // are.
-        Map<Integer, Integer> zones = Planner.tasksByZone(
-                j, membership::zoneOf, i -> tx.peekChunk(j, i), x -> j.chunks.size() == 1 && replaceable(x));
-        List<Planner.Placement> ok = new ArrayList<>();
-        for (Planner.Placement c : list) {
-            Slot slot = c.slot();
+        Settings.Team team = catalog.team(spec.team());
+        double[] earlier = tx.claimedByTeam(spec.team());
+        double cpus = view.claimedCpus(spec.team()) + earlier[0];
+        double gpus = view.claimedGpus(spec.team()) + earlier[1];
+        // Another change in the same transaction may already have placed tasks of this job. With a single row, the same
+        // write removes the replaceable claims; with several rows, some of them may stay on record.
+        Map<Integer, Integer> tasksByZone = Planner.tasksByZone(
+                job,
+                membership::zoneOf,
+                row -> tx.peekChunk(job, row),
+                claim -> job.chunks.size() == 1 && replaceable(claim));
+        List<Planner.Placement> permitted = new ArrayList<>();
+        for (Planner.Placement placement : placements) {
+            Slot slot = placement.slot();
             int shard = slot.shard;
             int zone = membership.zoneOf(shard);
-            cpus += s.cpus();
-            gpus += s.gpus();
-            Chunk before = tx.peekChunk(j, c.task() / j.chunkSize);
-            Claim recorded = before == null ? null : before.claims.get(c.task());
-            boolean fine = !j.isDone(c.task())
+            cpus += spec.cpus();
+            gpus += spec.gpus();
+            Chunk chunk = tx.peekChunk(job, placement.task() / job.chunkSize);
+            Claim recorded = chunk == null ? null : chunk.claims.get(placement.task());
+            boolean allowed = !job.isDone(placement.task())
                     && (recorded == null || replaceable(recorded))
-                    && membership.term(shard) == g.acceptedTerms.get(c.task())
-                    && slot.allows(s)
+                    && membership.term(shard) == batch.acceptedTerms.get(placement.task())
+                    && slot.allows(spec)
                     && zone == slot.zone
                     && !Catalog.exceeds(team.cpusMax(), cpus)
                     && !Catalog.exceeds(team.gpusMax(), gpus)
-                    && s.allowsZone(zones, zone);
-            if (!fine) {
-                cpus -= s.cpus();
-                gpus -= s.gpus();
-                if (s.isGang()) {
+                    && spec.allowsZone(tasksByZone, zone);
+            if (!allowed) {
+                cpus -= spec.cpus();
+                gpus -= spec.gpus();
+                if (spec.isGang()) {
                     return List.of();
                 }
                 continue;
             }
-            zones.merge(zone, 1, Integer::sum);
-            ok.add(c);
+            tasksByZone.merge(zone, 1, Integer::sum);
+            permitted.add(placement);
         }
-        return ok;
+        return permitted;
     }
 
-    /** Whether a claim may be replaced in the transaction that writes its task's next one: the owner's proof must still be good. */
-    private boolean replaceable(Claim c) {
-        Job.ReleasedClaim g = c.job().released(c.task());
-        return g != null
-                && g.claim() == c
-                && (g.ownProof() ? membership.owns(c.shard()) : g.term() == membership.term(c.shard()));
+    /**
+     * Whether the transaction that writes a task's next claim may replace this one. The owner's proof that the task is
+     * gone must still be valid.
+     */
+    private boolean replaceable(Claim claim) {
+        Job.ReleasedClaim released = claim.job().released(claim.task());
+        return released != null
+                && released.claim() == claim
+                && (released.ownProof()
+                        ? membership.owns(claim.shard())
+                        : released.term() == membership.term(claim.shard()));
     }
 
-    private int replaceable(Job j) {
-        int n = 0;
-        for (Job.ReleasedClaim g : j.released()) {
-            n += replaceable(g.claim()) ? 1 : 0;
+    /** Number of a job's claims that may be replaced. */
+    private int replaceable(Job job) {
+        int count = 0;
+        for (Job.ReleasedClaim released : job.released()) {
+            count += replaceable(released.claim()) ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
-    /** What is proven gone leaves the row with the writing that places something in it: one row for a loss and its restart. */
-    private void removeProvenGone(Transaction tx, Job j, Chunk chunk) {
-        for (Job.ReleasedClaim g : j.released()) {
-            Claim c = g.claim();
-            if (c.task() / j.chunkSize == chunk.index && replaceable(c) && chunk.claims.get(c.task()) == c) {
-                tx.requireUnchanged(membership.shardKey(c.shard()));
-                chunk.claims.remove(c.task());
-                chunk.restarts += g.started() ? 1 : 0;
+    /**
+     * Removes the claims of tasks that are proven gone from a row that is written anyway, so that a lost task and its
+     * restart take one row write.
+     */
+    private void removeProvenGone(Transaction tx, Job job, Chunk chunk) {
+        for (Job.ReleasedClaim released : job.released()) {
+            Claim claim = released.claim();
+            if (claim.task() / job.chunkSize == chunk.index
+                    && replaceable(claim)
+                    && chunk.claims.get(claim.task()) == claim) {
+                tx.requireUnchanged(membership.shardKey(claim.shard()));
+                chunk.claims.remove(claim.task());
+                chunk.restarts += released.started() ? 1 : 0;
             }
         }
     }
 
-    private void writeClaims(Transaction tx, JobSpec s, List<Planner.Placement> ok) {
-        Job j = view.job(s.id());
-        tx.requireUnchanged(Keys.JOB + s.id());
-        long attempt = j.lastAttempt();
-        for (Planner.Placement c : ok) {
-            Chunk chunk = tx.editChunk(j, c.task() / j.chunkSize);
-            removeProvenGone(tx, j, chunk);
+    private void writeClaims(Transaction tx, JobSpec spec, List<Planner.Placement> placements) {
+        Job job = view.job(spec.id());
+        tx.requireUnchanged(Keys.JOB + spec.id());
+        long attempt = job.lastAttempt();
+        for (Planner.Placement placement : placements) {
+            Chunk chunk = tx.editChunk(job, placement.task() / job.chunkSize);
+            removeProvenGone(tx, job, chunk);
             attempt = Math.max(attempt, chunk.lastAttempt);
         }
         attempt++;
-        if (zoneRulesSpanRows(j)) {
-            // All claims of it write its first row, so that none can be made, or come late, beside another whose zone
-            // it does not know of.
-            tx.editChunk(j, 0);
+        if (zoneRulesSpanRows(job)) {
+            // All claims of the job write its first row, so that no claim can be made or arrive late beside another one
+            // whose zone it does not take into account.
+            tx.editChunk(job, 0);
         }
-        for (Planner.Placement c : ok) {
-            Slot slot = c.slot();
+        for (Planner.Placement placement : placements) {
+            Slot slot = placement.slot();
             tx.requireUnchanged(membership.shardKey(slot.shard));
-            Chunk chunk = tx.editChunk(j, c.task() / j.chunkSize);
+            Chunk chunk = tx.editChunk(job, placement.task() / job.chunkSize);
             chunk.lastAttempt = attempt;
-            chunk.claims.put(c.task(), new Claim(j, c.task(), attempt, slot.machine, slot.session, slot.shard));
+            chunk.claims.put(
+                    placement.task(),
+                    new Claim(job, placement.task(), attempt, slot.machine, slot.session, slot.shard));
         }
-        double[] extra = tx.claimedByTeam(s.team());
-        extra[0] += ok.size() * s.cpus();
-        extra[1] += ok.size() * s.gpus();
+        double[] claimed = tx.claimedByTeam(spec.team());
+        claimed[0] += placements.size() * spec.cpus();
+        claimed[1] += placements.size() * spec.gpus();
     }
 
-    /** Whether zone rules bind tasks that stand in different rows. */
-    private static boolean zoneRulesSpanRows(Job j) {
-        return (j.spec.oneZone() || j.spec.spread()) && j.chunks.size() > 1;
+    /** Whether zone rules apply across tasks that are recorded in different rows. */
+    private static boolean zoneRulesSpanRows(Job job) {
+        return (job.spec.oneZone() || job.spec.spread()) && job.chunks.size() > 1;
     }
 
     // ---- preemption
 
     /**
-     * Work that would start late may claim room that other work has to leave first: what has a lower priority, or is beyond its
-     * team's guarantee. The claim comes before anybody is stopped. When work was stopped first and the room planned for
-     * afterwards, small tasks of other drivers filled it as it came free, and a large task had 87 others stopped in vain.
+     * Lets jobs that would start late claim capacity of tasks that are then preempted: tasks of lower priority or
+     * beyond their team's guarantee. The claim is recorded before any task is stopped. When tasks were stopped first
+     * and the freed capacity was planned afterwards, small tasks of other controllers' jobs took it as it became free,
+     * and one large task had 87 others stopped in vain.
      */
-    private void requestPreemptions(Planner.Plan plan, Map<String, MachineStatus> pictures, long now) {
-        List<PreemptionRequest> wishes = new ArrayList<>();
-        Map<String, PreemptionRequest> slow = new LinkedHashMap<>();
-        for (Planner.Placement c : plan.placements()) {
-            JobSpec s = c.job().spec;
-            if (slow.containsKey(s.id())) {
+    private void requestPreemptions(Planner.Plan plan, Map<String, MachineStatus> statuses, long now) {
+        List<PreemptionRequest> requests = new ArrayList<>();
+        Map<String, PreemptionRequest> lateJobs = new LinkedHashMap<>();
+        for (Planner.Placement placement : plan.placements()) {
+            JobSpec spec = placement.job().spec;
+            if (lateJobs.containsKey(spec.id())) {
                 continue;
             }
-            boolean guaranteed = plan.guaranteedJobs().contains(s.id());
-            boolean gathers = s.isMultiTaskGang() && !c.slot().available;
-            if (gathers && c.startDelayMs() > planner.startSlackMs(c.job(), effects.wallTime())) {
-                slow.put(s.id(), new PreemptionRequest(c.job(), guaranteed, Double.MAX_VALUE));
-            } else if (c.startDelayMs() > preemptDelayMs
-                    && (guaranteed || s.priority() == Priority.PRODUCTION || gathers)) {
-                // A gang's room is "soon" there again and again, and somebody else's then: what it has waited counts as
-                // well.
-                double waited = gathers ? Math.max(0, effects.wallTime() - c.job().acceptedAtMs) : 0;
-                slow.put(s.id(), new PreemptionRequest(c.job(), guaranteed, (c.startDelayMs() + waited) / 1000));
+            boolean guaranteed = plan.guaranteedJobs().contains(spec.id());
+            boolean waitingGang = spec.isMultiTaskGang() && !placement.slot().available;
+            if (waitingGang && placement.startDelayMs() > planner.startSlackMs(placement.job(), effects.wallTime())) {
+                lateJobs.put(spec.id(), new PreemptionRequest(placement.job(), guaranteed, Double.MAX_VALUE));
+            } else if (placement.startDelayMs() > preemptDelayMs
+                    && (guaranteed || spec.priority() == Priority.PRODUCTION || waitingGang)) {
+                // Capacity for a gang is repeatedly expected soon and then used by others, so its waiting time counts
+                // as well.
+                double waitedMs = waitingGang ? Math.max(0, effects.wallTime() - placement.job().acceptedAtMs) : 0;
+                lateJobs.put(
+                        spec.id(),
+                        new PreemptionRequest(
+                                placement.job(), guaranteed, (placement.startDelayMs() + waitedMs) / 1000));
             }
         }
-        for (Planner.UnplacedTasks u : plan.unplaced()) {
-            slow.remove(u.job().spec.id());
-            wishes.add(new PreemptionRequest(u.job(), u.guaranteed(), Double.MAX_VALUE));
+        for (Planner.UnplacedTasks unplaced : plan.unplaced()) {
+            lateJobs.remove(unplaced.job().spec.id());
+            requests.add(new PreemptionRequest(unplaced.job(), unplaced.guaranteed(), Double.MAX_VALUE));
         }
-        wishes.addAll(slow.values());
+        requests.addAll(lateJobs.values());
         List<Slot> slots = null;
-        int budget = MAX_PREEMPTIONS_PER_PLAN;
-        int looks = MAX_PREEMPTION_REQUESTS;
-        for (PreemptionRequest u : wishes) {
-            Job j = u.job();
-            if (!membership.schedules(j.spec.id()) || preemptionRetryAt.containsKey(j.spec.id())) {
+        int requestsLeft = MAX_PREEMPTIONS_PER_PLAN;
+        int searchesLeft = MAX_PREEMPTION_REQUESTS;
+        for (PreemptionRequest request : requests) {
+            Job job = request.job();
+            if (!membership.schedules(job.spec.id()) || preemptionRetryAtMs.containsKey(job.spec.id())) {
                 continue;
             }
-            if (budget <= 0 || looks-- <= 0) {
+            if (requestsLeft <= 0 || searchesLeft-- <= 0) {
                 break;
             }
-            slots = slots == null ? freeSlots(pictures) : slots;
-            // What the plan gives to others that do not yield is not free: taken here, it once kept replicas waiting.
-            List<Planner.Placement> ahead = allocateHigherRanked(plan, j, slots);
-            List<Planner.Placement> places = preemptionPlacements(u, plan, slots);
-            ahead.forEach(c -> c.slot().release(c.job().spec));
-            if (places != null) {
-                budget--;
-                preemptionRetryAt.put(j.spec.id(), now + PREEMPTION_RETRY_MS);
-                LOG.info("job {} asks for room on {} machines", j.spec.id(), places.size());
-                sendOffers(new OfferBatch(j, places, true, now));
-            }
-        }
-    }
-
-    /** Takes the room that the plan gives to jobs that do not yield, as far as it is not on its way already. */
-    private List<Planner.Placement> allocateHigherRanked(Planner.Plan plan, Job j, List<Slot> slots) {
-        Map<String, Slot> byName = new HashMap<>();
-        slots.forEach(s -> byName.put(s.machine, s));
-        List<Planner.Placement> l = new ArrayList<>();
-        for (Planner.Placement c : plan.placements()) {
-            Slot slot = byName.get(c.slot().machine);
-            if (!c.slot().available
-                    || slot == null
-                    || c.job() == j
-                    || c.job().spec.priority().compareTo(j.spec.priority()) > 0) {
+            slots = slots == null ? freeSlots(statuses) : slots;
+            // Capacity that the plan assigns to jobs that can't be preempted for this one is not free. Using it once
+            // kept replicas waiting.
+            List<Planner.Placement> allocated = allocateHigherRanked(plan, job, slots);
+            List<Planner.Placement> placements = preemptionPlacements(request, plan, slots);
+            allocated.forEach(placement -> placement.slot().release(placement.job().spec));
+            if (placements != null) {
+                requestsLeft--;
+                preemptionRetryAtMs.put(job.spec.id(), now + PREEMPTION_RETRY_MS);
+                LOG.info("job {} asks for room on {} machines", job.spec.id(), placements.size());
+                sendOffers(new OfferBatch(job, placements, true, now));
+            }
+        }
+    }
+
+    /**
+     * Allocates in {@code slots} what the plan assigns to other jobs of the same or a higher priority and what is not
+     * in flight already. Returns the allocations.
+     */
+    private List<Planner.Placement> allocateHigherRanked(Planner.Plan plan, Job job, List<Slot> slots) {
+        Map<String, Slot> slotByMachine = new HashMap<>();
+        slots.forEach(slot -> slotByMachine.put(slot.machine, slot));
+        List<Planner.Placement> allocated = new ArrayList<>();
+        for (Planner.Placement placement : plan.placements()) {
+            Slot machineSlot = slotByMachine.get(placement.slot().machine);
+            if (!placement.slot().available
+                    || machineSlot == null
+                    || placement.job() == job
+                    || placement.job().spec.priority().compareTo(job.spec.priority()) > 0) {
                 continue;
             }
-            IntPredicate held = schedulingState.heldTasks(c.job().spec.id());
-            if (held == null || !held.test(c.task())) {
-                slot.allocate(c.job().spec);
-                l.add(new Planner.Placement(c.job(), c.task(), slot, 0));
+            IntPredicate held = schedulingState.heldTasks(placement.job().spec.id());
+            if (held == null || !held.test(placement.task())) {
+                machineSlot.allocate(placement.job().spec);
+                allocated.add(new Planner.Placement(placement.job(), placement.task(), machineSlot, 0));
             }
         }
-        return l;
+        return allocated;
     }
 
-    private List<Planner.Placement> preemptionPlacements(PreemptionRequest u, Planner.Plan plan, List<Slot> slots) {
-        Job j = u.job();
-        Set<String> refused = schedulingState.refusedMachines(j.spec.id());
-        if (j.spec.isGang()) {
-            return j.placedCount() > 0
+    /** Placements for a request that rely on preemption, or null if there are none worth it. */
+    private List<Planner.Placement> preemptionPlacements(
+            PreemptionRequest request, Planner.Plan plan, List<Slot> slots) {
+        Job job = request.job();
+        Set<String> refused = schedulingState.refusedMachines(job.spec.id());
+        if (job.spec.isGang()) {
+            return job.placedCount() > 0
                     ? null
                     : preemption.placeGang(
-                            j,
-                            u.guaranteed(),
-                            u.delayS(),
-                            planner.startSlackMs(j, effects.wallTime()),
+                            job,
+                            request.guaranteed(),
+                            request.delayS(),
+                            planner.startSlackMs(job, effects.wallTime()),
                             plan,
                             slots,
                             catalog.zones.size(),
                             refused);
         }
-        IntPredicate taken = schedulingState.heldTasks(j.spec.id());
-        for (int task = 0; task < j.spec.tasks(); task++) {
-            if (!j.isDone(task) && !j.isPlaced(task) && (taken == null || !taken.test(task))) {
-                Planner.Placement c = preemption.placeTask(
-                        j, task, u.guaranteed(), u.delayS(), plan, slots, planner.tasksByZone(j, inFlight()), refused);
-                return c == null ? null : List.of(c);
+        IntPredicate held = schedulingState.heldTasks(job.spec.id());
+        for (int task = 0; task < job.spec.tasks(); task++) {
+            if (!job.isDone(task) && !job.isPlaced(task) && (held == null || !held.test(task))) {
+                Planner.Placement placement = preemption.placeTask(
+                        job,
+                        task,
+                        request.guaranteed(),
+                        request.delayS(),
+                        plan,
+                        slots,
+                        planner.tasksByZone(job, inFlight()),
+                        refused);
+                return placement == null ? null : List.of(placement);
             }
         }
         return null;
     }
 
+    /** Stops all tasks of a gang on their machines, here or through the owners, with {@code graceS} seconds to exit. */
     public void stopGang(Job job, double graceS, String reason) {
         Set<Integer> owners = new java.util.TreeSet<>();
-        for (Chunk ch : job.chunks) {
-            if (ch != null) {
-                for (Claim c : ch.claims.values()) {
-                    int owner = membership.owns(c.shard()) ? 0 : membership.connectedOwner(c.shard());
+        for (Chunk chunk : job.chunks) {
+            if (chunk != null) {
+                for (Claim claim : chunk.claims.values()) {
+                    int owner = membership.owns(claim.shard()) ? 0 : membership.connectedOwner(claim.shard());
                     if (owner == 0) {
-                        workerRegistry.requestStop(c, graceS, reason);
+                        workerRegistry.requestStop(claim, graceS, reason);
                     } else if (owner > 0 && owners.add(owner)) {
                         peerSender.send(
-                                owner, new PeerRecord.StopRequest(job.spec.id(), -1, c.attempt(), graceS, reason));
+                                owner, new PeerRecord.StopRequest(job.spec.id(), -1, claim.attempt(), graceS, reason));
                     }
                 }
             }
         }
     }
 
-    /** As owner: carries out a stop that another controller asks for. */
-    public void handleStop(PeerRecord.StopRequest s) {
-        Job j = view.job(s.job());
-        if (j == null) {
+    /** As owner: carries out a stop request of another controller. */
+    public void handleStop(PeerRecord.StopRequest request) {
+        Job job = view.job(request.job());
+        if (job == null) {
             return;
         }
-        for (Chunk ch : j.chunks) {
-            if (ch != null) {
-                for (Claim c : List.copyOf(ch.claims.values())) {
-                    if (c.attempt() == s.attempt()
-                            && (s.task() < 0 || s.task() == c.task())
-                            && membership.owns(c.shard())) {
-                        workerRegistry.requestStop(c, s.graceS(), s.reason());
+        for (Chunk chunk : job.chunks) {
+            if (chunk != null) {
+                for (Claim claim : List.copyOf(chunk.claims.values())) {
+                    if (claim.attempt() == request.attempt()
+                            && (request.task() < 0 || request.task() == claim.task())
+                            && membership.owns(claim.shard())) {
+                        workerRegistry.requestStop(claim, request.graceS(), request.reason());
                     }
                 }
             }
--- a/src/main/java/birchusher/placement/Planner.java
+++ b/src/main/java/birchusher/placement/Planner.java
@@ -27,22 +27,35 @@
 import java.util.function.Predicate;
 
 /**
- * Works out, for all jobs in one global order, where each waiting task would go. Every controller computes the same
- * order, acts only on the jobs it drives, and so leaves room for the jobs ahead of its own.
+ * Plans, for all jobs of the cluster in one global order, a slot for each waiting task. Every controller computes the
+ * same order but acts only on the jobs that it schedules, and so leaves capacity for the jobs ahead of its own. Not
+ * thread-safe.
  */
 public final class Planner {
-    /** A task and where it goes. */
+    /** A task, the slot planned for it, and the expected delay until it can start there. */
     public record Placement(Job job, int task, Slot slot, double startDelayMs) {
-        /** "Soon" again, though the job has waited for as long as that already: others came for the room that freed. */
-        boolean overdue(long wall) {
-            return !slot.available && !slot.booting() && wall - job.acceptedAtMs > slot.type.rentBreakEvenMs();
+        /**
+         * Whether the slot's capacity is still expected soon although the job has waited for as long as that already:
+         * other tasks have taken the capacity that became free.
+         */
+        boolean overdue(long wallTime) {
+            return !slot.available && !slot.booting() && wallTime - job.acceptedAtMs > slot.type.rentBreakEvenMs();
         }
     }
 
-    /** Tasks of a job that found no room, not even soon. */
+    /** Tasks of a job without capacity, available or expected soon. */
     public record UnplacedTasks(Job job, int taskCount, boolean guaranteed) {}
 
-    /** {@code work} counts the slots looked at, so that planning can be paced by what it costs. */
+    /**
+     * The result of planning.
+     *
+     * @param placements in the order of the plan
+     * @param unplaced tasks without capacity, by job
+     * @param guaranteedJobs ids of the jobs within their team's guarantee
+     * @param speedLimited placements on machines that may be too slow to finish the task within its lease cap
+     * @param slotsExamined cost of the plan, by which planning is paced
+     * @param bootingSlots slots of machines that boot
+     */
     public record Plan(
             List<Placement> placements,
             List<UnplacedTasks> unplaced,
@@ -51,185 +64,213 @@
             long slotsExamined,
             List<Slot> bootingSlots) {
         /**
-         * What machines should be bought for: tasks without room, and those that keep being planned to room that frees soon,
-         * less what the machines that boot already have room for. Without the second, hundreds of tasks once waited for
-         * minutes, always "soon" placed, as new work came for all the room that freed.
+         * The tasks to rent machines for: those without capacity and those that are overdue, less the overdue ones that
+         * fit on booting machines. Without the overdue ones, hundreds of tasks once waited for minutes, always planned
+         * on capacity expected soon, as new jobs took all the capacity that became free.
          */
-        public List<UnplacedTasks> rentalDemand(long wall) {
-            List<UnplacedTasks> l = new ArrayList<>(unplaced);
-            Map<Job, Integer> overdue = new LinkedHashMap<>();
-            Map<Slot, Slot.Snapshot> taken = new LinkedHashMap<>();
-            for (Placement c : placements) {
-                if (c.overdue(wall)) {
-                    Slot coming = null;
-                    for (Slot s : bootingSlots) {
-                        if (s.fits(c.job().spec) && s.allows(c.job().spec)) {
-                            coming = s;
+        public List<UnplacedTasks> rentalDemand(long wallTime) {
+            List<UnplacedTasks> demand = new ArrayList<>(unplaced);
+            Map<Job, Integer> overdueTasks = new LinkedHashMap<>();
+            Map<Slot, Slot.Snapshot> snapshots = new LinkedHashMap<>();
+            for (Placement placement : placements) {
+                if (placement.overdue(wallTime)) {
+                    Slot bootingSlot = null;
+                    for (Slot slot : bootingSlots) {
+                        if (slot.fits(placement.job().spec) && slot.allows(placement.job().spec)) {
+                            bootingSlot = slot;
                             break;
                         }
                     }
-                    if (coming == null) {
-                        overdue.merge(c.job(), 1, Integer::sum);
+                    if (bootingSlot == null) {
+                        overdueTasks.merge(placement.job(), 1, Integer::sum);
                     } else {
-                        taken.putIfAbsent(coming, coming.snapshot());
-                        coming.allocate(c.job().spec);
+                        snapshots.putIfAbsent(bootingSlot, bootingSlot.snapshot());
+                        bootingSlot.allocate(placement.job().spec);
                     }
                 }
             }
-            taken.forEach(Slot::restore);
-            overdue.forEach((j, n) -> l.add(new UnplacedTasks(j, n, guaranteedJobs.contains(j.spec.id()))));
-            return l;
+            snapshots.forEach(Slot::restore);
+            overdueTasks.forEach(
+                    (job, count) -> demand.add(new UnplacedTasks(job, count, guaranteedJobs.contains(job.spec.id()))));
+            return demand;
         }
     }
 
-    /** What this controller has under way, asked for once per job. */
+    /** State of the job scheduler that a plan depends on; queried once per job. */
     public interface SchedulingState {
-        /** Which tasks of a job are offered or being claimed already; null: none. */
+        /** Tests which tasks of a job are offered or being claimed already; null if none are. */
         IntPredicate heldTasks(String job);
 
-        /** Machines that lately refused a job; null: none. */
+        /** Machines that recently refused offers of a job; null if there are none. */
         Set<String> refusedMachines(String job);
 
-        /** Whether a job backs off. */
-        boolean backingOff(Job j);
+        /** Whether the job waits in its back-off after errors. */
+        boolean backingOff(Job job);
 
-        /** Whether a job has only failed so far: then one task at a time shows whether it still does. */
-        boolean probing(Job j);
+        /** Whether all tasks of a job have failed so far. Only one of its tasks is then run at a time. */
+        boolean probing(Job job);
 
         /**
-         * Whether a machine reports in a session later than the given one and is only not usable yet: its worker has still to show
-         * its owner's term.
+         * Whether a machine reports in a session later than the given one but is not usable yet, because its worker has
+         * not confirmed its owner's term.
          */
         default boolean reconnecting(String machine, long session) {
             return false;
         }
     }
 
-    /** A need that found no room; whatever needs as much and is allowed no more finds none either. */
+    /**
+     * The needs of a job that fit no slot. A job that needs at least as much and has no fewer constraints fits none
+     * either.
+     */
     private record UnplaceableNeed(JobSpec spec) {
-        boolean covers(JobSpec o) {
-            return o.cpus() >= spec.cpus()
-                    && o.gpus() >= spec.gpus()
-                    && o.memoryGb() >= spec.memoryGb()
-                    && (spec.allowsSpot() || !o.allowsSpot())
-                    && (spec.zone() < 0 || spec.zone() == o.zone())
-                    && (spec.allowedTypes() == null || Arrays.equals(spec.allowedTypes(), o.allowedTypes()));
+        boolean covers(JobSpec other) {
+            return other.cpus() >= spec.cpus()
+                    && other.gpus() >= spec.gpus()
+                    && other.memoryGb() >= spec.memoryGb()
+                    && (spec.allowsSpot() || !other.allowsSpot())
+                    && (spec.zone() < 0 || spec.zone() == other.zone())
+                    && (spec.allowedTypes() == null || Arrays.equals(spec.allowedTypes(), other.allowedTypes()));
         }
     }
 
     private final Catalog catalog;
     private final StoreView view;
-    private final EstimateBias speeds;
-    private final LossRates hazards;
-    private final LostTasks losses;
+    private final EstimateBias estimateBias;
+    private final LossRates lossRates;
+    private final LostTasks lostTasks;
     private final RestorePlanner restorePlanner;
     private static final double DEFAULT_START_WITHIN_S = 600;
-    /** Batch work that slows down fetches mostly holds up several tasks, often replicas. */
+    /**
+     * Weight of the slowdown of other fetches in the score of a batch task: it mostly delays several tasks, often
+     * replicas.
+     */
     private static final double BATCH_FETCH_SLOWDOWN_WEIGHT = 1.5;
-    /** A start may be this much later on a fuller machine, as an empty one can be returned. */
+    /**
+     * Penalty for an entirely empty machine: a start may be this much later on a fuller machine, as an empty one can be
+     * returned.
+     */
     private static final double EMPTY_MACHINE_PENALTY_MS = 2_500;
-    /** By how many times the time that a job would take all machines it counts as due later. */
+    /** Factor by which the time that a job would occupy all machines moves its due time back. */
     private static final double JOB_SIZE_WEIGHT = 10;
-    /** So many tasks of a job are given places in one plan: more than are offered before the next. Tens of thousands cost more than all others. */
+    /**
+     * Maximum number of a job's tasks that one plan places: more than are offered before the next plan. Planning tens
+     * of thousands of tasks of one job cost more than all other jobs.
+     */
     private static final int MAX_PLACEMENTS_PER_JOB = 1_000;
 
     private final LeaseSettings leaseSettings;
-    /** By when, in s, a job is to begin whatever its size, where no aim of its class says so. */
+    /**
+     * Time in seconds after which a job is due whatever its size, unless an objective of its class requires it earlier.
+     */
     private final double startWithinS;
-    /** What a class's jobs should keep: to have started, or to be complete, so long after their submission. */
+    /**
+     * An objective of a job class: its jobs should have started, or be complete, within this time after their
+     * submission.
+     */
     private record ClassObjective(boolean forStart, double withinS) {}
 
     private final Int2ObjectOpenHashMap<List<ClassObjective>> objectivesByClass = new Int2ObjectOpenHashMap<>();
 
+    /**
+     * @param objectives only those for the start or the completion of a class's jobs are used
+     * @param startWithinS time in seconds after which a job is due whatever its size
+     */
     public Planner(
             Catalog catalog,
             StoreView view,
-            EstimateBias speeds,
-            LossRates hazards,
-            LostTasks losses,
-            LeaseSettings terms,
+            EstimateBias estimateBias,
+            LossRates lossRates,
+            LostTasks lostTasks,
+            LeaseSettings leaseSettings,
             List<Settings.Objective> objectives,
-            double beginByS) {
-        this.startWithinS = beginByS;
+            double startWithinS) {
+        this.startWithinS = startWithinS;
         this.catalog = catalog;
         this.view = view;
-        this.speeds = speeds;
-        this.hazards = hazards;
-        this.losses = losses;
-        restorePlanner = new RestorePlanner(losses);
-        this.leaseSettings = terms;
-        for (Settings.Objective o : objectives) {
-            boolean start = o.kind().equals("wait");
-            if (o.cls() != null && (start || o.kind().equals("finished"))) {
+        this.estimateBias = estimateBias;
+        this.lossRates = lossRates;
+        this.lostTasks = lostTasks;
+        restorePlanner = new RestorePlanner(lostTasks);
+        this.leaseSettings = leaseSettings;
+        for (Settings.Objective objective : objectives) {
+            boolean forStart = objective.kind().equals("wait");
+            if (objective.cls() != null && (forStart || objective.kind().equals("finished"))) {
                 objectivesByClass
-                        .computeIfAbsent(catalog.classes.add(o.cls()), c -> new ArrayList<>())
-                        .add(new ClassObjective(start, o.withinS()));
+                        .computeIfAbsent(catalog.classes.add(objective.cls()), jobClass -> new ArrayList<>())
+                        .add(new ClassObjective(forStart, objective.withinS()));
             }
         }
     }
 
-    public double expectedRunS(JobSpec j) {
-        return j.estimateS() * speeds.bias(j.jobClass());
+    /** Expected run time of a task in seconds: the estimate, corrected by the observations of its class. */
+    public double expectedRunS(JobSpec spec) {
+        return spec.estimateS() * estimateBias.bias(spec.jobClass());
     }
 
     /** Ids of the open jobs that lie within their team's guarantee together with the team's earlier unfinished jobs. */
     public Set<String> guaranteedJobs() {
-        double[][] sum = new double[catalog.teams.size()][2];
+        double[][] usedByTeam = new double[catalog.teams.size()][2];
         List<Job> byAge = new ArrayList<>(view.jobs());
         byAge.sort((a, b) -> Long.compare(a.acceptedRevision, b.acceptedRevision));
-        Set<String> in = new HashSet<>();
-        for (Job j : byAge) {
-            if (j.state() != Job.State.OPEN) {
+        Set<String> guaranteed = new HashSet<>();
+        for (Job job : byAge) {
+            if (job.state() != Job.State.OPEN) {
                 continue;
             }
-            int left = j.spec.tasks() - j.doneCount();
-            double[] s = sum[j.spec.team()];
-            s[0] += left * j.spec.cpus();
-            s[1] += left * j.spec.gpus();
-            if (catalog.withinGuarantee(j.spec.team(), s[0], s[1])) {
-                in.add(j.spec.id());
+            int unfinished = job.spec.tasks() - job.doneCount();
+            double[] used = usedByTeam[job.spec.team()];
+            used[0] += unfinished * job.spec.cpus();
+            used[1] += unfinished * job.spec.gpus();
+            if (catalog.withinGuarantee(job.spec.team(), used[0], used[1])) {
+                guaranteed.add(job.spec.id());
             }
         }
-        return in;
+        return guaranteed;
     }
 
     /**
-     * The next moment by which a job's tasks have to start if it is to keep its deadline or one of its class's aims. -1 if
-     * none can be kept any more: such a job makes way for those that can still be in time.
+     * The next wall-clock time by which a job's tasks have to start to keep its deadline or an objective of its class;
+     * -1 if none can be kept any more. Such a job yields to those that can still be in time.
      */
-    private long nextStartDeadlineMs(Job j, long wall) {
-        long run = Math.round(expectedRunS(j.spec) * 800);
-        long next = Long.MAX_VALUE;
-        boolean any = false;
-        List<ClassObjective> list = objectivesByClass.get(j.spec.jobClass());
-        for (int i = -1; i < (list == null ? 0 : list.size()); i++) {
-            double s = i < 0 ? j.spec.deadlineS() : list.get(i).withinS;
-            if (s > 0) {
-                any = true;
-                long at = j.acceptedAtMs + Math.round(s * 1000) - (i >= 0 && list.get(i).forStart ? 0 : run);
-                next = at >= wall ? Math.min(next, at) : next;
+    private long nextStartDeadlineMs(Job job, long wallTime) {
+        long runMs = Math.round(expectedRunS(job.spec) * 800);
+        long nextMs = Long.MAX_VALUE;
+        boolean hasDeadline = false;
+        List<ClassObjective> objectives = objectivesByClass.get(job.spec.jobClass());
+        for (int i = -1; i < (objectives == null ? 0 : objectives.size()); i++) {
+            double withinS = i < 0 ? job.spec.deadlineS() : objectives.get(i).withinS;
+            if (withinS > 0) {
+                hasDeadline = true;
+                long startByMs = job.acceptedAtMs
+                        + Math.round(withinS * 1000)
+                        - (i >= 0 && objectives.get(i).forStart ? 0 : runMs);
+                nextMs = startByMs >= wallTime ? Math.min(nextMs, startByMs) : nextMs;
             }
         }
-        if (!any || j.spec.isService() && next == Long.MAX_VALUE) {
-            return j.acceptedAtMs + Math.round(DEFAULT_START_WITHIN_S * 1000);
+        if (!hasDeadline || job.spec.isService() && nextMs == Long.MAX_VALUE) {
+            return job.acceptedAtMs + Math.round(DEFAULT_START_WITHIN_S * 1000);
         }
-        return next == Long.MAX_VALUE ? -1 : next;
+        return nextMs == Long.MAX_VALUE ? -1 : nextMs;
     }
 
-    /** How much later a job may start and still keep its next aim; without end if there is none that it can keep. */
-    double startSlackMs(Job j, long wall) {
-        long by = nextStartDeadlineMs(j, wall);
-        return by < 0 ? Double.MAX_VALUE : by - wall;
+    /**
+     * Time in ms by which a job's start may be delayed without missing its next deadline or objective;
+     * {@code Double.MAX_VALUE} if there is none that it can keep.
+     */
+    double startSlackMs(Job job, long wallTime) {
+        long startByMs = nextStartDeadlineMs(job, wallTime);
+        return startByMs < 0 ? Double.MAX_VALUE : startByMs - wallTime;
     }
 
-    private static boolean hasWaitingTasks(Job j) {
-        return j.state() == Job.State.OPEN && j.doneCount() + j.placedCount() < j.spec.tasks();
+    private static boolean hasWaitingTasks(Job job) {
+        return job.state() == Job.State.OPEN && job.doneCount() + job.placedCount() < job.spec.tasks();
     }
 
-    /** Whether any task has no place yet. */
+    /** Whether any job has tasks that are neither finished nor placed. */
     boolean anyWaiting() {
-        for (Job j : view.jobs()) {
-            if (hasWaitingTasks(j)) {
+        for (Job job : view.jobs()) {
+            if (hasWaitingTasks(job)) {
                 return true;
             }
         }
@@ -237,55 +278,65 @@
     }
 
     /**
-     * A large job counts as due later. When more is due than can be done in time, strictly by due time everybody is late; whoever
-     * gives way should be the one for whose work many others can be in time. That ages away, for large ones as for those that can
-     * keep no aim any more: what has not begun by {@code latest} was due then. Without this, under steady load the largest never began.
+     * Due time of a job in the planning order, or -1 if it can keep no objective any more. A large job counts as due
+     * later: when more work is due than can be done in time, a strict order of due times makes all jobs late, so the
+     * job that yields should be one whose capacity lets many others be in time. A job that has not started by
+     * {@code latestDueMs}, large or too late, is due at that time. Without this bound the largest jobs never started
+     * under steady load.
      */
-    private static long sizeAdjustedDueMs(long startBy, double drainMs, long latest, long wall) {
-        if (wall >= latest) {
-            return startBy < 0 ? latest : Math.min(startBy, latest);
+    private static long sizeAdjustedDueMs(long startByMs, double drainMs, long latestDueMs, long wallTime) {
+        if (wallTime >= latestDueMs) {
+            return startByMs < 0 ? latestDueMs : Math.min(startByMs, latestDueMs);
         }
-        return startBy < 0 ? startBy : startBy + Math.round(JOB_SIZE_WEIGHT * drainMs);
+        return startByMs < 0 ? startByMs : startByMs + Math.round(JOB_SIZE_WEIGHT * drainMs);
     }
 
-    /** When a job is due at the latest whatever its size: by the last aim for its class's starts, or the operators' property. */
-    private long latestDueMs(Job j) {
-        if (j.hasStarted()) {
+    /**
+     * Wall-clock time at which a job is due whatever its size, by the last start objective of its class or the
+     * operators' property, whichever is earlier; {@code Long.MAX_VALUE} once it has started.
+     */
+    private long latestDueMs(Job job) {
+        if (job.hasStarted()) {
             return Long.MAX_VALUE;
         }
-        double s = 0;
-        for (ClassObjective a : objectivesByClass.getOrDefault(j.spec.jobClass(), List.of())) {
-            s = a.forStart ? Math.max(s, a.withinS) : s;
+        double withinS = 0;
+        for (ClassObjective objective : objectivesByClass.getOrDefault(job.spec.jobClass(), List.of())) {
+            withinS = objective.forStart ? Math.max(withinS, objective.withinS) : withinS;
         }
-        return j.acceptedAtMs + Math.round(1000 * (s > 0 ? Math.min(s, startWithinS) : startWithinS));
+        return job.acceptedAtMs + Math.round(1000 * (withinS > 0 ? Math.min(withinS, startWithinS) : startWithinS));
     }
 
-    /** For how long all machines together would be busy with what is left of a job, in ms. */
-    private double drainMs(Job j, double cpus, double gpus) {
-        int left = j.spec.tasks() - j.doneCount();
-        double each = Math.max(cpus > 0 ? j.spec.cpus() / cpus : 0, gpus > 0 ? j.spec.gpus() / gpus : 0);
-        return j.spec.isService() ? 0 : left * each * expectedRunS(j.spec) * 1000;
+    /** Time in ms for which the unfinished tasks of a job would occupy all machines of the fleet. */
+    private double drainMs(Job job, double fleetCpus, double fleetGpus) {
+        int unfinished = job.spec.tasks() - job.doneCount();
+        double share = Math.max(
+                fleetCpus > 0 ? job.spec.cpus() / fleetCpus : 0, fleetGpus > 0 ? job.spec.gpus() / fleetGpus : 0);
+        return job.spec.isService() ? 0 : unfinished * share * expectedRunS(job.spec) * 1000;
     }
 
-    private List<RankedJob> rankJobs(List<Slot> slots, Set<String> guaranteed, long wall) {
-        double cpus = 0;
-        double gpus = 0;
-        for (Slot s : slots) {
-            cpus += s.available ? s.type.cpus() : 0;
-            gpus += s.available ? s.type.gpus() : 0;
+    private List<RankedJob> rankJobs(List<Slot> slots, Set<String> guaranteed, long wallTime) {
+        double fleetCpus = 0;
+        double fleetGpus = 0;
+        for (Slot slot : slots) {
+            fleetCpus += slot.available ? slot.type.cpus() : 0;
+            fleetGpus += slot.available ? slot.type.gpus() : 0;
         }
         List<RankedJob> ranked = new ArrayList<>();
-        for (Job j : view.jobs()) {
-            if (hasWaitingTasks(j)) {
-                RankedJob r = new RankedJob(
-                        j,
-                        j.spec.priority() == Priority.PRODUCTION,
-                        guaranteed.contains(j.spec.id()),
+        for (Job job : view.jobs()) {
+            if (hasWaitingTasks(job)) {
+                RankedJob rankedJob = new RankedJob(
+                        job,
+                        job.spec.priority() == Priority.PRODUCTION,
+                        guaranteed.contains(job.spec.id()),
                         false,
-                        sizeAdjustedDueMs(nextStartDeadlineMs(j, wall), drainMs(j, cpus, gpus), latestDueMs(j), wall));
-                ranked.add(r);
-                if (losses.hasLostTasks(j.spec.id())) {
-                    ranked.add(new RankedJob(j, r.production, r.guaranteed, true, r.dueMs));
+                        sizeAdjustedDueMs(
+                                nextStartDeadlineMs(job, wallTime),
+                                drainMs(job, fleetCpus, fleetGpus),
+                                latestDueMs(job),
+                                wallTime));
+                ranked.add(rankedJob);
+                if (lostTasks.hasLostTasks(job.spec.id())) {
+                    ranked.add(new RankedJob(job, rankedJob.production, rankedJob.guaranteed, true, rankedJob.dueMs));
                 }
             }
         }
@@ -293,24 +344,27 @@
         return ranked;
     }
 
-    /** {@code back}: only the tasks that their workers dropped, and only where they ran. */
+    /**
+     * A job in the planning order. {@code restoring}: an entry for the job's dropped tasks only, to be placed where
+     * they ran.
+     */
     private record RankedJob(Job job, boolean production, boolean guaranteed, boolean restoring, long dueMs) {}
 
     private static int compareRank(RankedJob a, RankedJob b) {
-        // Production goes before guarantees: a replica beyond its team's guarantee must not starve behind batch work.
+        // Production precedes guarantees: a replica beyond its team's guarantee must not starve behind batch jobs.
         if (a.production != b.production) {
             return a.production ? -1 : 1;
         }
         if (a.guaranteed != b.guaranteed) {
             return a.guaranteed ? -1 : 1;
         }
-        int p = a.job.spec.priority().compareTo(b.job.spec.priority());
-        if (p != 0) {
-            return p;
+        int byPriority = a.job.spec.priority().compareTo(b.job.spec.priority());
+        if (byPriority != 0) {
+            return byPriority;
         }
         if (a.restoring != b.restoring) {
-            // It starts at once where it ran; given to others first, its room waits for their images, and it for
-            // another room and image.
+            // A dropped task starts at once where it ran. If others got that capacity first, they would wait there for
+            // their images, and the dropped task elsewhere for its own.
             return a.restoring ? -1 : 1;
         }
         if (a.dueMs < 0 != b.dueMs < 0) {
@@ -322,196 +376,209 @@
     }
 
     /**
-     * @param now steady time, for what has been seen of losses
-     * @param wall time of day, for due times
-     * @param underway tasks offered or being claimed, with their machines
+     * Plans all waiting tasks. The free capacity of the slots is reduced by what is planned.
+     *
+     * @param inFlight tasks offered or being claimed, with their machines
+     * @param now steady time in ms, for loss rates and lost tasks
+     * @param wallTime wall-clock time in ms, for due times
      */
-    public Plan plan(List<Slot> all, SchedulingState marks, List<Placement> underway, long now, long wall) {
+    public Plan plan(List<Slot> allSlots, SchedulingState state, List<Placement> inFlight, long now, long wallTime) {
         updateLossRates(now);
-        Set<String> guaranteed = guaranteedJobs();
-        List<Placement> choices = new ArrayList<>();
+        Set<String> guaranteedJobs = guaranteedJobs();
+        List<Placement> placements = new ArrayList<>();
         List<UnplacedTasks> unplaced = new ArrayList<>();
-        List<UnplaceableNeed> misfits = new ArrayList<>();
-        double[][] use = new double[catalog.teams.size()][2];
-        long limited = 0;
-        for (int t = 0; t < use.length; t++) {
-            use[t][0] = view.claimedCpus(t);
-            use[t][1] = view.claimedGpus(t);
-        }
-        List<RankedJob> order = rankJobs(all, guaranteed, wall);
-        Slot[] slots = slotsWithCapacity(all, order);
-        Map<String, List<Placement>> underwayOf = new HashMap<>();
-        underway.forEach(c -> underwayOf
-                .computeIfAbsent(c.job().spec.id(), k -> new ArrayList<>())
-                .add(c));
-        slotsExamined = all.size();
-        Map<EquivalenceClass, CandidateHeap> alike = new HashMap<>();
-        Map<String, Set<Integer>> back = new HashMap<>();
-        restorePlanner.beginPlan(all, marks, now);
-        for (RankedJob r : order) {
-            Job j = r.job;
-            JobSpec s = j.spec;
-            if (marks.backingOff(j)) {
+        List<UnplaceableNeed> unplaceableNeeds = new ArrayList<>();
+        double[][] usedByTeam = new double[catalog.teams.size()][2];
+        long speedLimited = 0;
+        for (int team = 0; team < usedByTeam.length; team++) {
+            usedByTeam[team][0] = view.claimedCpus(team);
+            usedByTeam[team][1] = view.claimedGpus(team);
+        }
+        List<RankedJob> rankedJobs = rankJobs(allSlots, guaranteedJobs, wallTime);
+        Slot[] slots = slotsWithCapacity(allSlots, rankedJobs);
+        Map<String, List<Placement>> inFlightByJob = new HashMap<>();
+        inFlight.forEach(placement -> inFlightByJob
+                .computeIfAbsent(placement.job().spec.id(), key -> new ArrayList<>())
+                .add(placement));
+        slotsExamined = allSlots.size();
+        Map<EquivalenceClass, CandidateHeap> heaps = new HashMap<>();
+        Map<String, Set<Integer>> restoredTasks = new HashMap<>();
+        restorePlanner.beginPlan(allSlots, state, now);
+        for (RankedJob rankedJob : rankedJobs) {
+            Job job = rankedJob.job;
+            JobSpec spec = job.spec;
+            if (state.backingOff(job)) {
                 continue;
             }
-            IntPredicate held = marks.heldTasks(s.id());
-            Set<String> refused = marks.refusedMachines(s.id());
-            if (r.restoring) {
-                List<Placement> home = restorePlanner.plan(
-                        j,
-                        held,
-                        refused,
-                        tasksByZone(j, underwayOf.getOrDefault(s.id(), List.of())),
-                        n -> exceedsLimit(s, use[s.team()], n));
-                home.forEach(
-                        c -> back.computeIfAbsent(s.id(), k -> new HashSet<>()).add(c.task()));
-                choices.addAll(home);
-                use[s.team()][0] += home.size() * s.cpus();
-                use[s.team()][1] += home.size() * s.gpus();
+            IntPredicate heldTasks = state.heldTasks(spec.id());
+            Set<String> refusedMachines = state.refusedMachines(spec.id());
+            if (rankedJob.restoring) {
+                List<Placement> restored = restorePlanner.plan(
+                        job,
+                        heldTasks,
+                        refusedMachines,
+                        tasksByZone(job, inFlightByJob.getOrDefault(spec.id(), List.of())),
+                        count -> exceedsLimit(spec, usedByTeam[spec.team()], count));
+                restored.forEach(placement -> restoredTasks
+                        .computeIfAbsent(spec.id(), key -> new HashSet<>())
+                        .add(placement.task()));
+                placements.addAll(restored);
+                usedByTeam[spec.team()][0] += restored.size() * spec.cpus();
+                usedByTeam[spec.team()][1] += restored.size() * spec.gpus();
                 continue;
             }
-            Set<Integer> isBack = back.getOrDefault(s.id(), Set.of());
-            if (s.isGang()) {
-                if (j.placedCount() > 0
-                        || !isBack.isEmpty()
-                        || held != null && held.test(0)
-                        || restorePlanner.awaitsMachine(s.id(), 0)) {
+            Set<Integer> restoredOfJob = restoredTasks.getOrDefault(spec.id(), Set.of());
+            if (spec.isGang()) {
+                if (job.placedCount() > 0
+                        || !restoredOfJob.isEmpty()
+                        || heldTasks != null && heldTasks.test(0)
+                        || restorePlanner.awaitsMachine(spec.id(), 0)) {
                     continue;
                 }
-                List<Placement> gang =
-                        knownUnplaceable(s, misfits) ? null : placeGang(j, slots, refused, use[s.team()]);
+                List<Placement> gang = knownUnplaceable(spec, unplaceableNeeds)
+                        ? null
+                        : placeGang(job, slots, refusedMachines, usedByTeam[spec.team()]);
                 if (gang != null) {
-                    choices.addAll(gang);
-                    use[s.team()][0] += s.tasks() * s.cpus();
-                    use[s.team()][1] += s.tasks() * s.gpus();
-                } else if (!exceedsLimit(s, use[s.team()], s.tasks())) {
-                    unplaced.add(new UnplacedTasks(j, s.tasks(), r.guaranteed));
+                    placements.addAll(gang);
+                    usedByTeam[spec.team()][0] += spec.tasks() * spec.cpus();
+                    usedByTeam[spec.team()][1] += spec.tasks() * spec.gpus();
+                } else if (!exceedsLimit(spec, usedByTeam[spec.team()], spec.tasks())) {
+                    unplaced.add(new UnplacedTasks(job, spec.tasks(), rankedJob.guaranteed));
                 }
                 continue;
             }
-            Map<Integer, Integer> zones = tasksByZone(j, underwayOf.getOrDefault(s.id(), List.of()));
-            for (Placement c : isBack.isEmpty() ? List.<Placement>of() : choices) {
-                if (c.job() == j) {
-                    zones.merge(c.slot().zone, 1, Integer::sum);
+            Map<Integer, Integer> tasksByZone = tasksByZone(job, inFlightByJob.getOrDefault(spec.id(), List.of()));
+            for (Placement placement : restoredOfJob.isEmpty() ? List.<Placement>of() : placements) {
+                if (placement.job() == job) {
+                    tasksByZone.merge(placement.slot().zone, 1, Integer::sum);
                 }
             }
-            CandidateHeap candidates = null;
-            int missing = 0;
-            int placed = 0;
-            int chosen = 0;
-            boolean doubted = marks.probing(j);
-            for (int task = 0; task < s.tasks(); task++) {
-                if (j.isDone(task) || j.isPlaced(task)) {
+            CandidateHeap heap = null;
+            int unplacedCount = 0;
+            int placedCount = 0;
+            int plannedCount = 0;
+            boolean probing = state.probing(job);
+            for (int task = 0; task < spec.tasks(); task++) {
+                if (job.isDone(task) || job.isPlaced(task)) {
                     continue;
                 }
-                if (held != null && held.test(task)
-                        || isBack.contains(task)
-                        || restorePlanner.awaitsMachine(s.id(), task)) {
-                    // On its way already: not to be bought for.
-                    placed++;
+                if (heldTasks != null && heldTasks.test(task)
+                        || restoredOfJob.contains(task)
+                        || restorePlanner.awaitsMachine(spec.id(), task)) {
+                    // In flight already: no machine is to be rented for it.
+                    placedCount++;
                     continue;
                 }
-                if (exceedsLimit(s, use[s.team()], 1)
-                        || doubted && placed + j.placedCount() > 0
-                        || chosen >= MAX_PLACEMENTS_PER_JOB) {
+                if (exceedsLimit(spec, usedByTeam[spec.team()], 1)
+                        || probing && placedCount + job.placedCount() > 0
+                        || plannedCount >= MAX_PLACEMENTS_PER_JOB) {
                     break;
                 }
                 Slot slot = null;
-                if (s.spread() || s.oneZone()) {
-                    slot = knownUnplaceable(s, misfits) ? null : bestSlot(j, slots, zones, -1, refused);
+                if (spec.spread() || spec.oneZone()) {
+                    slot = knownUnplaceable(spec, unplaceableNeeds)
+                            ? null
+                            : bestSlot(job, slots, tasksByZone, -1, refusedMachines);
                 } else {
-                    if (candidates == null && !knownUnplaceable(s, misfits)) {
-                        candidates = refused == null
-                                ? alike.computeIfAbsent(
-                                        EquivalenceClass.of(s), k -> new CandidateHeap(j, slots, refused))
-                                : new CandidateHeap(j, slots, refused);
-                        candidates.switchTo(j);
+                    if (heap == null && !knownUnplaceable(spec, unplaceableNeeds)) {
+                        heap = refusedMachines == null
+                                ? heaps.computeIfAbsent(
+                                        EquivalenceClass.of(spec),
+                                        key -> new CandidateHeap(job, slots, refusedMachines))
+                                : new CandidateHeap(job, slots, refusedMachines);
+                        heap.switchTo(job);
                     }
-                    slot = candidates == null ? null : candidates.first();
-                    if (slot == null && refused == null) {
-                        misfits.add(new UnplaceableNeed(s));
+                    slot = heap == null ? null : heap.first();
+                    if (slot == null && refusedMachines == null) {
+                        unplaceableNeeds.add(new UnplaceableNeed(spec));
                     }
                 }
                 if (slot == null) {
-                    // Its tasks are all alike: the rest finds no room either, and need not be looked at one by one.
-                    missing = tasksWithinLimit(
-                            s, use[s.team()], doubted ? 1 : s.tasks() - j.doneCount() - j.placedCount() - placed);
-                    use[s.team()][0] += missing * s.cpus();
-                    use[s.team()][1] += missing * s.gpus();
+                    // The tasks of a job have equal needs: the rest does not fit either and need not be examined one by
+                    // one.
+                    unplacedCount = tasksWithinLimit(
+                            spec,
+                            usedByTeam[spec.team()],
+                            probing ? 1 : spec.tasks() - job.doneCount() - job.placedCount() - placedCount);
+                    usedByTeam[spec.team()][0] += unplacedCount * spec.cpus();
+                    usedByTeam[spec.team()][1] += unplacedCount * spec.gpus();
                     break;
                 }
-                placed++;
-                chosen++;
-                use[s.team()][0] += s.cpus();
-                use[s.team()][1] += s.gpus();
-                if (!leaseSettings.fitsCap(s, expectedRunS(s), slot.speed)) {
-                    limited++;
+                placedCount++;
+                plannedCount++;
+                usedByTeam[spec.team()][0] += spec.cpus();
+                usedByTeam[spec.team()][1] += spec.gpus();
+                if (!leaseSettings.fitsCap(spec, expectedRunS(spec), slot.speed)) {
+                    speedLimited++;
                 }
-                double delay = slot.startDelayMs(s);
-                slot.allocate(s);
-                zones.merge(slot.zone, 1, Integer::sum);
-                if (candidates != null) {
-                    candidates.updateFirst();
+                double startDelayMs = slot.startDelayMs(spec);
+                slot.allocate(spec);
+                tasksByZone.merge(slot.zone, 1, Integer::sum);
+                if (heap != null) {
+                    heap.updateFirst();
                 }
-                choices.add(new Placement(j, task, slot, delay));
+                placements.add(new Placement(job, task, slot, startDelayMs));
             }
-            if (missing > 0) {
-                unplaced.add(new UnplacedTasks(j, missing, r.guaranteed));
+            if (unplacedCount > 0) {
+                unplaced.add(new UnplacedTasks(job, unplacedCount, rankedJob.guaranteed));
             }
         }
         return new Plan(
-                choices,
+                placements,
                 unplaced,
-                guaranteed,
-                limited,
+                guaranteedJobs,
+                speedLimited,
                 slotsExamined,
-                all.stream().filter(Slot::booting).toList());
+                allSlots.stream().filter(Slot::booting).toList());
     }
 
     private long slotsExamined;
 
-    /** Why the last plan sent a dropped task elsewhere than where it ran; null if it was not dropped lately or goes back. */
-    RestorePlanner.Obstacle restoreObstacle(Placement choice) {
-        return restorePlanner.obstacle(choice.job().spec.id(), choice.task());
+    /**
+     * Why the last plan placed a dropped task elsewhere than where it ran; null if it was not dropped recently or
+     * returns there.
+     */
+    RestorePlanner.Obstacle restoreObstacle(Placement placement) {
+        return restorePlanner.obstacle(placement.job().spec.id(), placement.task());
     }
 
-    private static boolean knownUnplaceable(JobSpec s, List<UnplaceableNeed> misfits) {
-        for (UnplaceableNeed m : misfits) {
-            if (m.covers(s)) {
+    private static boolean knownUnplaceable(JobSpec spec, List<UnplaceableNeed> unplaceableNeeds) {
+        for (UnplaceableNeed need : unplaceableNeeds) {
+            if (need.covers(spec)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Only slots that could take the smallest waiting task: full machines are most of a busy fleet. */
-    private static Slot[] slotsWithCapacity(List<Slot> all, List<RankedJob> order) {
+    /** Slots that could hold the smallest waiting task. Most machines of a busy fleet are full. */
+    private static Slot[] slotsWithCapacity(List<Slot> allSlots, List<RankedJob> rankedJobs) {
         double cpus = Double.MAX_VALUE;
         double gpus = Double.MAX_VALUE;
-        double mem = Double.MAX_VALUE;
-        for (RankedJob r : order) {
-            cpus = Math.min(cpus, r.job.spec.cpus());
-            gpus = Math.min(gpus, r.job.spec.gpus());
-            mem = Math.min(mem, r.job.spec.memoryGb());
-        }
-        List<Slot> l = new ArrayList<>();
-        for (Slot s : all) {
-            if (s.freeCpus + Catalog.EPSILON >= cpus
-                    && s.freeGpus + Catalog.EPSILON >= gpus
-                    && s.freeMemoryGb + Catalog.EPSILON >= mem) {
-                l.add(s);
+        double memoryGb = Double.MAX_VALUE;
+        for (RankedJob rankedJob : rankedJobs) {
+            cpus = Math.min(cpus, rankedJob.job.spec.cpus());
+            gpus = Math.min(gpus, rankedJob.job.spec.gpus());
+            memoryGb = Math.min(memoryGb, rankedJob.job.spec.memoryGb());
+        }
+        List<Slot> result = new ArrayList<>();
+        for (Slot slot : allSlots) {
+            if (slot.freeCpus + Catalog.EPSILON >= cpus
+                    && slot.freeGpus + Catalog.EPSILON >= gpus
+                    && slot.freeMemoryGb + Catalog.EPSILON >= memoryGb) {
+                result.add(slot);
             }
         }
-        return l.toArray(new Slot[0]);
+        return result.toArray(new Slot[0]);
     }
 
     private static final Map<Integer, Integer> NO_ZONES = Map.of();
-    /** A difference in delay that is not worth looking at all slots again. */
+    /** Increase of a score, in ms, that does not justify examining all slots again. */
     private static final double SCORE_TOLERANCE_MS = 500;
 
     /**
-     * Jobs that need and may use the same: all of a swarm. Each looked at every slot by itself, and plans came seconds apart for
-     * everybody. Estimates count by their power of two.
+     * Jobs with equal needs and constraints share one scan of the slots. With a scan for each of many similar jobs,
+     * plans were seconds apart for all jobs. Estimates are equal if they have the same power of two.
      */
     private record EquivalenceClass(
             int jobClass,
@@ -525,40 +592,45 @@
             Priority priority,
             double checkpointIntervalS,
             int estimateExponent) {
-        static EquivalenceClass of(JobSpec s) {
+        static EquivalenceClass of(JobSpec spec) {
             return new EquivalenceClass(
-                    s.jobClass(),
-                    s.image(),
-                    s.cpus(),
-                    s.gpus(),
-                    s.memoryGb(),
-                    s.allowedTypes() == null
+                    spec.jobClass(),
+                    spec.image(),
+                    spec.cpus(),
+                    spec.gpus(),
+                    spec.memoryGb(),
+                    spec.allowedTypes() == null
                             ? null
-                            : Arrays.stream(s.allowedTypes()).boxed().toList(),
-                    s.zone(),
-                    s.allowsSpot(),
-                    s.priority(),
-                    s.checkpointIntervalS(),
-                    Math.getExponent(s.estimateS()));
+                            : Arrays.stream(spec.allowedTypes()).boxed().toList(),
+                    spec.zone(),
+                    spec.allowsSpot(),
+                    spec.priority(),
+                    spec.checkpointIntervalS(),
+                    Math.getExponent(spec.estimateS()));
         }
     }
 
-    /** The slots one job, or several alike, may use, best first. Taking a task changes only its own slot's score, so a heap serves all tasks. */
+    /**
+     * The slots that the jobs of one equivalence class may use, best first. Placing a task changes only the score of
+     * its own slot, so one heap serves all tasks.
+     */
     private final class CandidateHeap {
         private Job job;
         private final Slot[] slots;
         private final double[] scores;
         private int size;
 
-        CandidateHeap(Job j, Slot[] all, Set<String> refused) {
-            job = j;
-            slots = new Slot[all.length];
-            scores = new double[all.length];
-            slotsExamined += all.length;
-            for (Slot s : all) {
-                if (s.fits(j.spec) && s.allows(j.spec) && (refused == null || !refused.contains(s.machine))) {
-                    slots[size] = s;
-                    scores[size++] = scoreMs(j, s, NO_ZONES);
+        CandidateHeap(Job job, Slot[] allSlots, Set<String> refusedMachines) {
+            this.job = job;
+            slots = new Slot[allSlots.length];
+            scores = new double[allSlots.length];
+            slotsExamined += allSlots.length;
+            for (Slot slot : allSlots) {
+                if (slot.fits(job.spec)
+                        && slot.allows(job.spec)
+                        && (refusedMachines == null || !refusedMachines.contains(slot.machine))) {
+                    slots[size] = slot;
+                    scores[size++] = scoreMs(job, slot, NO_ZONES);
                 }
             }
             for (int i = size / 2 - 1; i >= 0; i--) {
@@ -566,20 +638,23 @@
             }
         }
 
-        /** Another job like the first. Others have taken room meanwhile: what comes first is looked at again before it is given. */
-        void switchTo(Job j) {
-            if (j == job) {
+        /**
+         * Switches to another job of the equivalence class. Other jobs have taken capacity in the meantime, so the
+         * first slot is scored again before it is used.
+         */
+        void switchTo(Job nextJob) {
+            if (nextJob == job) {
                 return;
             }
-            job = j;
+            job = nextJob;
             while (size > 0) {
                 slotsExamined++;
                 if (!slots[0].fits(job.spec)) {
                     removeFirst();
                 } else {
-                    double before = scores[0];
+                    double previousMs = scores[0];
                     scores[0] = scoreMs(job, slots[0], NO_ZONES);
-                    if (scores[0] <= before + SCORE_TOLERANCE_MS) {
+                    if (scores[0] <= previousMs + SCORE_TOLERANCE_MS) {
                         return;
                     }
                 }
@@ -606,194 +681,204 @@
             }
             siftDown(0);
             while (size > 0 && !slots[0].fits(job.spec)) {
-                // Taken by others since the first of several jobs alike looked.
+                // Other jobs have taken the capacity since the scan.
                 removeFirst();
                 siftDown(0);
             }
         }
 
-        private void siftDown(int from) {
-            int i = from;
-            while (2 * i + 1 < size) {
-                int c = 2 * i + 1;
-                if (c + 1 < size && scores[c + 1] < scores[c]) {
-                    c++;
+        private void siftDown(int start) {
+            int parent = start;
+            while (2 * parent + 1 < size) {
+                int child = 2 * parent + 1;
+                if (child + 1 < size && scores[child + 1] < scores[child]) {
+                    child++;
                 }
-                if (scores[i] <= scores[c]) {
+                if (scores[parent] <= scores[child]) {
                     return;
                 }
-                Slot s = slots[i];
-                double d = scores[i];
-                slots[i] = slots[c];
-                scores[i] = scores[c];
-                slots[c] = s;
-                scores[c] = d;
-                i = c;
+                Slot slot = slots[parent];
+                double scoreMs = scores[parent];
+                slots[parent] = slots[child];
+                scores[parent] = scores[child];
+                slots[child] = slot;
+                scores[child] = scoreMs;
+                parent = child;
             }
         }
     }
 
-    /** How many of n more tasks a team's limit allows. */
-    private int tasksWithinLimit(JobSpec s, double[] use, int n) {
-        double most = n;
-        double cpusMax = catalog.team(s.team()).cpusMax();
-        double gpusMax = catalog.team(s.team()).gpusMax();
-        if (cpusMax > 0 && s.cpus() > 0) {
-            most = Math.min(most, (cpusMax - use[0] + Catalog.EPSILON) / s.cpus());
+    /** How many of {@code count} more tasks the team's limit allows. */
+    private int tasksWithinLimit(JobSpec spec, double[] used, int count) {
+        double allowed = count;
+        double cpusMax = catalog.team(spec.team()).cpusMax();
+        double gpusMax = catalog.team(spec.team()).gpusMax();
+        if (cpusMax > 0 && spec.cpus() > 0) {
+            allowed = Math.min(allowed, (cpusMax - used[0] + Catalog.EPSILON) / spec.cpus());
         }
-        if (gpusMax > 0 && s.gpus() > 0) {
-            most = Math.min(most, (gpusMax - use[1] + Catalog.EPSILON) / s.gpus());
+        if (gpusMax > 0 && spec.gpus() > 0) {
+            allowed = Math.min(allowed, (gpusMax - used[1] + Catalog.EPSILON) / spec.gpus());
         }
-        return (int) Math.max(0, most);
+        return (int) Math.max(0, allowed);
     }
 
-    private boolean exceedsLimit(JobSpec s, double[] use, int n) {
-        return Catalog.exceeds(catalog.team(s.team()).cpusMax(), use[0] + n * s.cpus())
-                || Catalog.exceeds(catalog.team(s.team()).gpusMax(), use[1] + n * s.gpus());
+    private boolean exceedsLimit(JobSpec spec, double[] used, int count) {
+        return Catalog.exceeds(catalog.team(spec.team()).cpusMax(), used[0] + count * spec.cpus())
+                || Catalog.exceeds(catalog.team(spec.team()).gpusMax(), used[1] + count * spec.gpus());
     }
 
-    /** How many tasks of a job are recorded in each zone; whatever is not proven gone counts. */
+    /** Number of a job's recorded tasks in each zone, without the claims that {@code gone} accepts as proven gone. */
     public static Map<Integer, Integer> tasksByZone(
-            Job j, IntUnaryOperator zoneOfShard, IntFunction<Chunk> chunks, Predicate<Claim> gone) {
-        Map<Integer, Integer> n = new HashMap<>();
-        for (int i = 0; i < j.chunks.size(); i++) {
-            Chunk c = chunks.apply(i);
-            if (c != null) {
-                for (Claim x : c.claims.values()) {
-                    if (!gone.test(x)) {
-                        n.merge(zoneOfShard.applyAsInt(x.shard()), 1, Integer::sum);
+            Job job, IntUnaryOperator zoneOfShard, IntFunction<Chunk> chunks, Predicate<Claim> gone) {
+        Map<Integer, Integer> counts = new HashMap<>();
+        for (int i = 0; i < job.chunks.size(); i++) {
+            Chunk chunk = chunks.apply(i);
+            if (chunk != null) {
+                for (Claim claim : chunk.claims.values()) {
+                    if (!gone.test(claim)) {
+                        counts.merge(zoneOfShard.applyAsInt(claim.shard()), 1, Integer::sum);
                     }
                 }
             }
         }
-        return n;
+        return counts;
     }
 
     private IntUnaryOperator zoneOfShard = i -> i;
 
-    public void zoneOfShard(IntUnaryOperator f) {
-        zoneOfShard = f;
+    /** Sets the function that maps a shard to its zone. */
+    public void zoneOfShard(IntUnaryOperator zoneOfShard) {
+        this.zoneOfShard = zoneOfShard;
     }
 
-    /** Zones of a job's recorded tasks, and of those on their way into a record. */
-    public Map<Integer, Integer> tasksByZone(Job j, Iterable<Placement> underway) {
-        Map<Integer, Integer> n = tasksByZone(j, zoneOfShard, j.chunks::get, x -> !j.isPlaced(x.task()));
-        for (Placement c : underway) {
-            if (c.job().spec.id().equals(j.spec.id()) && !j.isPlaced(c.task())) {
-                n.merge(c.slot().zone, 1, Integer::sum);
+    /** Number of a job's tasks in each zone, recorded and in flight. */
+    public Map<Integer, Integer> tasksByZone(Job job, Iterable<Placement> inFlight) {
+        Map<Integer, Integer> counts =
+                tasksByZone(job, zoneOfShard, job.chunks::get, claim -> !job.isPlaced(claim.task()));
+        for (Placement placement : inFlight) {
+            if (placement.job().spec.id().equals(job.spec.id()) && !job.isPlaced(placement.task())) {
+                counts.merge(placement.slot().zone, 1, Integer::sum);
             }
         }
-        return n;
+        return counts;
     }
 
-    private List<Placement> placeGang(Job j, Slot[] slots, Set<String> refused, double[] use) {
-        if (exceedsLimit(j.spec, use, j.spec.tasks())) {
+    private List<Placement> placeGang(Job job, Slot[] slots, Set<String> refusedMachines, double[] used) {
+        if (exceedsLimit(job.spec, used, job.spec.tasks())) {
             return null;
         }
         List<Placement> best = null;
-        double bestScore = Double.MAX_VALUE;
-        int from = j.spec.oneZone() ? 0 : -1;
-        int to = j.spec.oneZone() ? catalog.zones.size() : 0;
-        for (int zone = from; zone < to; zone++) {
-            List<Placement> got = new ArrayList<>();
-            List<Slot.Snapshot> marks = new ArrayList<>();
-            Map<Integer, Integer> zones = new HashMap<>();
-            double worst = 0;
-            for (int task = 0; task < j.spec.tasks(); task++) {
-                Slot slot = bestSlot(j, slots, zones, zone, refused);
+        double bestScoreMs = Double.MAX_VALUE;
+        int firstZone = job.spec.oneZone() ? 0 : -1;
+        int endZone = job.spec.oneZone() ? catalog.zones.size() : 0;
+        for (int zone = firstZone; zone < endZone; zone++) {
+            List<Placement> placements = new ArrayList<>();
+            List<Slot.Snapshot> snapshots = new ArrayList<>();
+            Map<Integer, Integer> tasksByZone = new HashMap<>();
+            double worstScoreMs = 0;
+            for (int task = 0; task < job.spec.tasks(); task++) {
+                Slot slot = bestSlot(job, slots, tasksByZone, zone, refusedMachines);
                 if (slot == null) {
                     break;
                 }
-                worst = Math.max(worst, scoreMs(j, slot, zones));
-                double delay = slot.startDelayMs(j.spec);
-                marks.add(slot.snapshot());
-                slot.allocate(j.spec);
-                zones.merge(slot.zone, 1, Integer::sum);
-                got.add(new Placement(j, task, slot, delay));
+                worstScoreMs = Math.max(worstScoreMs, scoreMs(job, slot, tasksByZone));
+                double startDelayMs = slot.startDelayMs(job.spec);
+                snapshots.add(slot.snapshot());
+                slot.allocate(job.spec);
+                tasksByZone.merge(slot.zone, 1, Integer::sum);
+                placements.add(new Placement(job, task, slot, startDelayMs));
             }
-            // Backwards, so that a slot taken twice ends as it was; a trial must not leave fetches that nobody plans.
-            for (int i = marks.size() - 1; i >= 0; i--) {
-                got.get(i).slot().restore(marks.get(i));
+            // In reverse order, so that a slot with several of the tasks is restored to its first state; a trial must
+            // not leave planned fetches behind.
+            for (int i = snapshots.size() - 1; i >= 0; i--) {
+                placements.get(i).slot().restore(snapshots.get(i));
             }
-            if (got.size() == j.spec.tasks() && worst < bestScore) {
-                best = got;
-                bestScore = worst;
+            if (placements.size() == job.spec.tasks() && worstScoreMs < bestScoreMs) {
+                best = placements;
+                bestScoreMs = worstScoreMs;
             }
         }
         if (best != null) {
-            best.forEach(c -> c.slot().allocate(j.spec));
+            best.forEach(placement -> placement.slot().allocate(job.spec));
         }
         return best;
     }
 
-    private Slot bestSlot(Job j, Slot[] slots, Map<Integer, Integer> zones, int zone, Set<String> refused) {
+    private Slot bestSlot(
+            Job job, Slot[] slots, Map<Integer, Integer> tasksByZone, int zone, Set<String> refusedMachines) {
         slotsExamined += slots.length;
         Slot best = null;
-        double bestScore = Double.MAX_VALUE;
-        for (Slot s : slots) {
-            if (zone >= 0 && s.zone != zone
-                    || !s.fits(j.spec)
-                    || !s.allows(j.spec)
-                    || refused != null && refused.contains(s.machine)) {
+        double bestScoreMs = Double.MAX_VALUE;
+        for (Slot slot : slots) {
+            if (zone >= 0 && slot.zone != zone
+                    || !slot.fits(job.spec)
+                    || !slot.allows(job.spec)
+                    || refusedMachines != null && refusedMachines.contains(slot.machine)) {
                 continue;
             }
-            if (!j.spec.allowsZone(zones, s.zone)) {
+            if (!job.spec.allowsZone(tasksByZone, slot.zone)) {
                 continue;
             }
-            double score = scoreMs(j, s, zones);
-            if (score < bestScore) {
-                bestScore = score;
-                best = s;
+            double slotScoreMs = scoreMs(job, slot, tasksByZone);
+            if (slotScoreMs < bestScoreMs) {
+                bestScoreMs = slotScoreMs;
+                best = slot;
             }
         }
         return best;
     }
 
-    /** Per kind of machine the rate of losses, as it is when a plan begins. */
-    private double[] lossRates = new double[0];
+    /** Losses per second of run time by kind of machine, as of the start of the plan. */
+    private double[] lossRatesByKind = new double[0];
 
     private void updateLossRates(long now) {
-        int n = 0;
-        for (Catalog.MachineType t : catalog.types()) {
-            n = Math.max(n, LossRates.kind(t.index(), true) + 1);
+        int kindCount = 0;
+        for (Catalog.MachineType type : catalog.types()) {
+            kindCount = Math.max(kindCount, LossRates.kind(type.index(), true) + 1);
         }
-        lossRates = lossRates.length == n ? lossRates : new double[n];
-        for (int i = 0; i < n; i++) {
-            lossRates[i] = hazards.lossesPerS(i, now);
+        lossRatesByKind = lossRatesByKind.length == kindCount ? lossRatesByKind : new double[kindCount];
+        for (int kind = 0; kind < kindCount; kind++) {
+            lossRatesByKind[kind] = lossRates.lossesPerS(kind, now);
         }
     }
 
-    /** Lower is better, in ms of expected delay; ties go to full machines, so that others become empty. */
-    private double scoreMs(Job j, Slot s, Map<Integer, Integer> zones) {
-        JobSpec spec = j.spec;
-        double score = s.startDelayMs(spec)
-                + (spec.priority() == Priority.PRODUCTION ? 1 : BATCH_FETCH_SLOWDOWN_WEIGHT) * s.fetchSlowdownMs(spec);
-        if (!s.available) {
-            // Room that is only expected may come late or go to somebody else.
-            score += 2_000 + 0.5 * s.etaMs;
-        }
-        double expected = expectedRunS(spec);
-        double run = expected / Math.max(0.05, s.speed);
-        score += (run - expected) * 1000;
+    /**
+     * Score of a slot for a task in ms of expected delay; lower is better. Fuller machines are preferred, so that
+     * others become empty.
+     */
+    private double scoreMs(Job job, Slot slot, Map<Integer, Integer> tasksByZone) {
+        JobSpec spec = job.spec;
+        double score = slot.startDelayMs(spec)
+                + (spec.priority() == Priority.PRODUCTION ? 1 : BATCH_FETCH_SLOWDOWN_WEIGHT)
+                        * slot.fetchSlowdownMs(spec);
+        if (!slot.available) {
+            // Expected capacity may become available late or be taken by another task.
+            score += 2_000 + 0.5 * slot.etaMs;
+        }
+        double expectedS = expectedRunS(spec);
+        double runS = expectedS / Math.max(0.05, slot.speed);
+        score += (runS - expectedS) * 1000;
         if (!spec.isService()) {
-            // Long tasks keep off machines that are often taken back, or emptied for work of higher priority.
+            // Long tasks avoid machines that are often reclaimed by the cloud or whose tasks are often preempted.
             score += LossRates.expectedDelayS(
-                            lossRates[LossRates.kind(s.type.index(), s.spot)], run, spec.checkpointIntervalS())
+                            lossRatesByKind[LossRates.kind(slot.type.index(), slot.spot)],
+                            runS,
+                            spec.checkpointIntervalS())
                     * 1000;
         }
-        if (!leaseSettings.fitsCap(spec, expected, s.speed)) {
-            // The gate: such a machine is taken only when no capable one has room.
+        if (!leaseSettings.fitsCap(spec, expectedS, slot.speed)) {
+            // A machine on which the task may exceed its lease cap is used only if no faster one has capacity.
             score += 3_600_000;
         }
-        double left = Math.max(
-                (s.freeCpus - spec.cpus()) / s.type.cpus(),
-                s.type.gpus() > 0 ? (s.freeGpus - spec.gpus()) / s.type.gpus() : 0);
-        score += left * EMPTY_MACHINE_PENALTY_MS;
-        if (spec.allowsSpot() && !s.spot) {
+        double leftShare = Math.max(
+                (slot.freeCpus - spec.cpus()) / slot.type.cpus(),
+                slot.type.gpus() > 0 ? (slot.freeGpus - spec.gpus()) / slot.type.gpus() : 0);
+        score += leftShare * EMPTY_MACHINE_PENALTY_MS;
+        if (spec.allowsSpot() && !slot.spot) {
             score += 300;
         }
         if (spec.spread()) {
-            score += zones.getOrDefault(s.zone, 0) * 500.0;
+            score += tasksByZone.getOrDefault(slot.zone, 0) * 500.0;
         }
         return score;
     }
--- a/src/main/java/birchusher/placement/Preemption.java
+++ b/src/main/java/birchusher/placement/Preemption.java
@@ -11,9 +11,12 @@
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
 
-/** Whose work may be stopped for whom, and where that costs least. */
+/**
+ * Selects the tasks to preempt: those that may be preempted for a job, where their preemption loses least. Nothing is
+ * stopped here. Not thread-safe.
+ */
 public final class Preemption {
-    /** A place that lets a whole gang miss its aim is as bad as that much lost work. */
+    /** Cost, in seconds of lost work, of a placement that makes a whole gang miss an objective. */
     private static final double LATE_START_PENALTY_S = 60;
 
     private final StoreView view;
@@ -24,84 +27,92 @@
         this.runningMs = ranMs;
     }
 
-    /** What stopping a task loses, roughly in seconds of as much work as its place will then do. */
-    private double preemptionCostS(Claim c, JobSpec to) {
-        JobSpec s = c.job().spec;
-        double ran = runningMs.applyAsDouble(c) / 1000.0;
-        double share = Math.max(to.cpus() > 0 ? s.cpus() / to.cpus() : 0, to.gpus() > 0 ? s.gpus() / to.gpus() : 0);
-        return share * (s.isCheckpointed() ? 3 + s.checkpointWriteS() : 3 + ran * 0.5);
+    /**
+     * What preempting a task loses, roughly in seconds of the work that its capacity will then do for
+     * {@code preemptor}.
+     */
+    private double preemptionCostS(Claim claim, JobSpec preemptor) {
+        JobSpec spec = claim.job().spec;
+        double ranS = runningMs.applyAsDouble(claim) / 1000.0;
+        double share = Math.max(
+                preemptor.cpus() > 0 ? spec.cpus() / preemptor.cpus() : 0,
+                preemptor.gpus() > 0 ? spec.gpus() / preemptor.gpus() : 0);
+        return share * (spec.isCheckpointed() ? 3 + spec.checkpointWriteS() : 3 + ranS * 0.5);
     }
 
-    private List<Claim> preemptibleClaims(Slot slot, JobSpec to, boolean guaranteed, Planner.Plan plan) {
-        List<Claim> l = new ArrayList<>();
-        for (Claim c : view.claims(slot.machine).values()) {
-            JobSpec v = c.job().spec;
-            if (c.job().isPlaced(c.task())
-                    && v.preemptibleBy(to, plan.guaranteedJobs().contains(v.id()), guaranteed)) {
-                l.add(c);
+    /** Claims on a machine that may be preempted for a job, the cheapest first. */
+    private List<Claim> preemptibleClaims(Slot slot, JobSpec preemptor, boolean guaranteed, Planner.Plan plan) {
+        List<Claim> result = new ArrayList<>();
+        for (Claim claim : view.claims(slot.machine).values()) {
+            JobSpec spec = claim.job().spec;
+            if (claim.job().isPlaced(claim.task())
+                    && spec.preemptibleBy(preemptor, plan.guaranteedJobs().contains(spec.id()), guaranteed)) {
+                result.add(claim);
             }
         }
-        l.sort((a, b) -> Double.compare(preemptionCostS(a, to), preemptionCostS(b, to)));
-        return l;
+        result.sort((a, b) -> Double.compare(preemptionCostS(a, preemptor), preemptionCostS(b, preemptor)));
+        return result;
     }
 
-    /** A place for one task where the work that has to leave costs least; null if none is clearly better than the delay without. */
+    /** Placement of one task where preemption costs least; null if none is clearly better than the delay without it. */
     Planner.Placement placeTask(
-            Job j,
+            Job job,
             int task,
             boolean guaranteed,
             double delayS,
             Planner.Plan plan,
             List<Slot> slots,
-            Map<Integer, Integer> zones,
-            Set<String> refused) {
-        JobSpec s = j.spec;
+            Map<Integer, Integer> tasksByZone,
+            Set<String> refusedMachines) {
+        JobSpec spec = job.spec;
         MachineCandidate best = null;
-        double bestCost = maxCostS(delayS);
+        double bestCostS = maxCostS(delayS);
         for (Slot slot : slots) {
-            if (!usable(slot, s, refused) || !s.allowsZone(zones, slot.zone)) {
+            if (!usable(slot, spec, refusedMachines) || !spec.allowsZone(tasksByZone, slot.zone)) {
                 continue;
             }
-            List<Claim> victims = preemptibleClaims(slot, s, guaranteed, plan);
-            MachineCandidate p = victims.isEmpty() ? null : new MachineCandidate(slot, s, victims, Double.MAX_VALUE);
-            if (p != null && p.nextCostS < bestCost) {
-                best = p;
-                bestCost = p.nextCostS;
+            List<Claim> victims = preemptibleClaims(slot, spec, guaranteed, plan);
+            MachineCandidate candidate =
+                    victims.isEmpty() ? null : new MachineCandidate(slot, spec, victims, Double.MAX_VALUE);
+            if (candidate != null && candidate.nextCostS < bestCostS) {
+                best = candidate;
+                bestCostS = candidate.nextCostS;
             }
         }
         if (best == null) {
             return null;
         }
         best.allocate();
-        return new Planner.Placement(j, task, best.slot, bestCost * 1000);
+        return new Planner.Placement(job, task, best.slot, bestCostS * 1000);
     }
 
-    /** Stopping somebody must be clearly better than the delay without it. */
+    /** Cost in seconds up to which preemption is clearly better than the delay without it. */
     private static double maxCostS(double delayS) {
         return delayS == Double.MAX_VALUE ? delayS : delayS * 0.7 - 2;
     }
 
-    private static boolean usable(Slot slot, JobSpec s, Set<String> refused) {
+    private static boolean usable(Slot slot, JobSpec spec, Set<String> refusedMachines) {
         return slot.available
-                && slot.allows(s)
-                && slot.type.fits(s)
-                && (refused == null || !refused.contains(slot.machine));
+                && slot.allows(spec)
+                && slot.type.fits(spec)
+                && (refusedMachines == null || !refusedMachines.contains(slot.machine));
     }
 
-    /** One machine while places are looked for: what it would cost to have room for one more task there. */
+    /** One machine during the search: keeps what it would cost to have capacity for one more task there. */
     private final class MachineCandidate {
         private final Slot slot;
         private final JobSpec spec;
         private final List<Claim> victims;
         private final double startSlackMs;
         private int victimsUsed;
+        /** Cost in seconds of one more task; {@code Double.MAX_VALUE} if no preemption makes it fit. */
         private double nextCostS;
 
-        MachineCandidate(Slot slot, JobSpec spec, List<Claim> victims, double spareMs) {
+        MachineCandidate(Slot slot, JobSpec spec, List<Claim> victims, double startSlackMs) {
             this.slot = slot;
             this.spec = spec;
             this.victims = victims;
-            this.startSlackMs = spareMs;
+            this.startSlackMs = startSlackMs;
             updateNextCost();
         }
 
@@ -127,61 +138,65 @@
     }
 
     /**
-     * Places for a whole gang, counting on room that lower work would leave: in the zone where that costs least, or null. Nobody
-     * is stopped before the gang's claim stands; the machines' owners then do it, so no two gangs each gather half of their room.
-     * Places whose images take longer than {@code spareMs} to come, so that the gang would miss an aim, come last.
+     * Placements of a whole gang on capacity that includes that of preemptible tasks, in the zone where this costs
+     * least; null if there are none. No task is stopped before the gang's claims are recorded; the owners of the
+     * machines then stop them, so that no two gangs each gather half of their capacity. Machines where fetching the
+     * image takes longer than {@code startSlackMs}, so that the gang would miss an objective, are used last.
      */
     List<Planner.Placement> placeGang(
-            Job j,
+            Job job,
             boolean guaranteed,
             double delayS,
-            double spareMs,
+            double startSlackMs,
             Planner.Plan plan,
             List<Slot> slots,
             int zoneCount,
-            Set<String> refused) {
-        JobSpec s = j.spec;
+            Set<String> refusedMachines) {
+        JobSpec spec = job.spec;
         List<Planner.Placement> best = null;
-        double bestCost = maxCostS(delayS) * s.tasks();
-        for (int zone = s.oneZone() ? 0 : -1; zone < (s.oneZone() ? zoneCount : 0); zone++) {
-            List<MachineCandidate> places = new ArrayList<>();
+        double bestCostS = maxCostS(delayS) * spec.tasks();
+        for (int zone = spec.oneZone() ? 0 : -1; zone < (spec.oneZone() ? zoneCount : 0); zone++) {
+            List<MachineCandidate> candidates = new ArrayList<>();
             for (Slot slot : slots) {
-                if ((zone < 0 || slot.zone == zone) && usable(slot, s, refused)) {
-                    places.add(new MachineCandidate(slot, s, preemptibleClaims(slot, s, guaranteed, plan), spareMs));
+                if ((zone < 0 || slot.zone == zone) && usable(slot, spec, refusedMachines)) {
+                    candidates.add(new MachineCandidate(
+                            slot, spec, preemptibleClaims(slot, spec, guaranteed, plan), startSlackMs));
                 }
             }
-            List<Slot.Snapshot> marks =
-                    places.stream().map(p -> p.slot.snapshot()).toList();
-            List<Planner.Placement> got = new ArrayList<>();
+            List<Slot.Snapshot> snapshots = candidates.stream()
+                    .map(candidate -> candidate.slot.snapshot())
+                    .toList();
+            List<Planner.Placement> placements = new ArrayList<>();
             Map<Integer, Integer> tasksByZone = new HashMap<>();
-            double cost = 0;
-            while (got.size() < s.tasks()) {
-                MachineCandidate p = null;
-                for (MachineCandidate x : places) {
-                    if (s.allowsZone(tasksByZone, x.slot.zone)
-                            && x.nextCostS < Double.MAX_VALUE
-                            && (p == null || x.nextCostS < p.nextCostS)) {
-                        p = x;
+            double costS = 0;
+            while (placements.size() < spec.tasks()) {
+                MachineCandidate cheapest = null;
+                for (MachineCandidate candidate : candidates) {
+                    if (spec.allowsZone(tasksByZone, candidate.slot.zone)
+                            && candidate.nextCostS < Double.MAX_VALUE
+                            && (cheapest == null || candidate.nextCostS < cheapest.nextCostS)) {
+                        cheapest = candidate;
                     }
                 }
-                if (p == null) {
+                if (cheapest == null) {
                     break;
                 }
-                cost += p.nextCostS;
-                tasksByZone.merge(p.slot.zone, 1, Integer::sum);
-                got.add(new Planner.Placement(j, got.size(), p.slot, p.slot.startDelayMs(s)));
-                p.allocate();
+                costS += cheapest.nextCostS;
+                tasksByZone.merge(cheapest.slot.zone, 1, Integer::sum);
+                placements.add(
+                        new Planner.Placement(job, placements.size(), cheapest.slot, cheapest.slot.startDelayMs(spec)));
+                cheapest.allocate();
             }
-            for (int i = 0; i < places.size(); i++) {
-                places.get(i).slot.restore(marks.get(i));
+            for (int i = 0; i < candidates.size(); i++) {
+                candidates.get(i).slot.restore(snapshots.get(i));
             }
-            if (got.size() == s.tasks() && cost < bestCost) {
-                best = got;
-                bestCost = cost;
+            if (placements.size() == spec.tasks() && costS < bestCostS) {
+                best = placements;
+                bestCostS = costS;
             }
         }
         if (best != null) {
-            best.forEach(c -> c.slot().allocate(s));
+            best.forEach(placement -> placement.slot().allocate(spec));
         }
         return best;
     }
--- a/src/main/java/birchusher/placement/Quotas.java
+++ b/src/main/java/birchusher/placement/Quotas.java
@@ -10,26 +10,31 @@
 import java.util.Map;
 
 /**
- * Keeps every team within its limit without a write for each claim. A team's gate row is either
+ * Keeps every team within its limit without a row write for each claim. A team's quota row is either
  *
- * <p><b>open</b>: each controller may claim up to a quota under this version of the row, and its claims only condition on
- * the version. When the row was written, use plus all quotas were within the limit, so whatever the controllers claim under
- * it is, too, though none of them sees the others' claims at once; or
+ * <p><b>shared</b>: each controller may claim up to a quota under this version of the row, and its claims only
+ * condition on the version. When the row was written, use plus all quotas were within the limit, so whatever the
+ * controllers claim under it is within the limit, too, though no controller sees the claims of the others at once; or
  *
- * <p><b>tight</b>: each claim also writes the row, so claims of the team are serialised and the use that a view shows is
- * exact. So it is while the limit is near.
+ * <p><b>serialized</b>: each claim also writes the row, so the claims of the team are serialized and the use that a
+ * view shows is exact. This is the mode near the limit.
+ *
+ * <p>Not thread-safe.
  */
 public final class Quotas {
     private static final String CPUS_FIELD = "c";
     private static final String GPUS_FIELD = "g";
     private static final String SERIALIZED_SINCE_FIELD = "s";
-    /** A gate is opened when each quota holds this many tasks, and stays open while it holds a few. */
+    /**
+     * A quota row becomes shared when each quota holds this many tasks, and stays shared while it holds
+     * {@link #STAY_SHARED_MIN_TASKS}.
+     */
     private static final int SHARE_MIN_TASKS = 16;
 
     private static final int STAY_SHARED_MIN_TASKS = 4;
     private static final double UNLIMITED_QUOTA = 1e12;
 
-    /** What this process has claimed under which version of a row. */
+    /** What this process has claimed under a version of a quota row. */
     private static final class QuotaUse {
         long rowVersion = -1;
         double cpus;
@@ -40,7 +45,10 @@
     private final StoreView view;
     private final int controllerCount;
     private final QuotaUse[] usedByTeam;
-    /** What was there before us may hold claims of an earlier life of ours: such a version's quota counts as used up. */
+    /**
+     * Revision of the view at the first claim, or -1. A row version up to it may include claims of an earlier
+     * incarnation of this controller, so its quota counts as used up.
+     */
     private long startRevision = -1;
 
     public Quotas(Catalog catalog, StoreView view, int controllers) {
@@ -57,6 +65,7 @@
         return Keys.QUOTA + team.name();
     }
 
+    /** Result of {@link #tryClaim}. */
     enum Decision {
         GRANTED,
         REFUSED,
@@ -64,83 +73,94 @@
     }
 
     /**
-     * Makes the claims of so many tasks, with what they take together, part of a transaction if the team's limit surely
-     * allows them. NO: not, or not yet. TIGHTENED: not now, and the transaction closes the gate so that use becomes exact.
-     * What is granted stays spent even if the transaction then fails: one that was not answered may still be applied.
+     * Adds the conditions and writes for claims to a transaction if the team's limit certainly allows them. GRANTED: it
+     * does. REFUSED: it does not, or not yet. SERIALIZED: not now, and the transaction makes the row serialized so that
+     * use becomes exact. What is granted stays used even if the transaction then fails: a transaction without a
+     * response may still be applied.
+     *
+     * @param tasks number of tasks to claim
+     * @param cpus cpus of all these tasks
+     * @param gpus gpus of all these tasks
      */
-    Decision tryClaim(Transaction tx, int t, int tasks, double cpus, double gpus) {
-        Settings.Team team = catalog.team(t);
-        String key = rowKey(team);
+    Decision tryClaim(Transaction tx, int team, int tasks, double cpus, double gpus) {
+        Settings.Team teamSettings = catalog.team(team);
+        String key = rowKey(teamSettings);
         Map<String, Object> row = view.row(key);
         long version = view.version(key);
-        boolean open = row != null && row.get(GPUS_FIELD) != null;
+        boolean shared = row != null && row.get(GPUS_FIELD) != null;
         startRevision = startRevision < 0 ? view.appliedRevision() : startRevision;
-        if (usedByTeam[t].rowVersion != version && version > startRevision) {
-            resetUse(t, version);
+        if (usedByTeam[team].rowVersion != version && version > startRevision) {
+            resetUse(team, version);
         }
-        if (open
+        if (shared
                 && !tx.writes(key)
-                && usedByTeam[t].rowVersion == version
+                && usedByTeam[team].rowVersion == version
                 && withinQuota(
-                        usedByTeam[t].cpus + cpus,
-                        usedByTeam[t].gpus + gpus,
+                        usedByTeam[team].cpus + cpus,
+                        usedByTeam[team].gpus + gpus,
                         quota(row, CPUS_FIELD),
                         quota(row, GPUS_FIELD))) {
-            usedByTeam[t].cpus += cpus;
-            usedByTeam[t].gpus += gpus;
+            usedByTeam[team].cpus += cpus;
+            usedByTeam[team].gpus += gpus;
             tx.requireUnchanged(key);
             return Decision.GRANTED;
         }
-        // The view must hold every claim made before the row last stopped being open, or its use would be too low.
-        long since = row == null ? 0 : open ? version : Fields.countOr(row, SERIALIZED_SINCE_FIELD, version);
-        if (view.appliedRevision() < since) {
+        // The view must include every claim made before the row last stopped being shared, or its use would be too low.
+        long serializedSince =
+                row == null ? 0 : shared ? version : Fields.countOr(row, SERIALIZED_SINCE_FIELD, version);
+        if (view.appliedRevision() < serializedSince) {
             return Decision.REFUSED;
         }
-        double[] before = tx.claimedByTeam(t);
-        double useCpus = view.claimedCpus(t) + before[0] + cpus;
-        double useGpus = view.claimedGpus(t) + before[1] + gpus;
-        if (open) {
-            // All that may have been claimed under the open row, our own earlier lives' claims among it.
+        double[] earlier = tx.claimedByTeam(team);
+        double useCpus = view.claimedCpus(team) + earlier[0] + cpus;
+        double useGpus = view.claimedGpus(team) + earlier[1] + gpus;
+        if (shared) {
+            // Everything that may have been claimed under the shared row, by earlier incarnations of this controller as
+            // well.
             useCpus += controllerCount * quota(row, CPUS_FIELD);
             useGpus += controllerCount * quota(row, GPUS_FIELD);
         }
-        if (Catalog.exceeds(team.cpusMax(), useCpus) || Catalog.exceeds(team.gpusMax(), useGpus)) {
-            if (!open || tx.writes(key)) {
+        if (Catalog.exceeds(teamSettings.cpusMax(), useCpus) || Catalog.exceeds(teamSettings.gpusMax(), useGpus)) {
+            if (!shared || tx.writes(key)) {
                 return Decision.REFUSED;
             }
-            // Nothing can be claimed on top of the quotas: tight from here on, and exact once the view is that far.
+            // Nothing can be claimed in addition to the quotas: serialized from here on, and exact once the view
+            // includes this write.
             tx.put(key, Map.of());
             return Decision.SERIALIZED;
         }
-        double qc = quotaFor(team.cpusMax(), useCpus);
-        double qg = quotaFor(team.gpusMax(), useGpus);
-        double worthTasks = open ? STAY_SHARED_MIN_TASKS : SHARE_MIN_TASKS;
-        boolean worth = quotaSuffices(team.cpusMax(), qc, worthTasks * cpus / tasks)
-                && quotaSuffices(team.gpusMax(), qg, worthTasks * gpus / tasks);
-        Map<String, Object> next = new LinkedHashMap<>();
-        if (worth) {
-            next.put(CPUS_FIELD, qc);
-            next.put(GPUS_FIELD, qg);
-        } else if (!open) {
-            next.put(SERIALIZED_SINCE_FIELD, since);
+        double cpuQuota = quotaFor(teamSettings.cpusMax(), useCpus);
+        double gpuQuota = quotaFor(teamSettings.gpusMax(), useGpus);
+        double minTasks = shared ? STAY_SHARED_MIN_TASKS : SHARE_MIN_TASKS;
+        boolean quotasSuffice = quotaSuffices(teamSettings.cpusMax(), cpuQuota, minTasks * cpus / tasks)
+                && quotaSuffices(teamSettings.gpusMax(), gpuQuota, minTasks * gpus / tasks);
+        Map<String, Object> newRow = new LinkedHashMap<>();
+        if (quotasSuffice) {
+            newRow.put(CPUS_FIELD, cpuQuota);
+            newRow.put(GPUS_FIELD, gpuQuota);
+        } else if (!shared) {
+            newRow.put(SERIALIZED_SINCE_FIELD, serializedSince);
         }
-        tx.put(key, next);
+        tx.put(key, newRow);
         return Decision.GRANTED;
     }
 
-    private void resetUse(int t, long version) {
-        usedByTeam[t].rowVersion = version;
-        usedByTeam[t].cpus = 0;
-        usedByTeam[t].gpus = 0;
+    private void resetUse(int team, long version) {
+        usedByTeam[team].rowVersion = version;
+        usedByTeam[team].cpus = 0;
+        usedByTeam[team].gpus = 0;
     }
 
-    /** Half of what is left, in equal parts: the other half lets the row be written again before use is exact. */
-    private double quotaFor(double limit, double use) {
-        return limit <= 0 ? UNLIMITED_QUOTA : Math.max(0, limit - use) / (2 * controllerCount);
+    /**
+     * Half of what is left in equal parts. The other half allows the row to be written again before use has to be
+     * exact.
+     */
+    private double quotaFor(double limit, double used) {
+        return limit <= 0 ? UNLIMITED_QUOTA : Math.max(0, limit - used) / (2 * controllerCount);
     }
 
-    private static boolean quotaSuffices(double limit, double quota, double least) {
-        return limit <= 0 || quota >= Math.max(least, Catalog.EPSILON);
+    private static boolean quotaSuffices(double limit, double quota, double minQuota) {
+        return limit <= 0 || quota >= Math.max(minQuota, Catalog.EPSILON);
     }
 
     private static double quota(Map<String, Object> row, String key) {
--- a/src/main/java/birchusher/placement/RestorePlanner.java
+++ b/src/main/java/birchusher/placement/RestorePlanner.java
@@ -11,11 +11,12 @@
 import java.util.function.IntPredicate;
 
 /**
- * Plans tasks that their workers dropped back onto the machines they ran on, as far as there is room and the rules allow it. One
- * plan calls {@link #begin} first, then {@link #plan} for each job in the plan's order.
+ * Plans dropped tasks, which their workers ended as the worker leases expired, back onto the machines where they ran,
+ * as far as capacity and rules allow. A plan calls {@link #beginPlan} first, then {@link #plan} for each job in its
+ * order.
  */
 final class RestorePlanner {
-    /** Why a dropped task can't go back to its machine. */
+    /** Why a dropped task can't return to its machine. */
     enum Obstacle {
         NOT_USABLE,
         NO_ROOM,
@@ -26,27 +27,27 @@
         GANG_INCOMPLETE
     }
 
-    private final LostTasks losses;
-    /** Machines that can take tasks now, by name; only filled while something was dropped. */
+    private final LostTasks lostTasks;
+    /** Slots of the machines that can take tasks now, by name; empty while no task is lost. */
     private final Map<String, Slot> usableSlots = new HashMap<>();
 
     private final Map<String, Obstacle> obstacles = new HashMap<>();
     private Planner.SchedulingState schedulingState;
     private long nowMs;
 
-    RestorePlanner(LostTasks losses) {
-        this.losses = losses;
+    RestorePlanner(LostTasks lostTasks) {
+        this.lostTasks = lostTasks;
     }
 
-    void beginPlan(List<Slot> all, Planner.SchedulingState planMarks, long steadyNow) {
-        schedulingState = planMarks;
-        nowMs = steadyNow;
+    void beginPlan(List<Slot> slots, Planner.SchedulingState state, long steadyNowMs) {
+        schedulingState = state;
+        nowMs = steadyNowMs;
         usableSlots.clear();
         obstacles.clear();
-        if (losses.size() == 0) {
+        if (lostTasks.size() == 0) {
             return;
         }
-        for (Slot slot : all) {
+        for (Slot slot : slots) {
             if (slot.available) {
                 usableSlots.put(slot.machine, slot);
             }
@@ -54,70 +55,80 @@
     }
 
     /**
-     * Whether the machine that a task was dropped on is about to be there again. A worker whose first answer comes after its session's
-     * end shows the term only with its next report; sent elsewhere after a fixed time, its tasks took rooms of tasks that were dropped
-     * there, one of which then found only rooms that its zone rule forbids.
+     * Whether the machine on which a task was dropped is about to be usable again. A worker that receives its first
+     * response after its session's end confirms the term only with its next report. When its tasks were placed
+     * elsewhere after a fixed time, they took the capacity of tasks dropped there, one of which then fitted only where
+     * its zone rule forbids it.
      */
     boolean awaitsMachine(String job, int task) {
-        LostTasks.LostRun home = losses.lostRun(job, task);
-        if (home == null || usableSlots.containsKey(home.machine())) {
+        LostTasks.LostRun lostRun = lostTasks.lostRun(job, task);
+        if (lostRun == null || usableSlots.containsKey(lostRun.machine())) {
             return false;
         }
-        return losses.awaitedMachine(job, task, nowMs) != null
-                || losses.isRecent(home, nowMs) && schedulingState.reconnecting(home.machine(), home.session());
+        return lostTasks.awaitedMachine(job, task, nowMs) != null
+                || lostTasks.isRecent(lostRun, nowMs)
+                        && schedulingState.reconnecting(lostRun.machine(), lostRun.session());
     }
 
-    /** What kept a task of this plan from going back; null if it goes back, or was not dropped lately. */
+    /** What prevents a dropped task from returning in this plan; null if it returns, or was not dropped recently. */
     Obstacle obstacle(String job, int task) {
         return obstacles.get(job + "/" + task);
     }
 
     /**
-     * The tasks of a job that go back, their room taken from their slots; of a gang, all or nothing.
+     * Placements of the job's dropped tasks that return to their machines, allocated in their slots; of a gang all or
+     * none.
      *
-     * @param zones tasks of the job by zone; those that go back are added
-     * @param overLimit whether so many more tasks would pass the team's limit
+     * @param held tests which tasks are offered or being claimed already; may be null
+     * @param refused machines that recently refused the job; may be null
+     * @param tasksByZone the job's tasks in each zone; those that return are added
+     * @param exceedsLimit whether this many more tasks would exceed the team's limit
      */
     List<Planner.Placement> plan(
-            Job job, IntPredicate held, Set<String> refused, Map<Integer, Integer> zones, IntPredicate overLimit) {
+            Job job,
+            IntPredicate held,
+            Set<String> refused,
+            Map<Integer, Integer> tasksByZone,
+            IntPredicate exceedsLimit) {
         JobSpec spec = job.spec;
-        Map<Integer, String> homes = losses.machinesByTask(spec.id());
-        if (spec.isGang() && (homes.size() < spec.tasks() || job.placedCount() > 0)) {
+        Map<Integer, String> machinesByTask = lostTasks.machinesByTask(spec.id());
+        if (spec.isGang() && (machinesByTask.size() < spec.tasks() || job.placedCount() > 0)) {
             return List.of();
         }
-        Set<String> refusedBy = refused == null ? Set.of() : refused;
-        List<Planner.Placement> choices = new ArrayList<>();
-        List<Slot.Snapshot> before = new ArrayList<>();
-        homes.forEach((task, machine) -> {
+        Set<String> refusedMachines = refused == null ? Set.of() : refused;
+        List<Planner.Placement> placements = new ArrayList<>();
+        List<Slot.Snapshot> snapshots = new ArrayList<>();
+        machinesByTask.forEach((task, machine) -> {
             if (task >= spec.tasks() || job.isDone(task) || job.isPlaced(task) || held != null && held.test(task)) {
                 return;
             }
             Slot slot = usableSlots.get(machine);
-            Obstacle obstacle = refusedBy.contains(machine) ? Obstacle.REFUSED : obstacle(spec, task, slot, zones);
-            if (obstacle == null && overLimit.test(choices.size() + 1)) {
+            Obstacle obstacle =
+                    refusedMachines.contains(machine) ? Obstacle.REFUSED : obstacle(spec, task, slot, tasksByZone);
+            if (obstacle == null && exceedsLimit.test(placements.size() + 1)) {
                 obstacle = Obstacle.QUOTA;
             }
             if (obstacle != null) {
                 obstacles.put(spec.id() + "/" + task, obstacle);
                 return;
             }
-            before.add(slot.snapshot());
-            choices.add(new Planner.Placement(job, task, slot, slot.startDelayMs(spec)));
+            snapshots.add(slot.snapshot());
+            placements.add(new Planner.Placement(job, task, slot, slot.startDelayMs(spec)));
             slot.allocate(spec);
-            zones.merge(slot.zone, 1, Integer::sum);
+            tasksByZone.merge(slot.zone, 1, Integer::sum);
         });
-        if (spec.isGang() && choices.size() < spec.tasks()) {
-            for (int i = before.size() - 1; i >= 0; i--) {
-                choices.get(i).slot().restore(before.get(i));
-                obstacles.put(spec.id() + "/" + choices.get(i).task(), Obstacle.GANG_INCOMPLETE);
+        if (spec.isGang() && placements.size() < spec.tasks()) {
+            for (int i = snapshots.size() - 1; i >= 0; i--) {
+                placements.get(i).slot().restore(snapshots.get(i));
+                obstacles.put(spec.id() + "/" + placements.get(i).task(), Obstacle.GANG_INCOMPLETE);
             }
             return List.of();
         }
-        return choices;
+        return placements;
     }
 
-    private Obstacle obstacle(JobSpec spec, int task, Slot slot, Map<Integer, Integer> zones) {
-        if (slot == null || !losses.isLaterSession(spec.id(), task, slot.session)) {
+    private Obstacle obstacle(JobSpec spec, int task, Slot slot, Map<Integer, Integer> tasksByZone) {
+        if (slot == null || !lostTasks.isLaterSession(spec.id(), task, slot.session)) {
             return Obstacle.NOT_USABLE;
         }
         if (!slot.fits(spec)) {
@@ -126,6 +137,6 @@
         if (!slot.allows(spec)) {
             return Obstacle.NOT_ALLOWED;
         }
-        return spec.allowsZone(zones, slot.zone) ? null : Obstacle.ZONE_RULE;
+        return spec.allowsZone(tasksByZone, slot.zone) ? null : Obstacle.ZONE_RULE;
     }
 }
--- a/src/main/java/birchusher/placement/Slot.java
+++ b/src/main/java/birchusher/placement/Slot.java
@@ -4,12 +4,17 @@
 import birchusher.model.JobSpec;
 import birchusher.workers.MachineStatus;
 
-/** Room on a machine as a planner sees it; virtual slots stand for machines that are booting or room about to free. */
+/**
+ * Free capacity of a machine during one plan. Virtual slots, not {@link #available}, stand for machines that are
+ * booting and for capacity that is expected to become free. Not thread-safe.
+ */
 public final class Slot {
-    /** In how many ms the worker of a machine that reports has mostly shown that it hears its owner. */
+    /**
+     * Time in which the worker of a machine that reports has usually confirmed that it receives its owner's responses.
+     */
     private static final long REGISTRATION_DELAY_MS = 1_000;
 
-    /** Of room that no driver can offer yet. */
+    /** Shard of capacity that cannot be offered yet. */
     private static final int NO_SHARD = -1;
 
     final String machine;
@@ -19,16 +24,23 @@
     final long session;
     final int shard;
     final double speed;
+    /** Pairs of an image and the time in ms until its fetch ends. */
     final int[] fetching;
+
     final int[] images;
-    /** In how many ms the room is there; 0: now. */
+    /** Time in ms until the capacity is available; 0 if it is available now. */
     final long etaMs;
 
+    /** Whether the capacity exists now and can be offered. */
     final boolean available;
+
     double freeCpus;
     double freeGpus;
     double freeMemoryGb;
-    /** Image planned here in this pass, so that several tasks of one image count one fetch. */
+    /**
+     * Image of the last task planned here that has to be fetched; -1 if none. Several tasks of one image count as one
+     * fetch.
+     */
     int plannedImage = -1;
 
     int plannedFetches;
@@ -44,10 +56,10 @@
             int[] fetching,
             int[] images,
             long etaMs,
-            boolean real,
-            double cpus,
-            double gpus,
-            double mem) {
+            boolean available,
+            double freeCpus,
+            double freeGpus,
+            double freeMemoryGb) {
         this.machine = machine;
         this.type = type;
         this.zone = zone;
@@ -58,33 +70,37 @@
         this.fetching = fetching;
         this.images = images;
         this.etaMs = etaMs;
-        this.available = real;
-        this.freeCpus = cpus;
-        this.freeGpus = gpus;
-        this.freeMemoryGb = mem;
+        this.available = available;
+        this.freeCpus = freeCpus;
+        this.freeGpus = freeGpus;
+        this.freeMemoryGb = freeMemoryGb;
     }
 
     /**
-     * A machine that has reported and is not usable yet counts like one that boots: between its first report and the evidence that its
-     * worker hears its owner, its room stood nowhere, and another machine was rented for the same task.
+     * Virtual slot of a machine that has reported and is not usable yet. It counts like a booting machine: between its
+     * first report and its worker's confirmation that it receives its owner's responses, its capacity was counted
+     * nowhere, and another machine was rented for the same task.
      *
-     * @param used cpus, gpus and memory of the claims on it
+     * @param used cpus, gpus and memory in GB of the claims on it
      */
     public static Slot ofArrivingMachine(MachineStatus status, Catalog.MachineType type, double[] used) {
-        double[] stray = status.unclaimedUse();
+        double[] unclaimed = status.unclaimedUse();
         double[] free = {
-            type.cpus() - used[0] - stray[0], type.gpus() - used[1] - stray[1], type.memoryGb() - used[2] - stray[2]
+            type.cpus() - used[0] - unclaimed[0],
+            type.gpus() - used[1] - unclaimed[1],
+            type.memoryGb() - used[2] - unclaimed[2]
         };
         return of(status, type, NO_SHARD, REGISTRATION_DELAY_MS, false, free);
     }
 
     /**
-     * Room on a machine that its owner tells of.
+     * Slot of a machine whose status its owner publishes.
      *
-     * @param free cpus, gpus and memory
+     * @param etaMs time in ms until the capacity is available
+     * @param free cpus, gpus and memory in GB
      */
     public static Slot of(
-            MachineStatus status, Catalog.MachineType type, int shard, long etaMs, boolean real, double[] free) {
+            MachineStatus status, Catalog.MachineType type, int shard, long etaMs, boolean available, double[] free) {
         return new Slot(
                 status.machine(),
                 type,
@@ -96,38 +112,43 @@
                 status.fetchingImages(),
                 status.cachedImages(),
                 etaMs,
-                real,
+                available,
                 free[0],
                 free[1],
                 free[2]);
     }
 
-    public boolean allows(JobSpec j) {
-        return j.allowsType(type.index()) && (j.zone() < 0 || j.zone() == zone) && (!spot || j.allowsSpot());
+    /** Whether the job's constraints on machine type, zone and spot machines admit this machine. */
+    public boolean allows(JobSpec spec) {
+        return spec.allowsType(type.index())
+                && (spec.zone() < 0 || spec.zone() == zone)
+                && (!spot || spec.allowsSpot());
     }
 
-    public boolean fits(JobSpec j) {
-        return j.cpus() <= freeCpus + Catalog.EPSILON
-                && j.gpus() <= freeGpus + Catalog.EPSILON
-                && j.memoryGb() <= freeMemoryGb + Catalog.EPSILON;
+    /** Whether the free capacity suffices for one task of the job. */
+    public boolean fits(JobSpec spec) {
+        return spec.cpus() <= freeCpus + Catalog.EPSILON
+                && spec.gpus() <= freeGpus + Catalog.EPSILON
+                && spec.memoryGb() <= freeMemoryGb + Catalog.EPSILON;
     }
 
-    public void allocate(JobSpec j) {
-        freeCpus -= j.cpus();
-        freeGpus -= j.gpus();
-        freeMemoryGb -= j.memoryGb();
-        if (!hasImage(j.image())) {
-            plannedImage = j.image();
+    /** Allocates one task of the job. Does not check whether it fits. */
+    public void allocate(JobSpec spec) {
+        freeCpus -= spec.cpus();
+        freeGpus -= spec.gpus();
+        freeMemoryGb -= spec.memoryGb();
+        if (!hasImage(spec.image())) {
+            plannedImage = spec.image();
             plannedFetches++;
         }
     }
 
-    /** How much of the machine is free, by what is used most. */
+    /** Free share of the machine, 0 to 1, by the smaller of its cpu and gpu shares. */
     public double freeShare() {
         return Math.min(freeCpus / type.cpus(), type.gpus() > 0 ? freeGpus / type.gpus() : 1);
     }
 
-    /** What a trial changes. */
+    /** The state that allocations change, to undo those of a trial. */
     public record Snapshot(
             double freeCpus, double freeGpus, double freeMemoryGb, int plannedImage, int plannedFetches) {}
 
@@ -135,18 +156,19 @@
         return new Snapshot(freeCpus, freeGpus, freeMemoryGb, plannedImage, plannedFetches);
     }
 
-    public void restore(Snapshot m) {
-        freeCpus = m.freeCpus;
-        freeGpus = m.freeGpus;
-        freeMemoryGb = m.freeMemoryGb;
-        plannedImage = m.plannedImage;
-        plannedFetches = m.plannedFetches;
+    public void restore(Snapshot snapshot) {
+        freeCpus = snapshot.freeCpus;
+        freeGpus = snapshot.freeGpus;
+        freeMemoryGb = snapshot.freeMemoryGb;
+        plannedImage = snapshot.plannedImage;
+        plannedFetches = snapshot.plannedFetches;
     }
 
-    void release(JobSpec j) {
-        freeCpus += j.cpus();
-        freeGpus += j.gpus();
-        freeMemoryGb += j.memoryGb();
+    /** Returns the capacity of one task of the job. */
+    void release(JobSpec spec) {
+        freeCpus += spec.cpus();
+        freeGpus += spec.gpus();
+        freeMemoryGb += spec.memoryGb();
     }
 
     public String machine() {
@@ -157,55 +179,56 @@
         return zone;
     }
 
-    /** Whether it stands for a machine that is not up yet: nobody owns it. */
+    /** Whether the slot stands for a machine that is not up yet and has no owner. */
     boolean booting() {
         return !available && shard < 0;
     }
 
+    /** Whether the machine has the image, or a task planned here will fetch it. */
     boolean hasImage(int image) {
-        for (int i : images) {
-            if (i == image) {
+        for (int present : images) {
+            if (present == image) {
                 return true;
             }
         }
         return plannedImage == image;
     }
 
-    /** Ms that a job's image takes to fetch here by itself. */
-    private double fetchMs(JobSpec j) {
-        return j.imageGb() / type.fetchGbPerS() * 1000;
+    /** Time in ms to fetch the job's image here without other fetches. */
+    private double fetchMs(JobSpec spec) {
+        return spec.imageGb() / type.fetchGbPerS() * 1000;
     }
 
-    /** Ms by which one more image would slow down the fetches already going on here. */
-    double fetchSlowdownMs(JobSpec j) {
-        if (hasImage(j.image())) {
+    /** Time in ms by which fetching the job's image would slow down the fetches in progress here. */
+    double fetchSlowdownMs(JobSpec spec) {
+        if (hasImage(spec.image())) {
             return 0;
         }
-        double own = fetchMs(j);
-        double harm = own * Math.max(0, plannedFetches);
+        double ownMs = fetchMs(spec);
+        double slowdownMs = ownMs * Math.max(0, plannedFetches);
         for (int i = 0; i < fetching.length; i += 2) {
-            if (fetching[i] == j.image()) {
+            if (fetching[i] == spec.image()) {
                 return 0;
             }
-            harm += Math.min(own, fetching[i + 1]);
+            slowdownMs += Math.min(ownMs, fetching[i + 1]);
         }
-        return harm;
+        return slowdownMs;
     }
 
-    /** Expected ms until a task with this image could run here. */
-    public double startDelayMs(JobSpec j) {
-        if (hasImage(j.image())) {
+    /** Expected time in ms until a task of the job could start here, with the fetch of its image. */
+    public double startDelayMs(JobSpec spec) {
+        if (hasImage(spec.image())) {
             return etaMs;
         }
-        // Images fetched at the same time share the rate.
-        double others = 0;
+        // Concurrent fetches share the bandwidth.
+        double otherFetchesMs = 0;
         for (int i = 0; i < fetching.length; i += 2) {
-            if (fetching[i] == j.image()) {
+            if (fetching[i] == spec.image()) {
                 return Math.max(etaMs, fetching[i + 1]);
             }
-            others += fetching[i + 1];
+            otherFetchesMs += fetching[i + 1];
         }
-        double own = fetchMs(j);
-        return etaMs + own * (1 + plannedFetches) + Math.min(others, own * (fetching.length / 2));
+        double ownMs = fetchMs(spec);
+        return etaMs + ownMs * (1 + plannedFetches) + Math.min(otherFetchesMs, ownMs * (fetching.length / 2));
     }
 }
--- a/src/test/java/birchusher/TestJobs.java
+++ b/src/test/java/birchusher/TestJobs.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Well-formed settings and a well-formed submission, for tests to change. */
+/** Valid settings and a valid job submission, for tests to modify. */
 public final class TestJobs {
     public static final String SETTINGS =
             """
@@ -17,8 +17,9 @@
 
     private TestJobs() {}
 
+    /** A new map with the fields of a valid submission. */
     public static Map<String, Object> job() {
-        Map<String, Object> m = new HashMap<>(Map.of(
+        Map<String, Object> fields = new HashMap<>(Map.of(
                 "name_id",
                 "wk-1",
                 "lane",
@@ -37,7 +38,7 @@
                 1.0,
                 "memory_gb",
                 1.0));
-        m.putAll(Map.of(
+        fields.putAll(Map.of(
                 "bundle",
                 "i",
                 "size_gb",
@@ -54,6 +55,6 @@
                 0.0,
                 "mark_take_s",
                 0.0));
-        return m;
+        return fields;
     }
 }
--- a/src/test/java/birchusher/placement/QuotasTest.java
+++ b/src/test/java/birchusher/placement/QuotasTest.java
@@ -25,20 +25,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers with views that lag, transactions whose answers get lost and restarts: together they never claim more than the
- * team's limit, and far below it they do so without writing the gate each time.
+ * Controllers with stale views, transactions without a response and restarts: together they never claim more than the
+ * team's limit, and far below it they claim without writing the quota row each time.
  */
 class QuotasTest {
     private static final int GPU_LIMIT = 150;
     private static final String SETTINGS =
             birchusher.TestJobs.SETTINGS.replace("\"gpus_max\":8", "\"gpus_max\":" + GPU_LIMIT);
+    /** By key: the encoded value and the revision of its last write. */
     private final TreeMap<String, Object[]> rows = new TreeMap<>();
+    /** Key, encoded value and revision of each write. */
     private final List<Object[]> changes = new ArrayList<>();
+
     private long revision = 1;
     private int quotaRowWrites;
     private int claimCount;
 
-    /** One controller's part: its view, its gates and how far it has read. */
+    /** A simulated controller with a view of its own, which lags until it reads the changes. */
     private final class Controller {
         Catalog catalog;
         StoreView view;
@@ -53,61 +56,66 @@
             catalog = new Catalog(SettingsReader.read(SETTINGS.getBytes(StandardCharsets.UTF_8)));
             view = new StoreView(catalog, new JobCodec(catalog));
             quotas = new Quotas(catalog, view, 3);
-            rows.forEach((k, r) -> view.put(k, decode(r[0]), (Long) r[1]));
+            rows.forEach((key, row) -> view.put(key, decode(row[0]), (Long) row[1]));
             view.appliedRevision(revision);
             changesRead = changes.size();
         }
 
-        void readChanges(int events) {
-            for (int n = 0; n < events && changesRead < changes.size(); n++) {
-                // Whole transactions only, as a watch tells them.
-                long at = (Long) changes.get(changesRead)[2];
-                while (changesRead < changes.size() && (Long) changes.get(changesRead)[2] == at) {
-                    Object[] e = changes.get(changesRead++);
-                    view.put((String) e[0], decode(e[1]), at);
+        void readChanges(int transactions) {
+            for (int i = 0; i < transactions && changesRead < changes.size(); i++) {
+                // A watch delivers whole transactions only.
+                long changeRevision = (Long) changes.get(changesRead)[2];
+                while (changesRead < changes.size() && (Long) changes.get(changesRead)[2] == changeRevision) {
+                    Object[] change = changes.get(changesRead++);
+                    view.put((String) change[0], decode(change[1]), changeRevision);
                 }
-                view.appliedRevision(at);
+                view.appliedRevision(changeRevision);
             }
         }
 
-        /** True if the claim was made. */
-        boolean claim(String id, int n, boolean answered) {
-            Job j = view.job(id);
+        /**
+         * Claims up to {@code count} unclaimed tasks of a job. Returns whether the transaction was applied; without
+         * {@code answered} its response is lost.
+         */
+        boolean claim(String id, int count, boolean answered) {
+            Job job = view.job(id);
             List<Integer> free = new ArrayList<>();
-            for (int t = 0; t < j.spec.tasks() && free.size() < n; t++) {
-                if (j.claim(t) == null) {
-                    free.add(t);
+            for (int task = 0; task < job.spec.tasks() && free.size() < count; task++) {
+                if (job.claim(task) == null) {
+                    free.add(task);
                 }
             }
             Transaction tx = new Transaction(view);
-            Quotas.Decision pass = free.isEmpty()
+            Quotas.Decision decision = free.isEmpty()
                     ? Quotas.Decision.REFUSED
-                    : quotas.tryClaim(tx, j.spec.team(), free.size(), 0, free.size());
-            if (pass == Quotas.Decision.REFUSED) {
+                    : quotas.tryClaim(tx, job.spec.team(), free.size(), 0, free.size());
+            if (decision == Quotas.Decision.REFUSED) {
                 return false;
             }
-            if (pass == Quotas.Decision.GRANTED) {
-                Chunk c = tx.editChunk(j, 0);
-                free.forEach(t -> c.claims.put((int) t, new Claim(j, t, ++c.lastAttempt, "m" + t, 1, 0)));
+            if (decision == Quotas.Decision.GRANTED) {
+                Chunk chunk = tx.editChunk(job, 0);
+                free.forEach(task ->
+                        chunk.claims.put((int) task, new Claim(job, task, ++chunk.lastAttempt, "m" + task, 1, 0)));
             }
-            long rev = commit(tx);
-            if (rev > 0 && answered) {
-                tx.applyTo(view, rev);
+            long committedRevision = commit(tx);
+            if (committedRevision > 0 && answered) {
+                tx.applyTo(view, committedRevision);
             } else {
                 readChanges(Integer.MAX_VALUE);
             }
-            claimCount += rev > 0 && pass == Quotas.Decision.GRANTED ? 1 : 0;
-            return rev > 0;
+            claimCount += committedRevision > 0 && decision == Quotas.Decision.GRANTED ? 1 : 0;
+            return committedRevision > 0;
         }
 
-        void release(String id, Random r) {
-            Job j = view.job(id);
+        /** Removes each claim of a job with a probability of one half. */
+        void release(String id, Random random) {
+            Job job = view.job(id);
             Transaction tx = new Transaction(view);
-            Chunk c = tx.editChunk(j, 0);
-            c.claims.values().removeIf(x -> r.nextBoolean());
-            long rev = commit(tx);
-            if (rev > 0) {
-                tx.applyTo(view, rev);
+            Chunk chunk = tx.editChunk(job, 0);
+            chunk.claims.values().removeIf(claim -> random.nextBoolean());
+            long committedRevision = commit(tx);
+            if (committedRevision > 0) {
+                tx.applyTo(view, committedRevision);
             }
         }
     }
@@ -116,20 +124,21 @@
         return Fields.map(Pack.decode((byte[]) packed), "value");
     }
 
+    /** Applies a transaction if its conditions hold. Returns its revision, or 0 if it was rejected. */
     @SuppressWarnings("unchecked")
     private long commit(Transaction tx) {
         Map<String, Object> body = tx.toRequestBody();
-        for (Object o : (List<Object>) body.get("if")) {
-            Map<String, Object> c = (Map<String, Object>) o;
-            Object[] row = rows.get(c.get("path"));
-            if ((row == null ? 0 : (Long) row[1]) != (Long) c.get("stamp")) {
+        for (Object entry : (List<Object>) body.get("if")) {
+            Map<String, Object> condition = (Map<String, Object>) entry;
+            Object[] row = rows.get(condition.get("path"));
+            if ((row == null ? 0 : (Long) row[1]) != (Long) condition.get("stamp")) {
                 return 0;
             }
         }
         revision++;
-        for (Object o : (List<Object>) body.get("writes")) {
-            Map<String, Object> w = (Map<String, Object>) o;
-            put((String) w.get("set"), (Map<String, Object>) w.get("value"));
+        for (Object entry : (List<Object>) body.get("writes")) {
+            Map<String, Object> write = (Map<String, Object>) entry;
+            put((String) write.get("set"), (Map<String, Object>) write.get("value"));
         }
         return revision;
     }
@@ -142,11 +151,11 @@
     }
 
     private void createJob(String id) {
-        Map<String, Object> m = birchusher.TestJobs.job();
-        m.put("name_id", id);
-        m.put("pieces", 140L);
+        Map<String, Object> fields = birchusher.TestJobs.job();
+        fields.put("name_id", id);
+        fields.put("pieces", 140L);
         revision++;
-        put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 182L, "t", 0L, "j", m)));
+        put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 182L, "t", 0L, "j", fields)));
     }
 
     private double gpusInUse() {
@@ -167,34 +176,37 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void limitHoldsWithStaleViewsLostResponsesAndRestarts(long seed) {
-        Random r = new Random(seed);
-        double most = 0;
+        Random random = new Random(seed);
+        double mostInUse = 0;
         for (int step = 0; step < 3_000; step++) {
-            int i = r.nextInt(3);
-            Controller m = controllers[i];
-            int what = r.nextInt(20);
-            if (what < 7) {
-                m.readChanges(1 + r.nextInt(6));
-            } else if (what < 17) {
-                m.claim("wk-" + i, 1 + r.nextInt(r.nextInt(8) == 0 ? 30 : 5), r.nextInt(8) > 0);
-            } else if (what == 17 && r.nextInt(3) == 0) {
-                m.release("wk-" + i, r);
-            } else if (what == 18 && r.nextInt(8) == 0) {
-                m.restart();
+            int index = random.nextInt(3);
+            Controller controller = controllers[index];
+            int action = random.nextInt(20);
+            if (action < 7) {
+                controller.readChanges(1 + random.nextInt(6));
+            } else if (action < 17) {
+                controller.claim(
+                        "wk-" + index, 1 + random.nextInt(random.nextInt(8) == 0 ? 30 : 5), random.nextInt(8) > 0);
+            } else if (action == 17 && random.nextInt(3) == 0) {
+                controller.release("wk-" + index, random);
+            } else if (action == 18 && random.nextInt(8) == 0) {
+                controller.restart();
             }
-            double use = gpusInUse();
-            assertThat(use).as("step " + step).isLessThanOrEqualTo(GPU_LIMIT);
-            most = Math.max(most, use);
+            double inUse = gpusInUse();
+            assertThat(inUse).as("step " + step).isLessThanOrEqualTo(GPU_LIMIT);
+            mostInUse = Math.max(mostInUse, inUse);
         }
-        assertThat(most).as("the limit is reached, so it was tried").isGreaterThan(GPU_LIMIT - 12);
+        assertThat(mostInUse)
+                .as("the limit is approached, so the test exercises it")
+                .isGreaterThan(GPU_LIMIT - 12);
     }
 
     @Test
     void claimsFarBelowTheLimitRarelyWriteTheQuotaRow() {
-        for (int n = 0; n < 30; n++) {
-            assertThat(controllers[n % 3].claim("wk-" + n % 3, 1, true)).isTrue();
-            for (Controller m : controllers) {
-                m.readChanges(Integer.MAX_VALUE);
+        for (int i = 0; i < 30; i++) {
+            assertThat(controllers[i % 3].claim("wk-" + i % 3, 1, true)).isTrue();
+            for (Controller controller : controllers) {
+                controller.readChanges(Integer.MAX_VALUE);
             }
         }
         assertThat(claimCount).isEqualTo(30);
