--- a/src/main/java/birchusher/store/Cancellations.java
+++ b/src/main/java/birchusher/store/Cancellations.java
@@ -9,8 +9,9 @@
 import java.util.TreeSet;
 
 /**
- * Cancellations by the revision that made them: those in the view, so that another controller whose view lags can be told what it
- * lacks, and those that others told of and the view does not show yet. Both are bounded; what was dropped is never claimed to be known.
+ * Recent cancellations of jobs, by the revision that made them: those seen in the view, to be reported to a controller whose view lags,
+ * and those that other controllers reported and the view lacks. Both are bounded; a range of revisions from which any were dropped is
+ * never reported as complete.
  */
 public final class Cancellations {
     private static final int MAX_SEEN = 2_000;
@@ -19,11 +20,12 @@
     private final TreeSet<Cancellation> seen =
             new TreeSet<>(Comparator.comparingLong(Cancellation::revision).thenComparing(Cancellation::job));
     private final Map<String, Long> reported = new HashMap<>();
-    /** What is kept is complete for the revisions above this one. */
+    /** {@link #seen} is complete for the revisions above this one; the highest value while rows are being loaded. */
     private long completeAboveRevision = Long.MAX_VALUE;
-    /** The highest that was dropped while rows were being read: what is kept then is not complete below it. */
+    /** The highest revision that was dropped during the current load: {@link #seen} is incomplete up to it. */
     private long droppedUpToRevision;
 
+    /** Adds a cancellation that the view shows. */
     void addSeen(String job, long revision) {
         if (revision <= completeAboveRevision && completeAboveRevision < Long.MAX_VALUE) {
             return;
@@ -38,51 +40,55 @@
         }
     }
 
-    /** All rows are being read anew: final states are read after everything else, so nothing of before may be missed silently. */
+    /**
+     * Called when all rows are about to be loaded again. Everything seen is forgotten, as final states are loaded after all other rows
+     * and a gap between the old and the new rows must not go unnoticed.
+     */
     void loadStarted() {
         seen.clear();
         completeAboveRevision = Long.MAX_VALUE;
         droppedUpToRevision = 0;
     }
 
-    /** All rows as of this revision have been read; from here on every change is seen. */
+    /** Called when all live rows as of this revision have been loaded; every later change will be seen. */
     void loadCompleted(long revision) {
         completeAboveRevision = Math.max(revision, droppedUpToRevision);
-        seen.removeIf(c -> c.revision() <= revision);
+        seen.removeIf(cancellation -> cancellation.revision() <= revision);
     }
 
-    /** Every cancellation after a revision that the view shows, or null if there are more, or if that can't be told any more. */
-    public List<Cancellation> since(long revision, int most) {
+    /** Returns every cancellation seen after a revision, or null if there are more than the limit or some may have been dropped. */
+    public List<Cancellation> since(long revision, int limit) {
         if (revision < completeAboveRevision) {
             return null;
         }
-        List<Cancellation> l = new ArrayList<>();
-        for (Cancellation c : seen.tailSet(new Cancellation("", revision + 1), true)) {
-            if (l.size() == most) {
+        List<Cancellation> later = new ArrayList<>();
+        for (Cancellation cancellation : seen.tailSet(new Cancellation("", revision + 1), true)) {
+            if (later.size() == limit) {
                 return null;
             }
-            l.add(c);
+            later.add(cancellation);
         }
-        return l;
+        return later;
     }
 
-    /** Keeps what another controller told of; false if it doesn't fit, and then that other's word is worth nothing. */
-    boolean addReported(Cancellation c) {
-        if (reported.size() >= MAX_REPORTED && !reported.containsKey(c.job())) {
+    /** Adds a cancellation reported by another controller; returns false if there is no space, so that its report is not to be relied on. */
+    boolean addReported(Cancellation cancellation) {
+        if (reported.size() >= MAX_REPORTED && !reported.containsKey(cancellation.job())) {
             return false;
         }
-        reported.merge(c.job(), c.revision(), Math::max);
+        reported.merge(cancellation.job(), cancellation.revision(), Math::max);
         return true;
     }
 
+    /** Returns whether another controller reported a job as cancelled and the view has not caught up with that revision. */
     boolean isReported(String job) {
         return reported.containsKey(job);
     }
 
-    /** The view holds everything up to this revision, so what was told of it is not needed any more. */
+    /** Forgets the reported cancellations up to a revision, once the view holds every change up to it. */
     void discardReportedUpTo(long revision) {
         if (!reported.isEmpty()) {
-            reported.values().removeIf(r -> r <= revision);
+            reported.values().removeIf(cancelledRevision -> cancelledRevision <= revision);
         }
     }
 }
--- a/src/main/java/birchusher/store/Change.java
+++ b/src/main/java/birchusher/store/Change.java
@@ -3,48 +3,52 @@
 import java.util.Set;
 
 /**
- * One intended change of the store. It is written down as a function of the current view, so that after a conflict or
- * an unclear answer it is simply worked out again; conditions make late transactions harmless.
+ * One intended change of the store. It is a function of the current view, so after a conflict or a missing response it is built again;
+ * the conditions of the transaction make one that is applied late harmless.
  */
 public interface Change {
-    /** Lower goes first. */
+    /** Returns the position in the queue: changes of lower rank go first. */
     int rank();
 
-    /** At most this many rows are written. */
+    /** Returns the highest number of rows that the change may write. */
     int maxWrites();
 
-    /** At most this many conditions come on top of those that a transaction has. */
+    /** Returns the highest number of conditions that the change may add to those that a transaction has. */
     default int maxConditions(Transaction tx) {
         return 4 * maxWrites() + 4;
     }
 
-    /** Adds conditions and writes; false when there is nothing left to do. */
+    /** Adds conditions and writes to a transaction; returns false if there is nothing left to do. */
     boolean build(Transaction tx);
 
+    /** Called when a transaction with this change has been applied, at a revision. */
     void committed(long revision);
 
-    /** It was sent and not answered: it may yet be applied, whatever the view says meanwhile. It will be worked out again. */
+    /**
+     * Called when a transaction with this change got no response: it may still be applied, whatever the view shows meanwhile. The
+     * change will be built again.
+     */
     default void outcomeUnknown() {}
 
-    /** {@code build} said that there is nothing left to do, or the change expired. */
+    /** Called when the change leaves the queue unapplied: {@link #build} found nothing left to do, it expired, or was rejected. */
     void dropped();
 
-    /** These conditions failed; true if the change is settled by that and needs no second try. */
+    /** Called when a transaction failed on conditions on these keys; returns true if that settles the change, false to build it again. */
     default boolean settledByConflict(Set<String> failedKeys) {
         return false;
     }
 
-    /** For how long at most it may wait, when changes are scarce, for others that write the same rows. */
+    /** Returns the longest time, in ms, to wait for other changes of the same rows when writes are scarce. */
     default long maxDelayMs() {
         return 0;
     }
 
-    /** Whether the transaction already writes all that this change would, so that taking it along costs nothing. */
+    /** Returns whether the transaction already writes every row that this change would, so that including it costs no writes. */
     default boolean addsNoWrites(Transaction tx) {
         return false;
     }
 
-    /** Steady time after which it is not worth sending any more. */
+    /** Returns the steady time, in ms, after which the change is dropped instead of sent. */
     default long expiresAtMs() {
         return Long.MAX_VALUE;
     }
--- a/src/main/java/birchusher/store/Chunk.java
+++ b/src/main/java/birchusher/store/Chunk.java
@@ -8,23 +8,30 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The placement of a run of a job's tasks: done set, claims and the last attempt number given out. */
+/**
+ * The placement of a contiguous range of a job's tasks, stored as one row: which are done, their claims, and the last attempt number
+ * given out. A chunk in the view is replaced, never changed; a transaction changes its own copy.
+ */
 public final class Chunk {
     public final Job job;
     public final int index;
+    /** The tasks that are done, by their offset in the chunk. */
     public final BitSet done = new BitSet();
+    /** Claims by the task's number in the job. */
     public final Int2ObjectMap<Claim> claims = new Int2ObjectOpenHashMap<>();
-    /** Never goes down: an attempt number is not used twice. */
+    /** The last attempt number given out. Never decreases, so that no attempt number is used twice. */
     public long lastAttempt;
-    /** Starts of tasks that had to be repeated, for operators. */
+    /** Number of tasks that had to be started again, for operators. */
     public long restarts;
-    /** Errors in a row; slows the job down, see the driver. */
+    /** Errors since a task of the chunk last succeeded; the more, the longer the job scheduler delays further starts. */
     public long consecutiveErrors;
 
-    /** Of a row as text: one claim, 64 bits of the done set, and the rest. */
+    /** Size allowed for one claim in the text of a row. */
     public static final int CLAIM_BYTES = 42;
 
+    /** Size allowed for 64 bits of the done set. */
     private static final int DONE_WORD_BYTES = 17;
+    /** Size allowed for the rest of a row. */
     private static final int ROW_OVERHEAD_BYTES = 100;
 
     public Chunk(Job job, int index) {
@@ -33,15 +40,16 @@
     }
 
     public Chunk copy() {
-        Chunk c = new Chunk(job, index);
-        c.done.or(done);
-        c.claims.putAll(claims);
-        c.lastAttempt = lastAttempt;
-        c.restarts = restarts;
-        c.consecutiveErrors = consecutiveErrors;
-        return c;
+        Chunk copy = new Chunk(job, index);
+        copy.done.or(done);
+        copy.claims.putAll(claims);
+        copy.lastAttempt = lastAttempt;
+        copy.restarts = restarts;
+        copy.consecutiveErrors = consecutiveErrors;
+        return copy;
     }
 
+    /** Returns the number of tasks in the chunk. */
     public int size() {
         return Math.min(job.chunkSize, job.spec.tasks() - index * job.chunkSize);
     }
@@ -50,7 +58,7 @@
         return done.cardinality() >= size();
     }
 
-    /** At most so many bytes as a row. */
+    /** Returns an upper bound for the size of the row. */
     int maxBytes() {
         return ROW_OVERHEAD_BYTES
                 + claims.size() * CLAIM_BYTES
@@ -58,88 +66,91 @@
                 + DONE_WORD_BYTES;
     }
 
+    /** Encodes the row: done set as hexadecimal 64-bit words, claims as {@code OFFSET:ATTEMPT:MACHINE:SESSION:SHARD}, separated by ";". */
     public Map<String, Object> toRow() {
         int base = index * job.chunkSize;
         StringBuilder hex = new StringBuilder();
-        for (long w : done.toLongArray()) {
-            hex.append(hex.isEmpty() ? "" : ",").append(Long.toHexString(w));
+        for (long word : done.toLongArray()) {
+            hex.append(hex.isEmpty() ? "" : ",").append(Long.toHexString(word));
         }
-        StringBuilder sb = new StringBuilder();
-        for (Claim c : claims.values()) {
-            sb.append(sb.isEmpty() ? "" : ";")
-                    .append(c.task() - base)
+        StringBuilder claimText = new StringBuilder();
+        for (Claim claim : claims.values()) {
+            claimText
+                    .append(claimText.isEmpty() ? "" : ";")
+                    .append(claim.task() - base)
                     .append(':')
-                    .append(c.attempt())
+                    .append(claim.attempt())
                     .append(':')
-                    .append(c.machine())
+                    .append(claim.machine())
                     .append(':')
-                    .append(c.session())
+                    .append(claim.session())
                     .append(':')
-                    .append(c.shard());
+                    .append(claim.shard());
         }
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("a", lastAttempt);
-        m.put("r", restarts);
-        m.put("e", consecutiveErrors);
-        m.put("d", hex.toString());
-        m.put("c", sb.toString());
-        return m;
+        Map<String, Object> row = new LinkedHashMap<>();
+        row.put("a", lastAttempt);
+        row.put("r", restarts);
+        row.put("e", consecutiveErrors);
+        row.put("d", hex.toString());
+        row.put("c", claimText.toString());
+        return row;
     }
 
-    /** Reads a row. Claims that the row before it held already stay the same objects. */
-    public static Chunk fromRow(Job job, int index, Map<String, Object> m, Chunk before) {
-        Chunk c = new Chunk(job, index);
-        c.lastAttempt = Fields.count(m, "a");
-        c.restarts = Fields.countOr(m, "r", 0);
-        c.consecutiveErrors = Fields.countOr(m, "e", 0);
+    /** Parses a row. Claims that the previous version of the row, which may be null, also holds stay the same objects. */
+    public static Chunk fromRow(Job job, int index, Map<String, Object> row, Chunk previous) {
+        Chunk chunk = new Chunk(job, index);
+        chunk.lastAttempt = Fields.count(row, "a");
+        chunk.restarts = Fields.countOr(row, "r", 0);
+        chunk.consecutiveErrors = Fields.countOr(row, "e", 0);
         try {
-            String d = (String) m.get("d");
-            if (!d.isEmpty()) {
-                String[] words = d.split(",");
-                long[] l = new long[words.length];
-                for (int i = 0; i < l.length; i++) {
-                    l[i] = Long.parseUnsignedLong(words[i], 16);
+            String doneText = (String) row.get("d");
+            if (!doneText.isEmpty()) {
+                String[] hexWords = doneText.split(",");
+                long[] words = new long[hexWords.length];
+                for (int i = 0; i < words.length; i++) {
+                    words[i] = Long.parseUnsignedLong(hexWords[i], 16);
                 }
-                c.done.or(BitSet.valueOf(l));
+                chunk.done.or(BitSet.valueOf(words));
             }
-            String s = (String) m.get("c");
-            int[] at = {0};
-            while (at[0] < s.length()) {
-                c.readClaim(s, at, before);
+            String claimText = (String) row.get("c");
+            int[] position = {0};
+            while (position[0] < claimText.length()) {
+                chunk.readClaim(claimText, position, previous);
             }
         } catch (RuntimeException e) {
-            throw new InvalidInputException("placement row of " + job.spec.id() + ": unreadable");
+            throw new InvalidInputException(
+                    "placement row of " + job.spec.id() + ": done set or claims can't be parsed");
         }
-        return c;
+        return chunk;
     }
 
-    /** One claim, up to the next ";". */
-    private void readClaim(String s, int[] at, Chunk before) {
-        int task = index * job.chunkSize + (int) readNumber(s, at);
-        long attempt = readNumber(s, at);
-        int from = at[0];
-        int to = s.indexOf(':', from);
-        at[0] = to + 1;
-        long session = readNumber(s, at);
-        int shard = (int) readNumber(s, at);
-        Claim old = before == null ? null : before.claims.get(task);
+    /** Reads one claim, up to the next ";". */
+    private void readClaim(String text, int[] position, Chunk previous) {
+        int task = index * job.chunkSize + (int) readNumber(text, position);
+        long attempt = readNumber(text, position);
+        int from = position[0];
+        int to = text.indexOf(':', from);
+        position[0] = to + 1;
+        long session = readNumber(text, position);
+        int shard = (int) readNumber(text, position);
+        Claim old = previous == null ? null : previous.claims.get(task);
         boolean same = old != null
                 && old.attempt() == attempt
                 && old.session() == session
                 && old.shard() == shard
                 && old.machine().length() == to - from
-                && s.startsWith(old.machine(), from);
-        claims.put(task, same ? old : new Claim(job, task, attempt, s.substring(from, to), session, shard));
+                && text.startsWith(old.machine(), from);
+        claims.put(task, same ? old : new Claim(job, task, attempt, text.substring(from, to), session, shard));
     }
 
-    /** A number up to the next ":" or ";", or the end. */
-    private static long readNumber(String s, int[] at) {
-        int i = at[0];
-        while (i < s.length() && s.charAt(i) != ':' && s.charAt(i) != ';') {
-            i++;
+    /** Reads a number up to the next ":" or ";", or the end, and moves the position behind that. */
+    private static long readNumber(String text, int[] position) {
+        int end = position[0];
+        while (end < text.length() && text.charAt(end) != ':' && text.charAt(end) != ';') {
+            end++;
         }
-        long n = Long.parseLong(s, at[0], i, 10);
-        at[0] = i + 1;
-        return n;
+        long number = Long.parseLong(text, position[0], end, 10);
+        position[0] = end + 1;
+        return number;
     }
 }
--- a/src/main/java/birchusher/store/Job.java
+++ b/src/main/java/birchusher/store/Job.java
@@ -7,9 +7,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** A job that has not been put away yet, with its placement. */
+/**
+ * A job that has live rows, with the placement of its tasks. Its tasks are numbered from 0 and divided into chunks, each stored as one
+ * placement row. Changed only by {@link StoreView}; not thread-safe.
+ */
 public final class Job {
-    /** A job's state as its row has it; a job whose tasks are all done counts as done before its row says so. */
+    /** The state in the row of a job, stored by name. A job whose tasks are all done counts as done while its row is still open. */
     public enum State {
         OPEN,
         DONE,
@@ -17,123 +20,135 @@
     }
 
     public final JobSpec spec;
+    /** Number of tasks in each chunk but the last, which may have fewer. */
     public final int chunkSize;
-    /** Time of day when it was accepted, in ms. */
+    /** Time of day when the job was accepted. */
     public final long acceptedAtMs;
 
     private State state;
-    /** The revision that accepted it orders jobs by age. */
+    /** The revision at which the job was accepted; orders jobs by age. */
     public final long acceptedRevision;
-    /** Read only outside of the view; a row that does not exist yet is null. */
+    /** The chunks by index; null where there is no row yet. Not to be changed outside of the view. */
     public final List<Chunk> chunks = new ArrayList<>();
 
     private int doneTasks;
     private int standingClaims;
-    /** Claims that are proven gone while their row still shows them; by task. Small: only between a proof and its writing. */
+    /** Released claims by task. Few, as they are kept only from the proof until the row without the claim is written. */
     private final Map<Integer, ReleasedClaim> released = new HashMap<>(2);
 
-    public Job(JobSpec spec, int chunkSize, long acceptedAt, State state, long age) {
+    public Job(JobSpec spec, int chunkSize, long acceptedAtMs, State state, long acceptedRevision) {
         this.spec = spec;
         this.chunkSize = chunkSize;
-        this.acceptedAtMs = acceptedAt;
+        this.acceptedAtMs = acceptedAtMs;
         this.state = state;
-        this.acceptedRevision = age;
-        int n = (spec.tasks() + chunkSize - 1) / chunkSize;
-        for (int i = 0; i < n; i++) {
+        this.acceptedRevision = acceptedRevision;
+        int chunkCount = (spec.tasks() + chunkSize - 1) / chunkSize;
+        for (int i = 0; i < chunkCount; i++) {
             chunks.add(null);
         }
     }
 
+    /** Returns the chunk of a task, or null if it has no row yet. */
     public Chunk chunkOf(int task) {
         return chunks.get(task / chunkSize);
     }
 
     public boolean isDone(int task) {
-        Chunk c = chunkOf(task);
-        return c != null && c.done.get(task - c.index * chunkSize);
+        Chunk chunk = chunkOf(task);
+        return chunk != null && chunk.done.get(task - chunk.index * chunkSize);
     }
 
+    /** Returns the claim on record for a task, released or not, or null. */
     public Claim claim(int task) {
-        Chunk c = chunkOf(task);
-        return c == null ? null : c.claims.get(task);
+        Chunk chunk = chunkOf(task);
+        return chunk == null ? null : chunk.claims.get(task);
     }
 
     public State state() {
         return state;
     }
 
-    void state(State s) {
-        state = s;
+    void state(State newState) {
+        state = newState;
     }
 
-    /** Puts a row in its place; the counts are kept here, as every pass over the jobs asks for them. */
-    void replaceChunk(int i, Chunk c) {
-        Chunk old = chunks.set(i, c);
-        doneTasks += (c == null ? 0 : c.done.cardinality()) - (old == null ? 0 : old.done.cardinality());
-        standingClaims += (c == null ? 0 : c.claims.size()) - (old == null ? 0 : old.claims.size());
+    /** Replaces a chunk, null: its row was removed. Updates the counts, which each planning pass reads for every job. */
+    void replaceChunk(int index, Chunk chunk) {
+        Chunk previous = chunks.set(index, chunk);
+        doneTasks +=
+                (chunk == null ? 0 : chunk.done.cardinality()) - (previous == null ? 0 : previous.done.cardinality());
+        standingClaims += (chunk == null ? 0 : chunk.claims.size()) - (previous == null ? 0 : previous.claims.size());
     }
 
     /**
-     * A claim whose task is proven gone. The proof is its owner's, and good for writing only while that owner's term stands; our
-     * {@code own} proof holds as long as we own the shard, whatever its term. {@code started}: the task had been ordered to start.
+     * A claim whose task is proven gone while its row still holds it.
+     *
+     * @param term the term of the shard's owner that has the proof; it may be written only while this term is current
+     * @param ownProof the proof is this controller's own and holds as long as it owns the shard, whatever its term
+     * @param started the task had been ordered to start
      */
     public record ReleasedClaim(Claim claim, long term, boolean ownProof, boolean started) {}
 
-    /** The proof that a task's recorded claim is over, or null. */
+    /** Returns a task's claim with the proof that the task is gone, or null if there is no claim or no proof. */
     public ReleasedClaim released(int task) {
         return released.isEmpty() ? null : released.get(task);
     }
 
+    /** Returns all released claims of the job; not to be changed. */
     public Collection<ReleasedClaim> released() {
         return released.values();
     }
 
-    /** Whether a task has a machine, as far as is known: a claim that is not proven gone. */
+    /** Returns whether a task has a claim that is not released. */
     public boolean isPlaced(int task) {
         return claim(task) != null && released(task) == null;
     }
 
+    /** Returns the number of claims that are not released. */
     public int placedCount() {
         return standingClaims - released.size();
     }
 
-    void addReleased(ReleasedClaim g) {
-        released.put(g.claim().task(), g);
+    void addReleased(ReleasedClaim releasedClaim) {
+        released.put(releasedClaim.claim().task(), releasedClaim);
     }
 
-    boolean removeReleased(Claim c) {
-        ReleasedClaim g = released(c.task());
-        return g != null && g.claim() == c && released.remove(c.task()) != null;
+    boolean removeReleased(Claim claim) {
+        ReleasedClaim releasedClaim = released(claim.task());
+        return releasedClaim != null && releasedClaim.claim() == claim && released.remove(claim.task()) != null;
     }
 
-    /** Whether any of its tasks has a place or is done. */
+    /** Returns whether any task is placed or done. */
     public boolean hasStarted() {
         return doneTasks + placedCount() > 0;
     }
 
+    /** Returns the number of tasks done. */
     public int doneCount() {
         return doneTasks;
     }
 
+    /** Returns the number of claims, released ones included. */
     public int claimCount() {
         return standingClaims;
     }
 
+    /** Returns the highest attempt number given out in any chunk, 0 if none was. */
     public long lastAttempt() {
-        long n = 0;
-        for (Chunk c : chunks) {
-            n = Math.max(n, c == null ? 0 : c.lastAttempt);
+        long highest = 0;
+        for (Chunk chunk : chunks) {
+            highest = Math.max(highest, chunk == null ? 0 : chunk.lastAttempt);
         }
-        return n;
+        return highest;
     }
 
-    /** Errors since one of its tasks last ended well, as far as its rows tell. */
+    /** Returns the sum over the chunks of the errors since one of a chunk's tasks last succeeded. */
     public long consecutiveErrors() {
-        long n = 0;
-        for (Chunk c : chunks) {
-            n += c == null ? 0 : c.consecutiveErrors;
+        long sum = 0;
+        for (Chunk chunk : chunks) {
+            sum += chunk == null ? 0 : chunk.consecutiveErrors;
         }
-        return n;
+        return sum;
     }
 
     public boolean allDone() {
--- a/src/main/java/birchusher/store/Keys.java
+++ b/src/main/java/birchusher/store/Keys.java
@@ -1,6 +1,9 @@
 package birchusher.store;
 
-/** The rows in the state service. Live rows are followed by every controller, ended ones are looked up. */
+/**
+ * Keys and key prefixes of the rows in the state service. Every controller keeps the rows under {@link #LIVE} in its view; the rows of
+ * ended jobs are read after them and looked up where they are missing.
+ */
 public final class Keys {
     public static final String ALL = "b/";
     public static final String LIVE = "b/live/";
@@ -17,6 +20,7 @@
 
     private Keys() {}
 
+    /** Returns the key of the placement row of a chunk. */
     public static String placement(String job, int chunk) {
         return PLACEMENT + job + "/" + chunk;
     }
--- a/src/main/java/birchusher/store/StoreClient.java
+++ b/src/main/java/birchusher/store/StoreClient.java
@@ -18,15 +18,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All dealings with the state service: reading everything once, following it, proving that the view is fresh, and
- * one transaction at a time that gathers the changes waiting.
+ * Client of the state service. Loads all live rows into the {@link StoreView} once, follows them with a watch, confirms that the view
+ * is up to date, and sends the queued {@link Change}s, at most one transaction at a time. A transaction batches as many queued changes
+ * as fit. Requests stay within this controller's adaptive rate limits, except those that must not wait: loading, leases and overdue
+ * freshness checks.
+ *
+ * <p>Not thread-safe. Times are steady time in milliseconds.
  */
 public final class StoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
     private static final int MAX_QUEUE_LENGTH = 4000;
     private static final long WATCH_WAIT_MS = 10_000;
     private static final long TXN_TIMEOUT_MS = 2_500;
-    /** A quiet watch proves nothing until it is answered: then a read of its own does. */
+    /**
+     * After this long without a confirmation that the view is up to date, a separate read is sent: a pending watch confirms nothing
+     * before it is answered.
+     */
     private static final long MAX_UNCONFIRMED_MS = 2_000;
 
     private static final int ROWS_PER_PAGE = 500;
@@ -34,15 +41,19 @@
     private static final long MAX_BATCH_DELAY_MS = 2_000;
     private static final int MAX_CHANGES_PER_TXN = 64;
     private static final int MAX_TXN_BYTES = 64 * 1024;
-    /** Changes up to this rank are waited for by somebody; the others leave so many rows to them. */
+    /** A user or a controller waits for changes up to this rank. */
     private static final int MAX_AWAITED_RANK = 3;
 
+    /** Rows of the write limit that changes of a higher rank leave to awaited ones. */
     private static final int ROWS_KEPT_FOR_AWAITED = 2;
 
-    /** {@code unclear}: sent once without an answer, it may yet be applied. */
+    /** A change in the queue. {@code outcomeUnknown}: sent once without a response, so it may still be applied. */
     private record QueuedChange(Change change, long sequence, long queuedAtMs, boolean outcomeUnknown) {}
 
-    /** {@code turn}: only what is read by a later request is as new as the question; two may come in one millisecond. */
+    /**
+     * A caller that waits for an up-to-date view. Only a read with a higher {@code sequence} answers it; times would not do, as a read
+     * and a request may fall into the same millisecond.
+     */
     private record FreshnessRequest(long requestedAtMs, long sequence, Consumer<Boolean> callback) {}
 
     private final Effects effects;
@@ -51,20 +62,22 @@
     private final Settings settings;
     private final TokenBucket requestLimit;
     private final TokenBucket writeLimit;
-    private final PriorityQueue<QueuedChange> queue = new PriorityQueue<>((a, b) -> a.change.rank() != b.change.rank()
-            ? Integer.compare(a.change.rank(), b.change.rank())
-            : Long.compare(a.sequence, b.sequence));
-    private final List<FreshnessRequest> whenUpToDate = new ArrayList<>();
+    private final PriorityQueue<QueuedChange> queue =
+            new PriorityQueue<>((left, right) -> left.change.rank() != right.change.rank()
+                    ? Integer.compare(left.change.rank(), right.change.rank())
+                    : Long.compare(left.sequence, right.sequence));
+    private final List<FreshnessRequest> freshnessRequests = new ArrayList<>();
     private final long watchGapMs;
     private final long freshnessCheckGapMs;
     private final long txnGapMs;
     private boolean loaded;
     private boolean loading;
-    /** Where a reading goes on after a page that was refused; null: from the beginning. */
+    /** The key after which loading resumes once a page has failed; null: from the beginning. */
     private String loadResumeKey;
 
+    /** The revision of the first page of the load to be resumed. */
     private long loadResumeRevision;
-    /** Whether all rows of ended jobs have been read since the live ones were, so that what is not in the view does not exist. */
+    /** Whether all rows of ended jobs have been read since the live rows were, so that a job absent from the view does not exist. */
     private boolean endedJobsLoaded;
 
     private boolean loadingEndedJobs;
@@ -78,121 +91,133 @@
     private long nextWatchMs;
     private long nextFreshnessCheckMs;
     private long nextTxnMs;
-    /** When the first of the queued changes wants to be sent; the others then go with it. */
+    /** The earliest due time of the queued changes; no transaction is built before it. */
     private long earliestDueMs = Long.MAX_VALUE;
 
     private long upToDateAsOfMs = -1_000_000;
     private final long maxUnconfirmedMs;
     private long failingSinceMs = -1;
-    /** After a conflict or an unclear answer, nothing is built before the view has come this far. */
+    /** After a conflict, no transaction is built before the view has reached this revision. */
     private long requiredRevision;
 
+    /** After a load or a transaction without a response, no transaction is built before a read sent later has been answered. */
     private boolean freshnessCheckRequired;
+
+    /** Number of loads begun from the first page; responses to requests of an earlier load are ignored. */
     private long loadGeneration;
-    /** Counts questions and reads, in their order. */
+    /** Orders freshness requests and reads. */
     private long nextRequestSequence;
 
     private long transactions;
     private long rowsWritten;
     private long conflicts;
+    /** Requests and transactions answered with status 429. */
     private long throttledRequests;
 
-    public StoreClient(Effects effects, StoreView view, Settings s, Tuning t) {
+    public StoreClient(Effects effects, StoreView view, Settings settings, Tuning tuning) {
         this.effects = effects;
         this.view = view;
-        this.settings = s;
-        this.address = s.store().toString();
-        // The published limits are for all controllers together: each begins near its part and finds out what is free.
-        double share = Math.min(1, t.num("store.share"));
-        double fair = 1.0 / (1 + s.peers().size());
-        double start = Math.min(share, 1.5 * fair);
+        this.settings = settings;
+        this.address = settings.store().toString();
+        // The published limits hold for all controllers together: each starts near its fair share and adapts.
+        double share = Math.min(1, tuning.num("store.share"));
+        double fairShare = 1.0 / (1 + settings.peers().size());
+        double initialShare = Math.min(share, 1.5 * fairShare);
         requestLimit = new TokenBucket(
-                s.stateRps() * start,
-                s.stateRps() * Math.min(share, fair * 0.8),
-                s.stateRps() * share,
-                s.stateRps() * start * 0.6);
+                settings.stateRps() * initialShare,
+                settings.stateRps() * Math.min(share, fairShare * 0.8),
+                settings.stateRps() * share,
+                settings.stateRps() * initialShare * 0.6);
         writeLimit = new TokenBucket(
-                s.stateWriteRps() * start,
-                s.stateWriteRps() * Math.min(share, fair * 0.8),
-                s.stateWriteRps() * share,
-                Math.max(s.txnOps(), s.stateWriteRps() * start));
-        watchGapMs = t.ms("store.watch-gap-s");
-        freshnessCheckGapMs = t.ms("store.fresh-gap-s");
-        txnGapMs = t.ms("store.batch-gap-s");
-        maxUnconfirmedMs = Math.min(MAX_UNCONFIRMED_MS, s.staleMs() / 4);
+                settings.stateWriteRps() * initialShare,
+                settings.stateWriteRps() * Math.min(share, fairShare * 0.8),
+                settings.stateWriteRps() * share,
+                Math.max(settings.txnOps(), settings.stateWriteRps() * initialShare));
+        watchGapMs = tuning.ms("store.watch-gap-s");
+        freshnessCheckGapMs = tuning.ms("store.fresh-gap-s");
+        txnGapMs = tuning.ms("store.batch-gap-s");
+        maxUnconfirmedMs = Math.min(MAX_UNCONFIRMED_MS, settings.staleMs() / 4);
     }
 
+    /** Returns whether all live rows have been read. */
     public boolean loaded() {
         return loaded;
     }
 
-    /** Whether the state service answers us, as far as we have lately seen. */
+    /** Returns whether the rows are loaded and requests to the state service have not been failing for 1.5 s or longer. */
     public boolean healthy() {
         return loaded && (failingSinceMs < 0 || effects.now() - failingSinceMs < 1_500);
     }
 
     /**
-     * The moment up to which every change is certainly in the view: when we sent the last read that was answered with all changes.
-     * Not when any answer came: a lease may be extended, and an answer may be long on its way, while the view lags.
+     * Returns the time up to which every change is certainly in the view: when the latest read that was answered with all changes was
+     * sent. The time of a response does not qualify: a lease may be extended, or a response be delayed, while the view lags.
      */
     public long upToDateAsOfMs() {
         return upToDateAsOfMs;
     }
 
-    public boolean enqueue(Change c) {
+    /** Queues a change and sends it as soon as it is due; returns false if the queue is full. */
+    public boolean enqueue(Change change) {
         if (queue.size() >= MAX_QUEUE_LENGTH) {
             return false;
         }
-        QueuedChange q = new QueuedChange(c, nextChangeSequence++, effects.now(), false);
-        queue.add(q);
-        earliestDueMs = Math.min(earliestDueMs, dueMs(q));
+        QueuedChange queued = new QueuedChange(change, nextChangeSequence++, effects.now(), false);
+        queue.add(queued);
+        earliestDueMs = Math.min(earliestDueMs, dueMs(queued));
         sendDueRequests();
         return true;
     }
 
-    /** Calls back with true once the view is at least as new as this moment, or with false when that can't be had. */
-    public boolean whenUpToDate(Consumer<Boolean> then) {
-        if (!healthy() || whenUpToDate.size() >= MAX_QUEUE_LENGTH) {
+    /**
+     * Calls back with true once the view holds every change up to the time of this call, or with false if that takes over 1.2 s or the
+     * state service fails. Returns false, without a later callback, if the state service is failing or too many callers wait.
+     */
+    public boolean whenUpToDate(Consumer<Boolean> callback) {
+        if (!healthy() || freshnessRequests.size() >= MAX_QUEUE_LENGTH) {
             return false;
         }
-        whenUpToDate.add(new FreshnessRequest(effects.now(), nextRequestSequence++, then));
+        freshnessRequests.add(new FreshnessRequest(effects.now(), nextRequestSequence++, callback));
         sendDueRequests();
         return true;
     }
 
-    /** One plain read; status 0 or 503 when it can't be had now. */
-    public boolean get(String key, Effects.ReplyHandler reply) {
+    /**
+     * Reads one row by its key. The handler gets status 0 (no response) or 503 if the state service is unavailable. Returns false,
+     * without calling the handler, if the rate limit is exhausted.
+     */
+    public boolean get(String key, Effects.ReplyHandler replyHandler) {
         if (!requestLimit.tryTake(effects.now(), 1)) {
             return false;
         }
-        call("GET", Wire.STORE + "/" + key, null, 2_000, reply);
+        call("GET", Wire.STORE + "/" + key, null, 2_000, replyHandler);
         return true;
     }
 
-    /** Rows under a prefix, after a key or from the first one on ({@code ""}); as with {@link #get}. */
-    public boolean readPage(String prefix, String after, int most, Effects.ReplyHandler reply) {
+    /** Reads up to {@code limit} rows under a prefix, from after a key or from the first ({@code ""}); otherwise as {@link #get}. */
+    public boolean readPage(String prefix, String afterKey, int limit, Effects.ReplyHandler replyHandler) {
         if (!requestLimit.tryTake(effects.now(), 1)) {
             return false;
         }
-        call("GET", pagePath(prefix, after, most), null, 2_000, reply);
+        call("GET", pagePath(prefix, afterKey, limit), null, 2_000, replyHandler);
         return true;
     }
 
-    private static String pagePath(String prefix, String after, int most) {
-        return Wire.STORE + "?" + Wire.PREFIX + "=" + prefix + "&" + Wire.AFTER + "=" + after + "&" + Wire.LIMIT + "="
-                + most;
+    private static String pagePath(String prefix, String afterKey, int limit) {
+        return Wire.STORE + "?" + Wire.PREFIX + "=" + prefix + "&" + Wire.AFTER + "=" + afterKey + "&" + Wire.LIMIT
+                + "=" + limit;
     }
 
-    /** Lease calls are never held back: everything hangs on them. */
-    public void callLease(String method, String path, Object body, Effects.ReplyHandler reply) {
+    /** Sends a lease request, regardless of the rate limit, as a late renewal would end this controller's membership. */
+    public void callLease(String method, String path, Object body, Effects.ReplyHandler replyHandler) {
         requestLimit.overdraw(effects.now(), 1);
-        call(method, path, body, 3_000, reply);
+        call(method, path, body, 3_000, replyHandler);
     }
 
-    private void call(String method, String path, Object body, int timeout, Effects.ReplyHandler reply) {
-        effects.call(Destination.STORE, address, method, path, body, timeout, (status, m) -> {
+    private void call(String method, String path, Object body, int timeoutMs, Effects.ReplyHandler replyHandler) {
+        effects.call(Destination.STORE, address, method, path, body, timeoutMs, (status, response) -> {
             recordStatus(status);
-            reply.onReply(status, m);
+            replyHandler.onReply(status, response);
         });
     }
 
@@ -207,12 +232,13 @@
             }
         } else {
             if (failingSinceMs >= 0 && effects.now() - failingSinceMs > 3_000) {
-                LOG.info("state service answers again after {} ms", effects.now() - failingSinceMs);
+                LOG.info("state service reachable again after {} ms", effects.now() - failingSinceMs);
             }
             failingSinceMs = -1;
         }
     }
 
+    /** Loads the rows if needed, and sends what is due; to be called periodically. */
     public void tick() {
         long now = effects.now();
         if (!loaded) {
@@ -230,18 +256,19 @@
         }
     }
 
-    /** Starts whatever may start now. */
+    /** Sends the watch, freshness check and transaction that are due and not pending. Does nothing before the rows are loaded. */
     public void sendDueRequests() {
         if (!loaded) {
             return;
         }
         long now = effects.now();
         expireWaiting(now);
-        boolean behind = !whenUpToDate.isEmpty() || freshnessCheckRequired || view.appliedRevision() < requiredRevision;
+        boolean catchUpNeeded =
+                !freshnessRequests.isEmpty() || freshnessCheckRequired || view.appliedRevision() < requiredRevision;
         if (!watchPending && now >= nextWatchMs && requestLimit.tryTake(now, 1)) {
-            // Sent after whoever waits for a fresh view came, an answer at once serves the watch and them.
-            watch(behind ? 0 : WATCH_WAIT_MS);
-        } else if (watchPending && behind) {
+            // Sent after the waiting freshness requests, so an immediate response serves both the watch and them.
+            watch(catchUpNeeded ? 0 : WATCH_WAIT_MS);
+        } else if (watchPending && catchUpNeeded) {
             checkFreshness();
         }
         if (!txnPending
@@ -255,34 +282,34 @@
     }
 
     private void expireWaiting(long now) {
-        for (int i = 0; i < whenUpToDate.size(); ) {
-            if (now - whenUpToDate.get(i).requestedAtMs > 1_200 || !healthy()) {
-                whenUpToDate.remove(i).callback.accept(false);
+        for (int i = 0; i < freshnessRequests.size(); ) {
+            if (now - freshnessRequests.get(i).requestedAtMs > 1_200 || !healthy()) {
+                freshnessRequests.remove(i).callback.accept(false);
             } else {
                 i++;
             }
         }
         if (!queue.isEmpty() && (now & 7) == 0 || failingSinceMs >= 0) {
-            List<Change> late = new ArrayList<>();
-            queue.removeIf(q -> {
-                boolean over = now > q.change.expiresAtMs();
-                if (over) {
-                    late.add(q.change);
+            List<Change> expired = new ArrayList<>();
+            queue.removeIf(queued -> {
+                boolean isExpired = now > queued.change.expiresAtMs();
+                if (isExpired) {
+                    expired.add(queued.change);
                 }
-                return over;
+                return isExpired;
             });
-            late.forEach(Change::dropped);
+            expired.forEach(Change::dropped);
         }
     }
 
-    // ---- reading
+    // ---- reads
 
     private void load() {
         loading = true;
         if (loadResumeKey != null) {
-            // From where it was refused: begun anew each time, a long reading that everybody does at once never came to
-            // its end.
-            readPage(loadResumeKey, loadResumeRevision, loadGeneration);
+            // Resumes at the failed page: restarted from the beginning each time, a long load that all controllers
+            // did at once never finished.
+            loadPage(loadResumeKey, loadResumeRevision, loadGeneration);
             return;
         }
         loadGeneration++;
@@ -290,17 +317,17 @@
         loadingEndedJobs = false;
         endedJobsAfterKey = "";
         view.clear();
-        readPage("", -1, loadGeneration);
+        loadPage("", -1, loadGeneration);
     }
 
     /**
-     * The final states of all jobs, a page at a time and after everything else. With them a poll about a job that has ended, or that
-     * nobody submitted, costs no read of its own; before, each took one, and after a restart of all controllers most polls are such.
+     * Reads the next page of the final states of all jobs, after the live rows. With them, a poll of a job that has ended or was never
+     * submitted needs no read of its own; after a restart of all controllers most polls are of that kind.
      */
     private void loadEndedJobs() {
-        long gen = loadGeneration;
-        loadingEndedJobs = readPage(Keys.ENDED_JOB, endedJobsAfterKey, ENDED_JOBS_PER_PAGE, (status, m) -> {
-            if (gen != loadGeneration) {
+        long generation = loadGeneration;
+        loadingEndedJobs = readPage(Keys.ENDED_JOB, endedJobsAfterKey, ENDED_JOBS_PER_PAGE, (status, response) -> {
+            if (generation != loadGeneration) {
                 return;
             }
             loadingEndedJobs = false;
@@ -308,45 +335,50 @@
             if (status != 200) {
                 return;
             }
-            for (Object o : Fields.list(m, Wire.ITEMS)) {
-                endedJobsAfterKey = applyRow(Fields.map(o, "row"));
+            for (Object item : Fields.list(response, Wire.ITEMS)) {
+                endedJobsAfterKey = applyRow(Fields.map(item, "row"));
             }
-            endedJobsLoaded = !Boolean.TRUE.equals(m.get(Wire.MORE));
+            endedJobsLoaded = !Boolean.TRUE.equals(response.get(Wire.MORE));
         });
     }
 
-    /** Takes over one row of a listing, and returns its key. One that can't be read must not stop the reading. */
+    /** Puts one row of a page into the view and returns its key. A row that the view can't read does not stop the load. */
     private String applyRow(Map<String, Object> row) {
         String key = Fields.text(row, Wire.KEY);
         view.put(key, row.get(Wire.VALUE), Fields.count(row, Wire.VERSION));
         return key;
     }
 
-    /** Whether a job that a fresh view does not show was never accepted. */
+    /** Returns whether a job that is absent from an up-to-date view was never accepted. */
     public boolean allEndedJobsKnown() {
         return endedJobsLoaded && view.allEndedJobsKept();
     }
 
-    private void readPage(String after, long firstRevision, long gen) {
+    /**
+     * Reads a page of the live rows and then the next ones.
+     *
+     * @param firstRevision revision of the load's first page, negative if this is the first
+     */
+    private void loadPage(String afterKey, long firstRevision, long generation) {
         requestLimit.overdraw(effects.now(), 1);
-        call("GET", pagePath(Keys.LIVE, after, ROWS_PER_PAGE), null, 3_000, (status, m) -> {
-            if (gen != loadGeneration) {
+        call("GET", pagePath(Keys.LIVE, afterKey, ROWS_PER_PAGE), null, 3_000, (status, response) -> {
+            if (generation != loadGeneration) {
                 return;
             }
             if (status != 200) {
                 loading = false;
                 nextLoadMs = effects.now() + 300;
-                loadResumeKey = firstRevision >= 0 ? after : null;
+                loadResumeKey = firstRevision >= 0 ? afterKey : null;
                 loadResumeRevision = firstRevision;
                 return;
             }
-            long revision = firstRevision >= 0 ? firstRevision : Fields.count(m, Wire.REVISION);
-            String last = after;
-            for (Object o : Fields.list(m, Wire.ITEMS)) {
-                last = applyRow(Fields.map(o, "row"));
+            long revision = firstRevision >= 0 ? firstRevision : Fields.count(response, Wire.REVISION);
+            String last = afterKey;
+            for (Object item : Fields.list(response, Wire.ITEMS)) {
+                last = applyRow(Fields.map(item, "row"));
             }
-            if (Boolean.TRUE.equals(m.get(Wire.MORE))) {
-                readPage(last, revision, gen);
+            if (Boolean.TRUE.equals(response.get(Wire.MORE))) {
+                loadPage(last, revision, generation);
                 return;
             }
             view.loadCompleted(revision);
@@ -354,78 +386,86 @@
             loaded = true;
             loadResumeKey = null;
             freshnessCheckRequired = true;
-            LOG.info("state read: revision {}, {} jobs", revision, view.jobs().size());
+            LOG.info("state loaded: revision {}, {} jobs", revision, view.jobs().size());
             sendDueRequests();
         });
     }
 
-    private void watch(long wait) {
+    private void watch(long waitMs) {
         watchPending = true;
-        long gen = loadGeneration;
-        long sent = effects.now();
-        long at = nextRequestSequence++;
-        boolean clears = freshnessCheckRequired;
-        Effects.ReplyHandler reply = (status, m) -> {
+        long generation = loadGeneration;
+        long sentAtMs = effects.now();
+        long sequence = nextRequestSequence++;
+        boolean meetsRequiredCheck = freshnessCheckRequired;
+        Effects.ReplyHandler replyHandler = (status, response) -> {
             watchPending = false;
-            // Every change wakes every controller's watch: the gap keeps that within each one's part of the requests.
+            // Every change completes the watches of all controllers: the gap limits the watches to 40 % of the
+            // request rate of this controller.
             nextWatchMs = effects.now()
                     + (status == 200
                             ? Math.max(watchGapMs, Math.round(1_000 / (0.4 * requestLimit.tokensPerSecond())))
                             : 500);
-            if (gen == loadGeneration) {
-                applyWatchResponse(status, m, sent, at, clears);
+            if (generation == loadGeneration) {
+                applyWatchResponse(status, response, sentAtMs, sequence, meetsRequiredCheck);
             }
         };
-        if (wait > 0) {
-            effects.call(Destination.WATCH, address, "GET", watchPath(wait), null, (int) wait + 3_000, reply);
+        if (waitMs > 0) {
+            effects.call(
+                    Destination.WATCH, address, "GET", watchPath(waitMs), null, (int) waitMs + 3_000, replyHandler);
         } else {
-            call("GET", watchPath(0), null, 2_000, reply);
+            call("GET", watchPath(0), null, 2_000, replyHandler);
         }
     }
 
-    /** All changes up to the answer are in, so whoever came before the request was sent has its fresh view. */
-    private void applyWatchResponse(int status, Map<String, Object> m, long sent, long at, boolean clears) {
-        applyEvents(status, m);
+    /**
+     * Applies a watch response, which holds all changes up to it, and answers the freshness requests made before the watch was sent.
+     *
+     * @param sequence request sequence number of the watch
+     * @param meetsRequiredCheck the watch was sent when a freshness check was required already
+     */
+    private void applyWatchResponse(
+            int status, Map<String, Object> response, long sentAtMs, long sequence, boolean meetsRequiredCheck) {
+        applyEvents(status, response);
         if (status != 200) {
             return;
         }
-        upToDateAsOfMs = Math.max(upToDateAsOfMs, sent);
-        if (clears) {
+        upToDateAsOfMs = Math.max(upToDateAsOfMs, sentAtMs);
+        if (meetsRequiredCheck) {
             freshnessCheckRequired = false;
         }
         List<FreshnessRequest> ready = new ArrayList<>();
-        whenUpToDate.removeIf(w -> w.sequence < at && ready.add(w));
-        ready.forEach(w -> w.callback.accept(true));
+        freshnessRequests.removeIf(request -> request.sequence < sequence && ready.add(request));
+        ready.forEach(request -> request.callback.accept(true));
     }
 
-    private String watchPath(long wait) {
+    private String watchPath(long waitMs) {
         return Wire.WATCH + "?" + Wire.PREFIX + "=" + Keys.ALL + "&" + Wire.AFTER + "=" + view.appliedRevision()
-                + "&wait_ms=" + wait;
+                + "&wait_ms=" + waitMs;
     }
 
-    /** A watch that does not wait tells the current revision and every change up to it: proof of a fresh view. */
+    /** Sends a watch that does not wait: its response has the current revision and every change up to it. */
     private void checkFreshness() {
         long now = effects.now();
         if (freshnessCheckPending || now < nextFreshnessCheckMs) {
             return;
         }
         if (now - upToDateAsOfMs > 2 * maxUnconfirmedMs) {
-            // Our workers' leases hang on it.
+            // Exceeds the rate limit if need be, as the leases of this controller's workers depend on it.
             requestLimit.overdraw(now, 1);
         } else if (!requestLimit.tryTake(now, 1)) {
             return;
         }
         freshnessCheckPending = true;
         nextFreshnessCheckMs = now + freshnessCheckGapMs;
-        long at = nextRequestSequence++;
-        long gen = loadGeneration;
-        boolean clears = freshnessCheckRequired;
-        call("GET", watchPath(0), null, 2_000, (status, m) -> {
+        long sequence = nextRequestSequence++;
+        long generation = loadGeneration;
+        boolean meetsRequiredCheck = freshnessCheckRequired;
+        call("GET", watchPath(0), null, 2_000, (status, response) -> {
             freshnessCheckPending = false;
-            if (gen != loadGeneration) {
+            if (generation != loadGeneration) {
                 return;
             }
-            applyWatchResponse(status, m, now, at, clears);
+            applyWatchResponse(status, response, now, sequence, meetsRequiredCheck);
             if (status != 200) {
                 nextFreshnessCheckMs = Math.max(nextFreshnessCheckMs, effects.now() + 250);
             }
@@ -433,9 +473,9 @@
         });
     }
 
-    private void applyEvents(int status, Map<String, Object> m) {
+    private void applyEvents(int status, Map<String, Object> response) {
         if (status == 410) {
-            LOG.info("watch too old, reading everything again");
+            LOG.info("revision of the watch no longer kept by the state service; loading all rows again");
             loaded = false;
             nextLoadMs = effects.now();
             return;
@@ -443,49 +483,50 @@
         if (status != 200) {
             return;
         }
-        for (Object o : Fields.list(m, Wire.EVENTS)) {
-            Map<String, Object> e = Fields.map(o, "event");
-            long version = Fields.count(e, Wire.VERSION);
-            if (e.get(Wire.PUT) != null) {
-                view.put(Fields.text(e, Wire.PUT), e.get(Wire.VALUE), version);
+        for (Object item : Fields.list(response, Wire.EVENTS)) {
+            Map<String, Object> event = Fields.map(item, "event");
+            long version = Fields.count(event, Wire.VERSION);
+            if (event.get(Wire.PUT) != null) {
+                view.put(Fields.text(event, Wire.PUT), event.get(Wire.VALUE), version);
             } else {
-                view.remove(Fields.text(e, Wire.DELETE), version);
+                view.remove(Fields.text(event, Wire.DELETE), version);
             }
         }
-        view.appliedRevision(Fields.count(m, Wire.REVISION));
+        view.appliedRevision(Fields.count(response, Wire.REVISION));
         sendDueRequests();
     }
 
-    // ---- writing
+    // ---- writes
 
-    private void requeueOutcomeUnknown(QueuedChange q) {
-        q.change.outcomeUnknown();
-        requeue(new QueuedChange(q.change, q.sequence, q.queuedAtMs, true));
+    private void requeueOutcomeUnknown(QueuedChange queued) {
+        queued.change.outcomeUnknown();
+        requeue(new QueuedChange(queued.change, queued.sequence, queued.queuedAtMs, true));
     }
 
-    private void requeue(QueuedChange q) {
-        queue.add(q);
-        earliestDueMs = Math.min(earliestDueMs, dueMs(q));
+    private void requeue(QueuedChange queued) {
+        queue.add(queued);
+        earliestDueMs = Math.min(earliestDueMs, dueMs(queued));
     }
 
     /**
-     * From when on a change wants to be sent for its own sake. The scarcer changes are, the longer those that can wait do,
-     * so that more of them share the writing of a row.
+     * Returns the time from which a change is sent even if no other change is due. The scarcer writes are, the longer changes with a
+     * delay wait, so that more of them share the write of a row.
      */
-    private long dueMs(QueuedChange q) {
-        long patience = q.change.maxDelayMs();
-        return patience == 0
-                ? q.queuedAtMs
-                : q.queuedAtMs
-                        + Math.min(patience, 50 + Math.round(MAX_BATCH_DELAY_MS * writeLimit.shortage(effects.now())));
+    private long dueMs(QueuedChange queued) {
+        long maxDelayMs = queued.change.maxDelayMs();
+        return maxDelayMs == 0
+                ? queued.queuedAtMs
+                : queued.queuedAtMs
+                        + Math.min(
+                                maxDelayMs, 50 + Math.round(MAX_BATCH_DELAY_MS * writeLimit.shortage(effects.now())));
     }
 
-    /** How many rows this controller may expect to write within a time, at its present part of the changes. */
+    /** Returns how many rows this controller can expect to write within a time at its current write rate. */
     public int expectedRowsWithin(long ms) {
         return (int) Math.round(writeLimit.tokensPerSecond() * ms / 1000);
     }
 
-    /** How the state service was used: transactions, rows written, conflicts, refusals, queue, present rates. */
+    /** Returns the counters for the log: transactions, rows written, conflicts, throttled requests, queue length, current rates. */
     public String logText() {
         return "txns=" + transactions + " rows=" + rowsWritten + " conflicts=" + conflicts + " too_many="
                 + throttledRequests
@@ -494,14 +535,18 @@
     }
 
     /**
-     * What a change leaves to those that somebody waits for: submissions, cancellations, replicas, takeovers. Without this, a swarm's
-     * claims and ends took every row as soon as there was one, and each submission waited for the next.
+     * Returns how many rows of the write limit a change leaves to awaited ones: submissions, cancellations, replicas and takeovers.
+     * Without this, the claims and outcomes of a large array of short tasks took every row as it became free, and each submission
+     * waited for the next.
      */
-    private static int rowsKeptForAwaited(Change c) {
-        return c.rank() > MAX_AWAITED_RANK ? ROWS_KEPT_FOR_AWAITED : 0;
+    private static int rowsKeptForAwaited(Change change) {
+        return change.rank() > MAX_AWAITED_RANK ? ROWS_KEPT_FOR_AWAITED : 0;
     }
 
-    /** A dozen full rows of a huge array pass what a transaction may hold: it would be refused whole, again and again. */
+    /**
+     * Returns whether so many more rows fit. A dozen full rows of a huge array exceed the size of a transaction, which would be rejected
+     * as a whole again and again.
+     */
     private boolean fitsMaxBytes(Transaction tx, int rows) {
         return tx.maxBytes() + rows * settings.valueKb() * 1024 <= MAX_TXN_BYTES;
     }
@@ -514,45 +559,45 @@
         }
         Transaction tx = new Transaction(view);
         List<QueuedChange> batch = new ArrayList<>();
-        List<Change> done = new ArrayList<>();
-        List<QueuedChange> waiting = new ArrayList<>();
+        List<Change> nothingToDo = new ArrayList<>();
+        List<QueuedChange> deferred = new ArrayList<>();
         boolean full = false;
         while (!queue.isEmpty()) {
-            QueuedChange q = queue.poll();
-            int writesAfter = tx.writeCount() + q.change.maxWrites();
+            QueuedChange queued = queue.poll();
+            int writesAfter = tx.writeCount() + queued.change.maxWrites();
             full = full
                     || !batch.isEmpty()
                             && (writesAfter > settings.txnOps()
-                                    || tx.conditionCount() + q.change.maxConditions(tx) > settings.txnOps() * 4
-                                    || !writeLimit.canTake(now, writesAfter + rowsKeptForAwaited(q.change))
-                                    || !fitsMaxBytes(tx, q.change.maxWrites())
+                                    || tx.conditionCount() + queued.change.maxConditions(tx) > settings.txnOps() * 4
+                                    || !writeLimit.canTake(now, writesAfter + rowsKeptForAwaited(queued.change))
+                                    || !fitsMaxBytes(tx, queued.change.maxWrites())
                                     || batch.size() >= MAX_CHANGES_PER_TXN);
-            if (full || dueMs(q) > now) {
-                waiting.add(q);
-            } else if (q.change.build(tx)) {
-                batch.add(q);
+            if (full || dueMs(queued) > now) {
+                deferred.add(queued);
+            } else if (queued.change.build(tx)) {
+                batch.add(queued);
             } else {
-                done.add(q.change);
+                nothingToDo.add(queued.change);
             }
         }
-        for (QueuedChange q : waiting) {
+        for (QueuedChange queued : deferred) {
             if (!batch.isEmpty()
                     && batch.size() < MAX_CHANGES_PER_TXN
-                    && tx.conditionCount() + q.change.maxConditions(tx) <= settings.txnOps() * 4
-                    && q.change.addsNoWrites(tx)
+                    && tx.conditionCount() + queued.change.maxConditions(tx) <= settings.txnOps() * 4
+                    && queued.change.addsNoWrites(tx)
                     && fitsMaxBytes(tx, 1)) {
-                if (q.change.build(tx)) {
-                    batch.add(q);
+                if (queued.change.build(tx)) {
+                    batch.add(queued);
                 } else {
-                    done.add(q.change);
+                    nothingToDo.add(queued.change);
                 }
             } else {
-                queue.add(q);
+                queue.add(queued);
             }
         }
         earliestDueMs = Long.MAX_VALUE;
-        queue.forEach(q -> earliestDueMs = Math.min(earliestDueMs, dueMs(q)));
-        done.forEach(Change::dropped);
+        queue.forEach(queued -> earliestDueMs = Math.min(earliestDueMs, dueMs(queued)));
+        nothingToDo.forEach(Change::dropped);
         if (batch.isEmpty()) {
             return;
         }
@@ -561,49 +606,49 @@
         rowsWritten += tx.writeCount();
         writeLimit.overdraw(now, tx.writeCount());
         requestLimit.overdraw(now, 1);
-        long gen = loadGeneration;
+        long generation = loadGeneration;
         Map<String, Object> body = tx.toRequestBody();
-        call("POST", Wire.MULTI, body, (int) TXN_TIMEOUT_MS, (status, m) -> {
+        call("POST", Wire.MULTI, body, (int) TXN_TIMEOUT_MS, (status, response) -> {
             txnPending = false;
             nextTxnMs = effects.now() + txnGapMs;
-            if (gen != loadGeneration) {
+            if (generation != loadGeneration) {
                 freshnessCheckRequired = true;
                 batch.forEach(this::requeueOutcomeUnknown);
                 return;
             }
             switch (status) {
                 case 200 -> {
-                    long rev = Fields.count(m, Wire.REVISION);
-                    tx.applyTo(view, rev);
-                    batch.forEach(q -> q.change.committed(rev));
+                    long revision = Fields.count(response, Wire.REVISION);
+                    tx.applyTo(view, revision);
+                    batch.forEach(queued -> queued.change.committed(revision));
                 }
                 case 409 -> {
                     conflicts++;
-                    Set<String> failed = new HashSet<>();
-                    Fields.list(m, Wire.FAILED).forEach(k -> failed.add(String.valueOf(k)));
-                    LOG.debug("conflict on {}", failed);
-                    requiredRevision = Math.max(requiredRevision, Fields.countOr(m, Wire.REVISION, 0));
-                    batch.forEach(q -> {
-                        if (!q.change.settledByConflict(failed)) {
-                            requeue(q);
+                    Set<String> failedKeys = new HashSet<>();
+                    Fields.list(response, Wire.FAILED).forEach(key -> failedKeys.add(String.valueOf(key)));
+                    LOG.debug("conflict on {}", failedKeys);
+                    requiredRevision = Math.max(requiredRevision, Fields.countOr(response, Wire.REVISION, 0));
+                    batch.forEach(queued -> {
+                        if (!queued.change.settledByConflict(failedKeys)) {
+                            requeue(queued);
                         }
                     });
                 }
                 case 400 -> {
                     nextTxnMs = effects.now() + 250;
                     LOG.error(
-                            "transaction refused as malformed: {} ({} rows, {} conditions)",
-                            m,
+                            "transaction rejected as invalid: {} ({} rows, {} conditions)",
+                            response,
                             Fields.list(body, Wire.THEN).size(),
                             tx.conditionCount());
-                    // Such as a lease that has ended. What was sent before without an answer may yet be applied,
-                    // whatever becomes of this:
-                    // a handover given up here would be answered for by two.
-                    batch.forEach(q -> {
-                        if (q.outcomeUnknown) {
-                            requeue(q);
+                    // For example, a lease in it has expired. A change that was sent earlier without a response may
+                    // still be applied, whatever became of this transaction: with a shard handover dropped here, two
+                    // controllers would answer the workers of the shard.
+                    batch.forEach(queued -> {
+                        if (queued.outcomeUnknown) {
+                            requeue(queued);
                         } else {
-                            q.change.dropped();
+                            queued.change.dropped();
                         }
                     });
                 }
@@ -616,7 +661,7 @@
                     batch.forEach(this::requeue);
                 }
                 default -> {
-                    // No answer: it may be applied later, so nothing is built before a fresh view.
+                    // No response: it may still be applied, so nothing is built before the view is up to date.
                     freshnessCheckRequired = true;
                     nextTxnMs = effects.now() + 100;
                     batch.forEach(this::requeueOutcomeUnknown);
--- a/src/main/java/birchusher/store/StoreView.java
+++ b/src/main/java/birchusher/store/StoreView.java
@@ -21,15 +21,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's copy of the live rows. Rows carry their versions, so that events, listings and own commits may
- * arrive in any order: the newest version of a row wins. Use of teams and machines is derived from the rows here and
- * never counted apart from them.
+ * A controller's local copy of the live rows of the state service, and of the final states of ended jobs. Rows carry their versions, so
+ * watch events, pages and the controller's own commits may arrive in any order: the newest version of a row wins. The capacity that
+ * teams and machines use is always derived from these rows, never counted apart from them.
+ *
+ * <p>Not thread-safe. Collections that it returns are live and not to be changed by callers.
  */
 public final class StoreView {
     private static final Logger LOG = LoggerFactory.getLogger(StoreView.class);
     private static final int MAX_ENDED_JOBS = 20_000;
 
-    /** How a job ended; {@code done} false means cancelled. */
+    /** The final state of a job of so many tasks; {@code done} false: it was cancelled. */
     public record EndedJob(boolean done, int tasks) {}
 
     private final Catalog catalog;
@@ -39,20 +41,20 @@
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final TreeMap<String, Map<String, Object>> rows = new TreeMap<>();
     private final Map<String, MachineClaims> claimsByMachine = new HashMap<>();
-    /** Placement rows that came before their job's row (listing order). */
+    /** Placement rows that a listing returned before the row of their job, by key. */
     private final Map<String, Map<String, Object>> orphanedPlacements = new HashMap<>();
 
-    private final LinkedHashMap<String, EndedJob> endedJob = new LinkedHashMap<>(64, 0.75f, true) {
+    private final LinkedHashMap<String, EndedJob> endedJobs = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, EndedJob> e) {
+        protected boolean removeEldestEntry(Map.Entry<String, EndedJob> eldest) {
             endedJobsDropped |= size() > MAX_ENDED_JOBS;
             return size() > MAX_ENDED_JOBS;
         }
     };
     private boolean endedJobsDropped;
-    /** Accepted jobs whose rows can't be read, as after a change of the settings: known all the same. */
+    /** Ids of accepted jobs whose rows can't be parsed, for example after a change of the settings. */
     private final Set<String> unreadable = new HashSet<>();
 
     private final double[] cpusByTeam;
@@ -68,31 +70,33 @@
     private Consumer<String> machineListener = m -> {};
     private LongSupplier steadyClock = () -> 0;
     private ToIntFunction<String> machineKindLookup = m -> -1;
-    private ClaimRemovedListener claimRemovedListener = (c, lost) -> {};
-    private Consumer<Claim> claimAddedListener = c -> {};
+    private ClaimRemovedListener claimRemovedListener = (claim, taskRemains) -> {};
+    private Consumer<Claim> claimAddedListener = claim -> {};
 
-    /** Told of each claim that leaves its row, and whether its task has still to run. */
+    /** Notified of claims that leave their placement rows. */
     public interface ClaimRemovedListener {
-        void claimRemoved(Claim c, boolean lost);
+        /** Called when a new version of its row lacks the claim of an open job; {@code taskRemains}: the task still has to run. */
+        void claimRemoved(Claim claim, boolean taskRemains);
     }
 
-    /** The claims on one machine and what they take; the sums are made anew with each change, so nothing drifts. */
+    /** The claims on one machine and the capacity they use, recomputed with each change so that rounding errors can't add up. */
     private static final class MachineClaims {
         final Map<String, Claim> claims = new LinkedHashMap<>();
+        /** Cpus, gpus and memory in GB. */
         final double[] used = new double[3];
 
         void recomputeUsed() {
             used[0] = 0;
             used[1] = 0;
             used[2] = 0;
-            for (Claim c : claims.values()) {
-                if (c.job().released(c.task()) != null) {
+            for (Claim claim : claims.values()) {
+                if (claim.job().released(claim.task()) != null) {
                     continue;
                 }
-                JobSpec j = c.job().spec;
-                used[0] += j.cpus();
-                used[1] += j.gpus();
-                used[2] += j.memoryGb();
+                JobSpec spec = claim.job().spec;
+                used[0] += spec.cpus();
+                used[1] += spec.gpus();
+                used[2] += spec.memoryGb();
             }
         }
     }
@@ -106,194 +110,215 @@
         gpusByTeam = new double[catalog.teams.size()];
     }
 
-    /** Told of each machine whose claims, or whose claims' jobs, changed. */
-    public void onMachineChange(Consumer<String> c) {
-        machineListener = c;
+    /** Sets the listener that gets the name of each machine whose claims, or the jobs of whose claims, changed. */
+    public void onMachineChange(Consumer<String> listener) {
+        machineListener = listener;
     }
 
-    /** Where the time of a step comes from: claims remember when they were first seen. */
-    public void steadyClock(LongSupplier steady) {
-        steadyClock = steady;
+    /** Sets the source of the steady time, in ms, at which claims are first seen. */
+    public void steadyClock(LongSupplier clock) {
+        steadyClock = clock;
     }
 
-    /** Where a machine's kind comes from when a claim is first seen, and who is told of claims that come and leave. */
-    public void setClaimListeners(ToIntFunction<String> kinds, Consumer<Claim> c, ClaimRemovedListener l) {
-        machineKindLookup = kinds;
-        claimAddedListener = c;
-        claimRemovedListener = l;
+    /**
+     * Sets the listeners for claims that are added and removed.
+     *
+     * @param kindLookup the kind of a machine for {@link Claim#machineKind}, asked when a claim is first seen; -1: unknown
+     */
+    public void setClaimListeners(
+            ToIntFunction<String> kindLookup, Consumer<Claim> addedListener, ClaimRemovedListener removedListener) {
+        machineKindLookup = kindLookup;
+        claimAddedListener = addedListener;
+        claimRemovedListener = removedListener;
     }
 
-    /** Every change up to this revision is in. */
+    /** Returns the revision up to which the view holds every change. */
     public long appliedRevision() {
         return appliedRevision;
     }
 
-    /** The highest revision that anything here tells of: nothing that was told to a user is newer. */
+    /** Returns the highest revision of anything in this view: nothing reported to users from this view is newer. */
     public long knownRevision() {
         return knownRevision;
     }
 
+    /** Returns the recent cancellations in this view, and those that other controllers reported. */
     public Cancellations cancellations() {
         return cancellations;
     }
 
-    /** All rows have been read as of this revision, the final states excepted. */
+    /** Marks the load of the rows as complete as of this revision, the final states of jobs excepted. */
     public void loadCompleted(long revision) {
         cancellations.loadCompleted(revision);
         appliedRevision(revision);
     }
 
-    /** Whether a job is cancelled as far as anybody told us, though its row may not say so here yet. */
+    /** Returns whether a job is cancelled, in this view or by the report of another controller that is ahead of it. */
     public boolean isCancelled(String id) {
-        Job j = jobs.get(id);
-        EndedJob e = j == null ? endedJob.get(id) : null;
-        return j != null && j.state() == Job.State.CANCELLED || e != null && !e.done() || cancellations.isReported(id);
-    }
-
-    /** Another controller tells of cancellations that may be missing here; false if they are too many to be kept. */
-    public boolean addReportedCancellations(List<Cancellation> news) {
-        boolean all = true;
-        for (Cancellation c : news) {
-            if (c.revision() <= appliedRevision) {
+        Job job = jobs.get(id);
+        EndedJob ended = job == null ? endedJobs.get(id) : null;
+        return job != null && job.state() == Job.State.CANCELLED
+                || ended != null && !ended.done()
+                || cancellations.isReported(id);
+    }
+
+    /** Adds cancellations reported by another controller that this view may lack; returns false if not all could be kept. */
+    public boolean addReportedCancellations(List<Cancellation> reported) {
+        boolean allKept = true;
+        for (Cancellation cancellation : reported) {
+            if (cancellation.revision() <= appliedRevision) {
                 continue;
             }
-            boolean before = cancellations.isReported(c.job());
-            all &= cancellations.addReported(c);
-            Job j = jobs.get(c.job());
-            if (!before && j != null) {
-                notifyMachinesOf(j);
+            boolean alreadyReported = cancellations.isReported(cancellation.job());
+            allKept &= cancellations.addReported(cancellation);
+            Job job = jobs.get(cancellation.job());
+            if (!alreadyReported && job != null) {
+                notifyMachinesOf(job);
             }
         }
-        return all;
+        return allKept;
     }
 
-    private void notifyMachinesOf(Job j) {
-        for (Chunk c : j.chunks) {
-            if (c != null) {
-                c.claims.values().forEach(x -> machineListener.accept(x.machine()));
+    private void notifyMachinesOf(Job job) {
+        for (Chunk chunk : job.chunks) {
+            if (chunk != null) {
+                chunk.claims.values().forEach(claim -> machineListener.accept(claim.machine()));
             }
         }
     }
 
+    /** Records that the view holds every change up to a revision. */
     public void appliedRevision(long revision) {
         knownRevision = Math.max(knownRevision, revision);
         if (revision > appliedRevision) {
             appliedRevision = revision;
             cancellations.discardReportedUpTo(revision);
             if (removedVersions.size() > 4096) {
-                removedVersions.object2LongEntrySet().removeIf(e -> e.getLongValue() <= appliedRevision);
+                removedVersions.object2LongEntrySet().removeIf(entry -> entry.getLongValue() <= appliedRevision);
             }
         }
     }
 
-    /** Counts changes, so that planning can tell whether anything is new. */
+    /** Returns a number that rises with each change of the view, by which planning sees whether anything is new. */
     public long changeCount() {
         return changeCount;
     }
 
-    /** The version of a row as known here, 0 if it does not exist. */
+    /** Returns the version of a live row in this view, 0 if there is none. */
     public long version(String key) {
         return versions.getLong(key);
     }
 
+    /** Returns a row that is neither a job nor a placement, or null. */
     public Map<String, Object> row(String key) {
         return rows.get(key);
     }
 
-    /** The rows whose keys begin so. */
+    /** Returns the rows, without jobs and placements, whose keys start with a prefix. */
     public Map<String, Map<String, Object>> rowsUnder(String prefix) {
         return rows.subMap(prefix, prefix + '\uffff');
     }
 
+    /** Returns the jobs that have live rows, also those done or cancelled that have not been moved to the ended jobs yet. */
     public Collection<Job> jobs() {
         return jobs.values();
     }
 
+    /** Returns a job that has a live row, or null. */
     public Job job(String id) {
         return jobs.get(id);
     }
 
+    /** Returns the final state of a job if it is in memory, or null. */
     public EndedJob endedJob(String id) {
-        return endedJob.get(id);
+        return endedJobs.get(id);
     }
 
-    /** Whether no ended job has been dropped from memory for want of room. */
+    /** Returns whether no final state has been evicted from memory. */
     public boolean allEndedJobsKept() {
         return !endedJobsDropped;
     }
 
-    /** Whether a job was accepted whose row can't be read here. */
+    /** Returns whether this is an accepted job whose row can't be parsed. */
     public boolean unreadable(String id) {
         return unreadable.contains(id);
     }
 
+    /** Returns the claims on a machine by task key, released ones included; not to be changed. */
     public Map<String, Claim> claims(String machine) {
-        MachineClaims on = claimsByMachine.get(machine);
-        return on == null ? Map.of() : on.claims;
+        MachineClaims machineClaims = claimsByMachine.get(machine);
+        return machineClaims == null ? Map.of() : machineClaims.claims;
     }
 
-    /** Cpus, gpus and memory that the records on a machine take; not to be changed. */
+    /** Returns the cpus, gpus and memory (GB) that the claims on a machine use, without released ones; not to be changed. */
     public double[] capacityUsedOn(String machine) {
-        MachineClaims on = claimsByMachine.get(machine);
-        return on == null ? NOTHING_USED : on.used;
+        MachineClaims machineClaims = claimsByMachine.get(machine);
+        return machineClaims == null ? NOTHING_USED : machineClaims.used;
     }
 
-    /** All claims that stand. */
+    /** Returns the number of claims in all rows. */
     public int claimCount() {
         return standingClaims;
     }
 
-    /** Claims that are proven gone while their rows still show them. */
+    /** Returns the number of claims whose tasks are proven gone while their rows still hold them. */
     public int releasedClaimCount() {
         return releasedClaims;
     }
 
-    /** Counts changes of rental rows. */
+    /** Returns a number that rises with each change of rental request rows. */
     public long rentalRequestChangeCount() {
         return rentalRequestChanges;
     }
 
-    /** Counts changes of rows that are neither jobs nor placements, so that what is derived from them can be kept. */
+    /** Returns a number that rises with each change of rows other than jobs and placements, so that values derived from them can be cached. */
     public long otherRowChangeCount() {
         return otherRowChangeCount;
     }
 
+    /** Returns the machines that have claims. */
     public Collection<String> claimedMachines() {
         return claimsByMachine.keySet();
     }
 
+    /** Returns the cpus in all claims of a team, given by its index. */
     public double claimedCpus(int team) {
         return cpusByTeam[team];
     }
 
+    /** Returns the gpus in all claims of a team, given by its index. */
     public double claimedGpus(int team) {
         return gpusByTeam[team];
     }
 
+    /** Returns the row that stores the final state of a job. */
     public static Map<String, Object> endedJobRow(boolean done, int tasks) {
         return Map.of("s", done ? "done" : "cancelled", "n", tasks);
     }
 
-    /** A row as it stands. One that can't be read is named and left out; the rest is unharmed, and a job stays known. */
+    /**
+     * Stores a version of a row unless a newer one is known. A row that can't be parsed is logged and ignored; a job whose row can't be
+     * parsed is still known as accepted, see {@link #unreadable}.
+     */
     public void put(String key, Object row, long version) {
         if (version <= versions.getLong(key) || version <= removedVersions.getLong(key)) {
             return;
         }
         knownRevision = Math.max(knownRevision, version);
-        boolean end = key.startsWith(Keys.ENDED_JOB);
-        if (!end) {
+        boolean isEndedJob = key.startsWith(Keys.ENDED_JOB);
+        if (!isEndedJob) {
             changeCount++;
             versions.put(key, version);
             removedVersions.removeLong(key);
         }
-        String job = key.startsWith(Keys.JOB) ? key.substring(Keys.JOB.length()) : null;
+        String jobId = key.startsWith(Keys.JOB) ? key.substring(Keys.JOB.length()) : null;
         try {
             Map<String, Object> value = Fields.map(row, "value");
-            if (end) {
+            if (isEndedJob) {
                 putEndedJob(key.substring(Keys.ENDED_JOB.length()), readEndedJob(value), version);
-            } else if (job != null) {
-                putJob(job, value, version);
-                unreadable.remove(job);
+            } else if (jobId != null) {
+                putJob(jobId, value, version);
+                unreadable.remove(jobId);
             } else if (key.startsWith(Keys.PLACEMENT)) {
                 putPlacement(key, value);
             } else {
@@ -302,25 +327,27 @@
                 rentalRequestChanges += key.startsWith(Keys.RENTAL_REQUEST) ? 1 : 0;
             }
         } catch (Fields.InvalidInputException | JobCodec.Never | IllegalArgumentException e) {
-            LOG.error("row {} ignored: {}", key, e.getMessage());
-            if (job != null && !jobs.containsKey(job)) {
-                unreadable.add(job);
+            LOG.error("state row {} ignored: {}", key, e.getMessage());
+            if (jobId != null && !jobs.containsKey(jobId)) {
+                unreadable.add(jobId);
             }
         }
     }
 
-    private void putEndedJob(String id, EndedJob e, long version) {
-        Job j = jobs.get(id);
-        if (!e.done() && (j == null || j.state() != Job.State.CANCELLED)) {
+    private void putEndedJob(String id, EndedJob ended, long version) {
+        Job job = jobs.get(id);
+        if (!ended.done() && (job == null || job.state() != Job.State.CANCELLED)) {
             cancellations.addSeen(id, version);
         }
-        endedJob.put(id, e);
+        endedJobs.put(id, ended);
     }
 
+    /** Parses the row that stores the final state of a job. */
     public static EndedJob readEndedJob(Map<String, Object> value) {
         return new EndedJob("done".equals(value.get("s")), (int) Fields.countOr(value, "n", 0));
     }
 
+    /** Removes a row as of a version, unless a newer one is known. */
     public void remove(String key, long version) {
         if (version <= versions.getLong(key)) {
             return;
@@ -331,18 +358,18 @@
         removedVersions.put(key, Math.max(version, removedVersions.getLong(key)));
         if (key.startsWith(Keys.JOB)) {
             unreadable.remove(key.substring(Keys.JOB.length()));
-            Job j = jobs.remove(key.substring(Keys.JOB.length()));
-            if (j != null) {
-                j.chunks.forEach(c -> updateClaims(c, null));
+            Job job = jobs.remove(key.substring(Keys.JOB.length()));
+            if (job != null) {
+                job.chunks.forEach(chunk -> updateClaims(chunk, null));
             }
         } else if (key.startsWith(Keys.PLACEMENT)) {
             orphanedPlacements.remove(key);
             int slash = key.lastIndexOf('/');
-            Job j = jobs.get(key.substring(Keys.PLACEMENT.length(), slash));
-            if (j != null) {
-                int i = Integer.parseInt(key.substring(slash + 1));
-                updateClaims(j.chunks.get(i), null);
-                j.replaceChunk(i, null);
+            Job job = jobs.get(key.substring(Keys.PLACEMENT.length(), slash));
+            if (job != null) {
+                int index = Integer.parseInt(key.substring(slash + 1));
+                updateClaims(job.chunks.get(index), null);
+                job.replaceChunk(index, null);
             }
         } else {
             rows.remove(key);
@@ -351,7 +378,7 @@
         }
     }
 
-    /** Drops everything but ended jobs, before the rows are read again. */
+    /** Clears everything but ended jobs, before the rows are loaded again. */
     public void clear() {
         versions.clear();
         removedVersions.clear();
@@ -372,131 +399,133 @@
     }
 
     private void putJob(String id, Map<String, Object> value, long version) {
-        Job j = jobs.get(id);
+        Job job = jobs.get(id);
         Job.State state = Job.State.valueOf(Fields.text(value, "s"));
         if (state == Job.State.CANCELLED) {
             cancellations.addSeen(id, version);
         }
-        if (j != null) {
-            j.state(state);
-            notifyMachinesOf(j);
+        if (job != null) {
+            job.state(state);
+            notifyMachinesOf(job);
             return;
         }
-        j = new Job(
+        job = new Job(
                 codec.readRow(Fields.map(value.get("j"), "j")),
                 (int) Math.max(1, Fields.count(value, "k")),
                 Fields.count(value, "t"),
                 state,
                 version);
-        jobs.put(id, j);
-        catalog.setImageGb(j.spec.image(), j.spec.imageGb());
-        for (int i = 0; i < j.chunks.size(); i++) {
-            Map<String, Object> waiting = orphanedPlacements.remove(Keys.placement(id, i));
-            if (waiting != null) {
-                putPlacement(Keys.placement(id, i), waiting);
+        jobs.put(id, job);
+        catalog.setImageGb(job.spec.image(), job.spec.imageGb());
+        for (int i = 0; i < job.chunks.size(); i++) {
+            Map<String, Object> orphan = orphanedPlacements.remove(Keys.placement(id, i));
+            if (orphan != null) {
+                putPlacement(Keys.placement(id, i), orphan);
             }
         }
     }
 
     private void putPlacement(String key, Map<String, Object> value) {
         int slash = key.lastIndexOf('/');
-        Job j = jobs.get(key.substring(Keys.PLACEMENT.length(), slash));
-        if (j == null) {
+        Job job = jobs.get(key.substring(Keys.PLACEMENT.length(), slash));
+        if (job == null) {
             orphanedPlacements.put(key, value);
             return;
         }
-        int i = Integer.parseInt(key.substring(slash + 1));
-        Chunk old = j.chunks.get(i);
-        Chunk next = Chunk.fromRow(j, i, value, old);
-        updateClaims(old, next);
-        j.replaceChunk(i, next);
-    }
-
-    /** Counts what one row's place is taken by: only claims that came or went cost anything. */
-    private void updateClaims(Chunk old, Chunk next) {
-        if (old != null) {
-            for (Claim x : old.claims.values()) {
-                if (next == null || next.claims.get(x.task()) != x) {
-                    removeClaim(x);
-                    if (next != null && x.job().state() == Job.State.OPEN) {
-                        claimRemovedListener.claimRemoved(x, !next.done.get(x.task() - next.index * x.job().chunkSize));
+        int index = Integer.parseInt(key.substring(slash + 1));
+        Chunk previous = job.chunks.get(index);
+        Chunk next = Chunk.fromRow(job, index, value, previous);
+        updateClaims(previous, next);
+        job.replaceChunk(index, next);
+    }
+
+    /** Updates the counts for a placement row that is replaced. Claims in both versions are skipped, to keep updates cheap. */
+    private void updateClaims(Chunk previous, Chunk next) {
+        if (previous != null) {
+            for (Claim claim : previous.claims.values()) {
+                if (next == null || next.claims.get(claim.task()) != claim) {
+                    removeClaim(claim);
+                    if (next != null && claim.job().state() == Job.State.OPEN) {
+                        claimRemovedListener.claimRemoved(
+                                claim, !next.done.get(claim.task() - next.index * claim.job().chunkSize));
                     }
                 }
             }
         }
         if (next != null) {
-            for (Claim x : next.claims.values()) {
-                if (old == null || old.claims.get(x.task()) != x) {
-                    addClaim(x);
-                    claimAddedListener.accept(x);
+            for (Claim claim : next.claims.values()) {
+                if (previous == null || previous.claims.get(claim.task()) != claim) {
+                    addClaim(claim);
+                    claimAddedListener.accept(claim);
                 }
             }
         }
     }
 
-    private void addClaim(Claim x) {
-        JobSpec s = x.job().spec;
-        x.markSeen(steadyClock.getAsLong(), machineKindLookup.applyAsInt(x.machine()));
-        cpusByTeam[s.team()] += s.cpus();
-        gpusByTeam[s.team()] += s.gpus();
-        MachineClaims on = claimsByMachine.computeIfAbsent(x.machine(), k -> new MachineClaims());
+    private void addClaim(Claim claim) {
+        JobSpec spec = claim.job().spec;
+        claim.markSeen(steadyClock.getAsLong(), machineKindLookup.applyAsInt(claim.machine()));
+        cpusByTeam[spec.team()] += spec.cpus();
+        gpusByTeam[spec.team()] += spec.gpus();
+        MachineClaims machineClaims = claimsByMachine.computeIfAbsent(claim.machine(), k -> new MachineClaims());
         standingClaims++;
-        on.claims.put(x.taskKey(), x);
-        on.recomputeUsed();
-        machineListener.accept(x.machine());
+        machineClaims.claims.put(claim.taskKey(), claim);
+        machineClaims.recomputeUsed();
+        machineListener.accept(claim.machine());
     }
 
     /**
-     * A claim's task is proven gone: its room is free and it may be placed anew, though the row still shows it. The mark leaves with
-     * the claim, or when the proof can't be written.
+     * Marks a claim whose task is proven gone: its capacity is free and the task may be placed again, though the row still holds the
+     * claim. The mark is removed with the claim, or by {@link #unmarkReleased} if the proof can't be written.
      */
-    public void markReleased(Job.ReleasedClaim g) {
-        Claim c = g.claim();
-        Job j = c.job();
-        if (jobs.get(j.spec.id()) == j && j.claim(c.task()) == c) {
-            // A later proof goes before one whose owner has lost the shard meanwhile.
-            releasedClaims += j.released(c.task()) == null ? 1 : 0;
-            j.addReleased(g);
+    public void markReleased(Job.ReleasedClaim released) {
+        Claim claim = released.claim();
+        Job job = claim.job();
+        if (jobs.get(job.spec.id()) == job && job.claim(claim.task()) == claim) {
+            // A later proof replaces an earlier one, whose owner may have lost the shard since.
+            releasedClaims += job.released(claim.task()) == null ? 1 : 0;
+            job.addReleased(released);
             changeCount++;
-            recomputeUsedOn(c);
+            recomputeUsedOn(claim);
         }
     }
 
-    /** Takes such a mark back. */
-    public void unmarkReleased(Claim c) {
-        if (c.job().removeReleased(c)) {
+    /** Removes the mark of {@link #markReleased}, if it is set. */
+    public void unmarkReleased(Claim claim) {
+        if (claim.job().removeReleased(claim)) {
             releasedClaims--;
             changeCount++;
-            recomputeUsedOn(c);
+            recomputeUsedOn(claim);
         }
     }
 
-    private void recomputeUsedOn(Claim c) {
-        MachineClaims on = claimsByMachine.get(c.machine());
-        if (on != null) {
-            on.recomputeUsed();
+    private void recomputeUsedOn(Claim claim) {
+        MachineClaims machineClaims = claimsByMachine.get(claim.machine());
+        if (machineClaims != null) {
+            machineClaims.recomputeUsed();
         }
-        machineListener.accept(c.machine());
+        machineListener.accept(claim.machine());
     }
 
-    private void removeClaim(Claim x) {
-        JobSpec s = x.job().spec;
-        releasedClaims -= x.job().removeReleased(x) ? 1 : 0;
+    private void removeClaim(Claim claim) {
+        JobSpec spec = claim.job().spec;
+        releasedClaims -= claim.job().removeReleased(claim) ? 1 : 0;
         standingClaims--;
-        cpusByTeam[s.team()] -= s.cpus();
-        gpusByTeam[s.team()] -= s.gpus();
-        MachineClaims on = claimsByMachine.get(x.machine());
-        if (on != null) {
-            on.claims.remove(x.taskKey(), x);
-            if (on.claims.isEmpty()) {
-                claimsByMachine.remove(x.machine());
+        cpusByTeam[spec.team()] -= spec.cpus();
+        gpusByTeam[spec.team()] -= spec.gpus();
+        MachineClaims machineClaims = claimsByMachine.get(claim.machine());
+        if (machineClaims != null) {
+            machineClaims.claims.remove(claim.taskKey(), claim);
+            if (machineClaims.claims.isEmpty()) {
+                claimsByMachine.remove(claim.machine());
             } else {
-                on.recomputeUsed();
+                machineClaims.recomputeUsed();
             }
         }
-        machineListener.accept(x.machine());
+        machineListener.accept(claim.machine());
     }
 
+    /** Returns the catalog of teams, zones, machine types and images. */
     public Catalog catalog() {
         return catalog;
     }
--- a/src/main/java/birchusher/store/Transaction.java
+++ b/src/main/java/birchusher/store/Transaction.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A transaction being put together from several changes; all conditions come from one view. */
+/**
+ * A transaction that is built from several changes against one view: it is applied only if every row with a condition still has the
+ * version that the view shows.
+ */
 public final class Transaction {
     private final StoreView view;
     private final Map<String, Long> conditions = new LinkedHashMap<>();
@@ -17,7 +20,7 @@
     private final List<String> removals = new ArrayList<>();
     private final Map<String, Chunk> chunks = new LinkedHashMap<>();
     private final Map<Integer, double[]> claimedByTeam = new HashMap<>();
-    /** A key and the names that go with it in a condition or a write. */
+    /** Upper bound for a key and the field names around it in a condition or a write. */
     private static final int ENTRY_OVERHEAD_BYTES = 120;
 
     private int putBytes;
@@ -30,27 +33,32 @@
         return view;
     }
 
-    /** The row must still be as the view knows it. */
+    /** Adds the condition that a row still has the version in the view, or still does not exist. */
     public void requireUnchanged(String key) {
         conditions.put(key, view.version(key));
     }
 
-    /** Whether a condition on this row would be one more. */
+    /** Returns whether there is no condition on this row yet. */
     public boolean lacksCondition(String key) {
         return !conditions.containsKey(key);
     }
 
+    /** Writes a row, on the condition that it is unchanged. */
     public void put(String key, Map<String, Object> value) {
         requireUnchanged(key);
-        Map<String, Object> old = puts.put(key, value);
-        putBytes += Json.size(value) + ENTRY_OVERHEAD_BYTES - (old == null ? 0 : Json.size(old) + ENTRY_OVERHEAD_BYTES);
+        Map<String, Object> previous = puts.put(key, value);
+        putBytes += Json.size(value)
+                + ENTRY_OVERHEAD_BYTES
+                - (previous == null ? 0 : Json.size(previous) + ENTRY_OVERHEAD_BYTES);
     }
 
+    /** As {@link #put}; the state service removes the row when the lease with this id ends. */
     public void putWithLease(String key, Map<String, Object> value, long lease) {
         put(key, value);
         leases.put(key, lease);
     }
 
+    /** Removes a row, on the condition that it is unchanged. */
     public void remove(String key) {
         requireUnchanged(key);
         chunks.remove(key);
@@ -58,87 +66,90 @@
         removals.add(key);
     }
 
-    /** Whether this transaction already writes a row, so that a second change must wait for the next one. */
+    /** Returns whether this transaction already puts or removes a row, so that a second change of it must wait for the next one. */
     public boolean writes(String key) {
         return puts.containsKey(key) || removals.contains(key);
     }
 
-    /** The working copy of a chunk: several changes to one chunk add up. */
+    /** Returns the working copy of a chunk, which will be written; several changes of one chunk add up in it. */
     public Chunk editChunk(Job job, int index) {
         String key = Keys.placement(job.spec.id(), index);
-        Chunk c = chunks.get(key);
-        if (c == null) {
-            Chunk now = job.chunks.get(index);
-            c = now == null ? new Chunk(job, index) : now.copy();
+        Chunk chunk = chunks.get(key);
+        if (chunk == null) {
+            Chunk current = job.chunks.get(index);
+            chunk = current == null ? new Chunk(job, index) : current.copy();
             requireUnchanged(key);
-            chunks.put(key, c);
+            chunks.put(key, chunk);
         }
-        return c;
+        return chunk;
     }
 
+    /** Returns whether this transaction will write a chunk. */
     public boolean editsChunk(String job, int index) {
         return chunks.containsKey(Keys.placement(job, index));
     }
 
-    /** A chunk as this transaction would leave it, without making it part of the transaction; may be null. */
+    /** Returns a chunk as this transaction would leave it, or null, without making it part of the transaction; not to be changed. */
     public Chunk peekChunk(Job job, int index) {
-        Chunk c = chunks.get(Keys.placement(job.spec.id(), index));
-        return c == null ? job.chunks.get(index) : c;
+        Chunk chunk = chunks.get(Keys.placement(job.spec.id(), index));
+        return chunk == null ? job.chunks.get(index) : chunk;
     }
 
-    /** What this transaction already claims for a team: cpus and gpus, to be added to what the view shows. */
+    /** Returns the cpus and gpus that this transaction claims for a team in addition to the view; callers add to the array. */
     public double[] claimedByTeam(int team) {
-        return claimedByTeam.computeIfAbsent(team, t -> new double[2]);
+        return claimedByTeam.computeIfAbsent(team, index -> new double[2]);
     }
 
+    /** Returns the number of rows to be written or removed. */
     public int writeCount() {
         return puts.size() + removals.size() + chunks.size();
     }
 
     /**
-     * At most so many bytes, as the state service counts them: the rows' own, and what goes around them. A bound and no count, as it is
-     * asked for with each change that might still be added.
+     * Returns an upper bound for the size as the state service counts it: the rows and the fields around them. A bound rather than the
+     * exact size, as it is computed for each change that might still be added.
      */
     public int maxBytes() {
-        int n = putBytes + conditions.size() * ENTRY_OVERHEAD_BYTES;
-        for (Chunk c : chunks.values()) {
-            n += ENTRY_OVERHEAD_BYTES + c.maxBytes();
+        int bytes = putBytes + conditions.size() * ENTRY_OVERHEAD_BYTES;
+        for (Chunk chunk : chunks.values()) {
+            bytes += ENTRY_OVERHEAD_BYTES + chunk.maxBytes();
         }
-        return n;
+        return bytes;
     }
 
     public int conditionCount() {
         return conditions.size();
     }
 
+    /** Encodes the working copies of chunks and returns the body of the request; nothing may be added to the transaction after that. */
     public Map<String, Object> toRequestBody() {
-        List<Object> ifs = new ArrayList<>();
-        conditions.forEach((k, v) -> ifs.add(Map.of(Wire.KEY, k, Wire.VERSION, v)));
-        List<Object> then = new ArrayList<>();
+        List<Object> checks = new ArrayList<>();
+        conditions.forEach((key, version) -> checks.add(Map.of(Wire.KEY, key, Wire.VERSION, version)));
+        List<Object> writes = new ArrayList<>();
         encodeChunks();
-        puts.forEach((k, v) -> {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put(Wire.PUT, k);
-            m.put(Wire.VALUE, v);
-            if (leases.containsKey(k)) {
-                m.put(Wire.LEASE, leases.get(k));
+        puts.forEach((key, row) -> {
+            Map<String, Object> write = new LinkedHashMap<>();
+            write.put(Wire.PUT, key);
+            write.put(Wire.VALUE, row);
+            if (leases.containsKey(key)) {
+                write.put(Wire.LEASE, leases.get(key));
             }
-            then.add(m);
+            writes.add(write);
         });
-        removals.forEach(k -> then.add(Map.of(Wire.DELETE, k)));
-        return Map.of(Wire.IF, ifs, Wire.THEN, then);
+        removals.forEach(key -> writes.add(Map.of(Wire.DELETE, key)));
+        return Map.of(Wire.IF, checks, Wire.THEN, writes);
     }
 
     private void encodeChunks() {
-        chunks.forEach((k, c) -> puts.put(k, c.toRow()));
+        chunks.forEach((key, chunk) -> puts.put(key, chunk.toRow()));
         chunks.clear();
     }
 
-    /** Brings the committed rows into the view at once, so that the next transaction builds on them. */
-    public void applyTo(StoreView v, long revision) {
+    /** Applies the rows to a view once they are committed, so that the next transaction builds on them. */
+    public void applyTo(StoreView target, long revision) {
         puts.entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
-                .forEach(e -> v.put(e.getKey(), e.getValue(), revision));
-        removals.forEach(k -> v.remove(k, revision));
+                .forEach(entry -> target.put(entry.getKey(), entry.getValue(), revision));
+        removals.forEach(key -> target.remove(key, revision));
     }
 }
--- a/src/test/java/birchusher/JobRowBeforeMachineTypesTest.java
+++ b/src/test/java/birchusher/JobRowBeforeMachineTypesTest.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Found on mahr-galleries: after a restart, replicas that named their machine type were never placed again. */
+/**
+ * After a restart, job rows may be read before the machine types of the cloud are known. Replicas restricted to a machine type were then
+ * never placed again.
+ */
 class JobRowBeforeMachineTypesTest {
     @Test
     void jobRowReadBeforeMachineTypesAllowsThoseTypes() {
--- a/src/test/java/birchusher/store/StoreClientTest.java
+++ b/src/test/java/birchusher/store/StoreClientTest.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What goes into one transaction, and who goes first when rows are short. */
+/** How changes are batched into transactions, which go first when writes are scarce, and when a view counts as up to date. */
 class StoreClientTest {
     private final Settings settings = SettingsReader.read(TestJobs.SETTINGS.getBytes(StandardCharsets.UTF_8));
     private final Catalog catalog = new Catalog(settings);
@@ -36,13 +36,14 @@
 
     private List<Effect.Call> calls(String path) {
         return effects.drain().stream()
-                .filter(e -> e instanceof Effect.Call c && c.path().startsWith(path))
-                .map(e -> (Effect.Call) e)
+                .filter(effect ->
+                        effect instanceof Effect.Call call && call.path().startsWith(path))
+                .map(effect -> (Effect.Call) effect)
                 .toList();
     }
 
     private void replyTo(String path, int status, Map<String, Object> body) {
-        calls(path).forEach(c -> effects.completeCall(c.id(), status, body));
+        calls(path).forEach(call -> effects.completeCall(call.id(), status, body));
     }
 
     private void enqueue(String key, int rank, int bytes) {
@@ -72,13 +73,16 @@
         });
     }
 
-    private void advance(long ms) {
-        now += ms;
+    private void advance(long durationMs) {
+        now += durationMs;
         effects.setTime(now, now);
         store.tick();
     }
 
-    /** A dozen full rows are within the number of writes and beyond the 64 KiB: refused whole, and worked out again as they were. */
+    /**
+     * A dozen full rows stay within the number of writes but exceed 64 KiB. Such a transaction was rejected as a whole, and built again
+     * unchanged.
+     */
     @Test
     void transactionStaysWithinMaxBytes() {
         enqueue("first", 4, 10);
@@ -88,11 +92,14 @@
         }
         effects.completeCall(first.id(), 200, Map.of("epoch", 2L));
         advance(3_000);
-        Effect.Call all = calls("/multi").get(0);
-        assertThat(Json.size(all.body())).isBetween(30_000, 64 * 1024);
+        Effect.Call second = calls("/multi").get(0);
+        assertThat(Json.size(second.body())).isBetween(30_000, 64 * 1024);
     }
 
-    /** A swarm's ends took each row as it came, and submissions waited for the next. */
+    /**
+     * Outcomes of many short tasks took every row of the write limit as it became free, so that a submission had to wait for the next
+     * ones.
+     */
     @Test
     void unawaitedChangesLeaveRowsToAwaitedOnes() {
         for (int i = 0; i < 60; i++) {
@@ -102,16 +109,16 @@
             advance(10);
             replyTo("/multi", 200, Map.of("epoch", 2L + i));
         }
-        int before = builtChanges.size();
+        int builtBefore = builtChanges.size();
         enqueue("submitted", 2, 10);
         advance(40);
-        assertThat(builtChanges.subList(before, builtChanges.size())).contains("submitted");
+        assertThat(builtChanges.subList(builtBefore, builtChanges.size())).contains("submitted");
         assertThat(calls("/multi")).isNotEmpty();
     }
 
     /**
-     * A handover that was sent without an answer may yet be applied. Dropped because a lease in the same transaction had ended by the time of
-     * its second try, its controller answered workers again beside the new owner.
+     * A shard handover that got no response may still be applied. When it was dropped because a lease in the same transaction had ended
+     * before the second attempt, its controller answered workers again, in parallel with the new owner.
      */
     @Test
     void changeWithUnknownOutcomeSurvivesRejectedTransaction() {
@@ -125,26 +132,29 @@
         advance(1_000);
         replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
         advance(300);
-        assertThat(builtChanges).as("worked out again").contains("handover");
+        assertThat(builtChanges).as("built again").contains("handover");
     }
 
-    /** Sent in the same millisecond, but before the question came: what it reads may be older than what the user was told elsewhere. */
+    /**
+     * A read sent in the same millisecond as a request for an up-to-date view, but before it, does not answer the request: its result may
+     * be older than what another controller has told the user.
+     */
     @Test
     void readInProgressDoesNotAnswerALaterRequest() {
-        List<String> fresh = new ArrayList<>();
+        List<String> results = new ArrayList<>();
         advance(3_000);
         replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
         advance(1_000);
-        store.whenUpToDate(ok -> fresh.add("first " + ok));
-        List<Effect.Call> reads = calls("/watch");
-        assertThat(reads).isNotEmpty();
-        store.whenUpToDate(ok -> fresh.add("second " + ok));
-        effects.completeCall(reads.get(reads.size() - 1).id(), 200, Map.of("events", List.of(), "epoch", 1L));
-        assertThat(fresh).isNotEmpty().doesNotContain("second true");
+        store.whenUpToDate(ok -> results.add("first " + ok));
+        List<Effect.Call> watches = calls("/watch");
+        assertThat(watches).isNotEmpty();
+        store.whenUpToDate(ok -> results.add("second " + ok));
+        effects.completeCall(watches.get(watches.size() - 1).id(), 200, Map.of("events", List.of(), "epoch", 1L));
+        assertThat(results).isNotEmpty().doesNotContain("second true");
         for (int i = 0; i < 10; i++) {
             advance(100);
             replyTo("/watch", 200, Map.of("events", List.of(), "epoch", 1L));
         }
-        assertThat(fresh).contains("second true");
+        assertThat(results).contains("second true");
     }
 }
