--- a/src/main/java/birchusher/mesh/PeerCodec.java
+++ b/src/main/java/birchusher/mesh/PeerCodec.java
@@ -24,18 +24,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records between controllers: a version, the sender, a kind, then the fields. The frame's length goes before. */
+/**
+ * Binary form of the {@link PeerRecord}s: version (1 byte), name of the sending member, its incarnation, kind of record (1 byte), then the
+ * fields in order, all as {@link DataOutputStream} writes them. The connection puts the length of the record before it.
+ */
 public final class PeerCodec {
     public static final int VERSION = 3;
-    /** The version before, without the sender's incarnation. Still read, so that controllers can be replaced one by one. */
+    /** The previous version, without the sender's incarnation. Still read, so that controllers can be upgraded one at a time. */
     private static final int PREVIOUS_VERSION = 2;
 
+    /** Longest record that is sent or accepted. */
     public static final int MAX_RECORD_BYTES = 512 * 1024;
+
     private static final int MAX_LIST_LENGTH = 20_000;
     private static final int FLAG_ALL_OR_NOTHING = 1;
     private static final int FLAG_WITH_PREEMPTION = 2;
 
-    /** A record with the member that sent it and which life of it; 0: not told. */
+    /** A record with the member that sent it, and the member's incarnation; 0: unknown, from the previous version. */
     public record Envelope(String member, long incarnation, PeerRecord record) {}
 
     private interface Writer<T> {
@@ -48,80 +53,81 @@
 
     private PeerCodec() {}
 
-    public static byte[] encode(String member, long incarnation, PeerRecord r) {
+    /** Encodes a record of a member's incarnation. */
+    public static byte[] encode(String member, long incarnation, PeerRecord record) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(VERSION);
             out.writeUTF(member);
             out.writeLong(incarnation);
-            if (r instanceof Heartbeat h) {
+            if (record instanceof Heartbeat heartbeat) {
                 out.writeByte(1);
-                out.writeLong(h.incarnation());
-                out.writeBoolean(h.storeHealthy());
-                list(out, h.seenTerms(), DataOutputStream::writeLong);
-                list(out, h.ownedTerms(), DataOutputStream::writeLong);
-                list(out, h.machines(), PeerCodec::machine);
-                list(out, h.withdrawnMachines(), DataOutputStream::writeUTF);
-                list(out, h.deletedMachines(), DataOutputStream::writeUTF);
-            } else if (r instanceof Offer o) {
+                out.writeLong(heartbeat.incarnation());
+                out.writeBoolean(heartbeat.storeHealthy());
+                writeList(out, heartbeat.seenTerms(), DataOutputStream::writeLong);
+                writeList(out, heartbeat.ownedTerms(), DataOutputStream::writeLong);
+                writeList(out, heartbeat.machines(), PeerCodec::writeMachine);
+                writeList(out, heartbeat.withdrawnMachines(), DataOutputStream::writeUTF);
+                writeList(out, heartbeat.deletedMachines(), DataOutputStream::writeUTF);
+            } else if (record instanceof Offer offer) {
                 out.writeByte(2);
-                out.writeLong(o.id());
-                // One byte, as a plain "whole" was: a controller of the version before reads both as that and refuses
-                // what has no room.
-                out.writeByte(
-                        (o.allOrNothing() ? FLAG_ALL_OR_NOTHING : 0) | (o.withPreemption() ? FLAG_WITH_PREEMPTION : 0));
-                list(out, o.tasks(), PeerCodec::offeredTask);
-            } else if (r instanceof OfferReply v) {
+                out.writeLong(offer.id());
+                // One byte, like the boolean "all or nothing" of the previous version, which reads any flag as true and
+                // refuses tasks for which there is no free capacity.
+                out.writeByte((offer.allOrNothing() ? FLAG_ALL_OR_NOTHING : 0)
+                        | (offer.withPreemption() ? FLAG_WITH_PREEMPTION : 0));
+                writeList(out, offer.tasks(), PeerCodec::writeOfferedTask);
+            } else if (record instanceof OfferReply reply) {
                 out.writeByte(3);
-                out.writeLong(v.id());
-                list(out, v.refusals(), DataOutputStream::writeUTF);
-                list(out, v.terms(), DataOutputStream::writeLong);
-            } else if (r instanceof StopRequest s) {
+                out.writeLong(reply.id());
+                writeList(out, reply.refusals(), DataOutputStream::writeUTF);
+                writeList(out, reply.terms(), DataOutputStream::writeLong);
+            } else if (record instanceof StopRequest stop) {
                 out.writeByte(4);
-                out.writeUTF(s.job());
-                out.writeInt(s.task());
-                out.writeLong(s.attempt());
-                out.writeDouble(s.graceS());
-                out.writeUTF(s.reason());
-            } else if (r instanceof ReturnRequest x) {
+                out.writeUTF(stop.job());
+                out.writeInt(stop.task());
+                out.writeLong(stop.attempt());
+                out.writeDouble(stop.graceS());
+                out.writeUTF(stop.reason());
+            } else if (record instanceof ReturnRequest request) {
                 out.writeByte(5);
-                out.writeUTF(x.machine());
-                out.writeBoolean(x.withTasks());
-            } else if (r instanceof ReturnReply x) {
+                out.writeUTF(request.machine());
+                out.writeBoolean(request.withTasks());
+            } else if (record instanceof ReturnReply reply) {
                 out.writeByte(6);
-                out.writeUTF(x.machine());
-                out.writeBoolean(x.agreed());
-            } else if (r instanceof AttemptOutcomes o) {
+                out.writeUTF(reply.machine());
+                out.writeBoolean(reply.agreed());
+            } else if (record instanceof AttemptOutcomes outcomes) {
                 out.writeByte(7);
-                list(out, o.outcomes(), (d, e) -> {
-                    d.writeUTF(e.job());
-                    d.writeInt(e.task());
-                    d.writeLong(e.attempt());
-                    d.writeUTF(e.machine());
-                    d.writeInt(e.shard());
-                    d.writeLong(e.term());
-                    d.writeByte(e.kindOrdinal());
+                writeList(out, outcomes.outcomes(), (data, outcome) -> {
+                    data.writeUTF(outcome.job());
+                    data.writeInt(outcome.task());
+                    data.writeLong(outcome.attempt());
+                    data.writeUTF(outcome.machine());
+                    data.writeInt(outcome.shard());
+                    data.writeLong(outcome.term());
+                    data.writeByte(outcome.kindOrdinal());
                 });
-            } else if (r instanceof WithdrawnOffer x) {
+            } else if (record instanceof WithdrawnOffer withdrawn) {
                 out.writeByte(8);
-                list(out, x.tasks(), PeerCodec::offeredTask);
-            } else if (r instanceof DroppedTasks x) {
+                writeList(out, withdrawn.tasks(), PeerCodec::writeOfferedTask);
+            } else if (record instanceof DroppedTasks dropped) {
                 out.writeByte(9);
-                out.writeInt(x.count());
-            } else if (r instanceof RevisionQuery q) {
+                out.writeInt(dropped.count());
+            } else if (record instanceof RevisionQuery query) {
                 out.writeByte(10);
-                out.writeLong(q.sentAtMs());
-                out.writeLong(q.appliedRevision());
-            } else if (r instanceof RevisionReply a) {
+                out.writeLong(query.sentAtMs());
+                out.writeLong(query.appliedRevision());
+            } else if (record instanceof RevisionReply reply) {
                 out.writeByte(11);
-                out.writeLong(a.querySentAtMs());
-                out.writeLong(a.querierIncarnation());
-                out.writeBoolean(a.storeHealthy());
-                out.writeLong(a.knownRevision());
-                out.writeLong(a.sinceRevision());
-                list(out, a.cancellations(), (d, c) -> {
-                    d.writeUTF(c.job());
-                    d.writeLong(c.revision());
+                out.writeLong(reply.querySentAtMs());
+                out.writeLong(reply.querierIncarnation());
+                out.writeBoolean(reply.storeHealthy());
+                out.writeLong(reply.knownRevision());
+                out.writeLong(reply.sinceRevision());
+                writeList(out, reply.cancellations(), (data, cancellation) -> {
+                    data.writeUTF(cancellation.job());
+                    data.writeLong(cancellation.revision());
                 });
             }
         } catch (IOException e) {
@@ -130,42 +136,45 @@
         return bytes.toByteArray();
     }
 
-    public static Envelope decode(byte[] record) {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(record))) {
+    /** Decodes a record; throws {@link InvalidInputException} if it is of an unknown version or kind, truncated or otherwise malformed. */
+    public static Envelope decode(byte[] bytes) {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             int version = in.readByte();
             if (version != VERSION && version != PREVIOUS_VERSION) {
-                throw new InvalidInputException("peer record of version " + version);
+                throw new InvalidInputException("peer record: unsupported version " + version);
             }
             String member = in.readUTF();
             long incarnation = version == PREVIOUS_VERSION ? 0 : in.readLong();
-            PeerRecord r =
+            PeerRecord decoded =
                     switch (in.readByte()) {
                         case 1 -> new Heartbeat(
                                 in.readLong(),
                                 in.readBoolean(),
-                                list(in, d -> d.readLong()),
-                                list(in, d -> d.readLong()),
-                                list(in, PeerCodec::machine),
-                                list(in, d -> d.readUTF()),
-                                list(in, d -> d.readUTF()));
-                        case 2 -> offer(in);
+                                readList(in, data -> data.readLong()),
+                                readList(in, data -> data.readLong()),
+                                readList(in, PeerCodec::readMachine),
+                                readList(in, data -> data.readUTF()),
+                                readList(in, data -> data.readUTF()));
+                        case 2 -> readOffer(in);
                         case 3 -> new OfferReply(
-                                in.readLong(), list(in, d -> d.readUTF()), list(in, d -> d.readLong()));
+                                in.readLong(),
+                                readList(in, data -> data.readUTF()),
+                                readList(in, data -> data.readLong()));
                         case 4 -> new StopRequest(
                                 in.readUTF(), in.readInt(), in.readLong(), in.readDouble(), in.readUTF());
                         case 5 -> new ReturnRequest(in.readUTF(), in.readBoolean());
                         case 6 -> new ReturnReply(in.readUTF(), in.readBoolean());
-                        case 7 -> new AttemptOutcomes(list(
+                        case 7 -> new AttemptOutcomes(readList(
                                 in,
-                                d -> new AttemptOutcome(
-                                        d.readUTF(),
-                                        d.readInt(),
-                                        d.readLong(),
-                                        d.readUTF(),
-                                        d.readInt(),
-                                        d.readLong(),
-                                        d.readByte())));
-                        case 8 -> new WithdrawnOffer(list(in, PeerCodec::offeredTask));
+                                data -> new AttemptOutcome(
+                                        data.readUTF(),
+                                        data.readInt(),
+                                        data.readLong(),
+                                        data.readUTF(),
+                                        data.readInt(),
+                                        data.readLong(),
+                                        data.readByte())));
+                        case 8 -> new WithdrawnOffer(readList(in, PeerCodec::readOfferedTask));
                         case 9 -> new DroppedTasks(Math.max(0, in.readInt()));
                         case 10 -> new RevisionQuery(in.readLong(), in.readLong());
                         case 11 -> new RevisionReply(
@@ -174,60 +183,60 @@
                                 in.readBoolean(),
                                 in.readLong(),
                                 in.readLong(),
-                                list(in, d -> new Cancellation(d.readUTF(), d.readLong())));
-                        default -> throw new InvalidInputException("peer record of unknown kind");
+                                readList(in, data -> new Cancellation(data.readUTF(), data.readLong())));
+                        default -> throw new InvalidInputException("peer record: unknown kind");
                     };
             if (in.available() > 0) {
-                throw new InvalidInputException("peer record with bytes after its end");
+                throw new InvalidInputException("peer record: bytes after its end");
             }
-            return new Envelope(member, incarnation, r);
+            return new Envelope(member, incarnation, decoded);
         } catch (IOException e) {
             throw new InvalidInputException("peer record cut off");
         }
     }
 
-    private static Offer offer(DataInputStream in) throws IOException {
+    private static Offer readOffer(DataInputStream in) throws IOException {
         long id = in.readLong();
         int flags = in.readByte();
         return new Offer(
                 id,
                 (flags & FLAG_ALL_OR_NOTHING) != 0,
                 (flags & FLAG_WITH_PREEMPTION) != 0,
-                list(in, PeerCodec::offeredTask));
+                readList(in, PeerCodec::readOfferedTask));
     }
 
-    private static void offeredTask(DataOutputStream out, OfferedTask i) throws IOException {
-        out.writeUTF(i.job());
-        out.writeInt(i.task());
-        out.writeUTF(i.machine());
-        out.writeLong(i.session());
+    private static void writeOfferedTask(DataOutputStream out, OfferedTask task) throws IOException {
+        out.writeUTF(task.job());
+        out.writeInt(task.task());
+        out.writeUTF(task.machine());
+        out.writeLong(task.session());
     }
 
-    private static OfferedTask offeredTask(DataInputStream in) throws IOException {
+    private static OfferedTask readOfferedTask(DataInputStream in) throws IOException {
         return new OfferedTask(in.readUTF(), in.readInt(), in.readUTF(), in.readLong());
     }
 
-    private static void machine(DataOutputStream out, Machine m) throws IOException {
-        out.writeUTF(m.name());
-        out.writeUTF(m.type());
-        out.writeUTF(m.zone());
-        out.writeBoolean(m.spot());
-        out.writeLong(m.session());
-        out.writeInt(m.shard());
-        out.writeInt(m.flags());
-        out.writeInt(m.silentMs());
-        out.writeInt(m.idleMs());
-        out.writeDouble(m.speed());
-        out.writeDouble(m.unclaimedCpus());
-        out.writeDouble(m.unclaimedGpus());
-        out.writeDouble(m.unclaimedMemoryGb());
-        list(out, m.fetchingImages(), DataOutputStream::writeUTF);
-        list(out, m.fetchRemainingMs(), DataOutputStream::writeInt);
-        list(out, m.images(), DataOutputStream::writeUTF);
-        list(out, m.reservedTasks(), DataOutputStream::writeUTF);
+    private static void writeMachine(DataOutputStream out, Machine machine) throws IOException {
+        out.writeUTF(machine.name());
+        out.writeUTF(machine.type());
+        out.writeUTF(machine.zone());
+        out.writeBoolean(machine.spot());
+        out.writeLong(machine.session());
+        out.writeInt(machine.shard());
+        out.writeInt(machine.flags());
+        out.writeInt(machine.silentMs());
+        out.writeInt(machine.idleMs());
+        out.writeDouble(machine.speed());
+        out.writeDouble(machine.unclaimedCpus());
+        out.writeDouble(machine.unclaimedGpus());
+        out.writeDouble(machine.unclaimedMemoryGb());
+        writeList(out, machine.fetchingImages(), DataOutputStream::writeUTF);
+        writeList(out, machine.fetchRemainingMs(), DataOutputStream::writeInt);
+        writeList(out, machine.images(), DataOutputStream::writeUTF);
+        writeList(out, machine.reservedTasks(), DataOutputStream::writeUTF);
     }
 
-    private static Machine machine(DataInputStream in) throws IOException {
+    private static Machine readMachine(DataInputStream in) throws IOException {
         return new Machine(
                 in.readUTF(),
                 in.readUTF(),
@@ -242,28 +251,29 @@
                 in.readDouble(),
                 in.readDouble(),
                 in.readDouble(),
-                list(in, d -> d.readUTF()),
-                list(in, d -> d.readInt()),
-                list(in, d -> d.readUTF()),
-                list(in, d -> d.readUTF()));
+                readList(in, data -> data.readUTF()),
+                readList(in, data -> data.readInt()),
+                readList(in, data -> data.readUTF()),
+                readList(in, data -> data.readUTF()));
     }
 
-    private static <T> void list(DataOutputStream out, List<T> l, Writer<? super T> w) throws IOException {
-        out.writeInt(l.size());
-        for (T t : l) {
-            w.write(out, t);
+    private static <T> void writeList(DataOutputStream out, List<T> values, Writer<? super T> writer)
+            throws IOException {
+        out.writeInt(values.size());
+        for (T value : values) {
+            writer.write(out, value);
         }
     }
 
-    private static <T> List<T> list(DataInputStream in, Reader<T> r) throws IOException {
-        int n = in.readInt();
-        if (n < 0 || n > MAX_LIST_LENGTH || n > in.available()) {
-            throw new InvalidInputException("peer record with a list of " + n);
+    private static <T> List<T> readList(DataInputStream in, Reader<T> reader) throws IOException {
+        int size = in.readInt();
+        if (size < 0 || size > MAX_LIST_LENGTH || size > in.available()) {
+            throw new InvalidInputException("peer record: invalid list length " + size);
         }
-        List<T> l = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
-            l.add(r.read(in));
+        List<T> values = new ArrayList<>(size);
+        for (int i = 0; i < size; i++) {
+            values.add(reader.read(in));
         }
-        return l;
+        return values;
     }
 }
--- a/src/main/java/birchusher/mesh/PeerRecord.java
+++ b/src/main/java/birchusher/mesh/PeerRecord.java
@@ -2,9 +2,25 @@
 
 import java.util.List;
 
-/** What controllers tell each other. Everything here may be lost, late or repeated; nothing is safe because of it. */
+/**
+ * The records that controllers exchange over their peer connections. Any of them may be lost, delayed or repeated, so no safety property
+ * depends on them. Binary form: {@link PeerCodec}.
+ */
 public sealed interface PeerRecord {
-    /** One machine as its owner sees it; names, as indices are each process's own. */
+    /**
+     * The status of one machine as its owner publishes it. Types, zones and images are given by name, as indices differ between
+     * processes.
+     *
+     * @param session the worker session that the owner knows
+     * @param flags the sum of {@link #USABLE} and the other flags
+     * @param silentMs time without reports beyond what is normal, else 0
+     * @param idleMs time without work, negative while there is work
+     * @param speed mean ratio of expected to observed run time
+     * @param unclaimedCpus capacity used by tasks without a claim, as are {@code unclaimedGpus} and {@code unclaimedMemoryGb}
+     * @param fetchRemainingMs expected remaining time for each of {@code fetchingImages}
+     * @param images images on the machine
+     * @param reservedTasks keys of the tasks for which capacity is reserved until they are claimed
+     */
     record Machine(
             String name,
             String type,
@@ -23,36 +39,47 @@
             List<Integer> fetchRemainingMs,
             List<String> images,
             List<String> reservedTasks) {
+        /** Takes tasks. */
         public static final int USABLE = 1;
+        /** Quarantined, as its tasks fail. */
         public static final int FAULTY = 2;
+        /** To be returned to the cloud. */
         public static final int LEAVING = 4;
-        /** A controller of the version before ignores it, and does not set it. */
+        /**
+         * Reports, and becomes usable once its worker confirms that it receives responses. Controllers of the previous version ignore
+         * and never set it.
+         */
         public static final int ARRIVING = 8;
 
-        /** Whether another record of the machine would tell a listener nothing new; times that just pass are not news. */
-        public boolean sameStatus(Machine o) {
-            return type.equals(o.type)
-                    && zone.equals(o.zone)
-                    && spot == o.spot
-                    && session == o.session
-                    && shard == o.shard
-                    && flags == o.flags
-                    && silentMs == o.silentMs
-                    && idleMs < 0 == o.idleMs < 0
-                    && speed == o.speed
-                    && unclaimedCpus == o.unclaimedCpus
-                    && unclaimedGpus == o.unclaimedGpus
-                    && unclaimedMemoryGb == o.unclaimedMemoryGb
-                    && fetchingImages.equals(o.fetchingImages)
-                    && images.equals(o.images)
-                    && reservedTasks.equals(o.reservedTasks);
+        /** Returns whether another record has no news for a peer. Idle and fetch times that merely advance are not news. */
+        public boolean sameStatus(Machine other) {
+            return type.equals(other.type)
+                    && zone.equals(other.zone)
+                    && spot == other.spot
+                    && session == other.session
+                    && shard == other.shard
+                    && flags == other.flags
+                    && silentMs == other.silentMs
+                    && idleMs < 0 == other.idleMs < 0
+                    && speed == other.speed
+                    && unclaimedCpus == other.unclaimedCpus
+                    && unclaimedGpus == other.unclaimedGpus
+                    && unclaimedMemoryGb == other.unclaimedMemoryGb
+                    && fetchingImages.equals(other.fetchingImages)
+                    && images.equals(other.images)
+                    && reservedTasks.equals(other.reservedTasks);
         }
     }
 
     /**
-     * {@code terms}: per shard the highest term that the sender has seen, 0 where it owns the shard itself. {@code owned}: per
-     * shard the term it owns it by, else 0. {@code machines}:
-     * those with news. {@code left}: those that it speaks of no more. {@code gone}: deletions confirmed lately.
+     * Sent periodically to every member.
+     *
+     * @param storeHealthy the state service answers the sender
+     * @param seenTerms per shard the highest term that the sender has seen, 0 where it owns the shard itself
+     * @param ownedTerms per shard the term under which the sender owns it, else 0
+     * @param machines those with changes, and each machine from time to time
+     * @param withdrawnMachines those that the sender no longer publishes: returned, or owned by another controller
+     * @param deletedMachines those whose deletion the cloud has recently confirmed
      */
     record Heartbeat(
             long incarnation,
@@ -64,56 +91,68 @@
             List<String> deletedMachines)
             implements PeerRecord {}
 
-    /** One task offered on one machine, in the worker's session that the offering controller saw. */
+    /** A task offered for one machine, in the worker session that the offering controller saw. */
     record OfferedTask(String job, int task, String machine, long session) {}
 
     /**
-     * {@code whole}: all of it or nothing. {@code makesRoom}: room counts that work of lower priority leaves once the claim
-     * stands; only ever with {@code whole}.
+     * Sent by a job scheduler to the owner of machines before it claims them.
+     *
+     * @param allOrNothing the owner accepts either all tasks or none
+     * @param withPreemption capacity that lower-priority tasks free once the claim is stored counts as free; only with {@code allOrNothing}
      */
     record Offer(long id, boolean allOrNothing, boolean withPreemption, List<OfferedTask> tasks)
             implements PeerRecord {}
 
-    /** Accepted offers that come to nothing. */
+    /** Accepted offers that will not be claimed: the owner frees the capacity reserved for them. */
     record WithdrawnOffer(List<OfferedTask> tasks) implements PeerRecord {}
 
-    /** Per item "" for yes, else the reason; with the term under which the owner holds each shard. */
+    /**
+     * The owner's reply to an {@link Offer}.
+     *
+     * @param refusals per offered task "" if accepted, else the reason of the refusal
+     * @param terms per offered task the term of its machine's shard, 0 if the owner does not know the machine
+     */
     record OfferReply(long id, List<String> refusals, List<Long> terms) implements PeerRecord {}
 
-    /** Task -1: every task of the attempt. */
+    /** Asks an owner to stop a task of an attempt; task -1: every task of the attempt. */
     record StopRequest(String job, int task, long attempt, double graceS, String reason) implements PeerRecord {}
 
-    /** {@code withTasks}: even if replicas run there, which then move elsewhere. */
+    /** Asks the owner of a machine to let the autoscaler return it; {@code withTasks}: even if replicas run there, which then move. */
     record ReturnRequest(String machine, boolean withTasks) implements PeerRecord {}
 
-    /** The owner's answer to {@link Retire}. */
+    /** The owner's reply to a {@link ReturnRequest}. */
     record ReturnReply(String machine, boolean agreed) implements PeerRecord {}
 
-    /** The end of an attempt, proven under the sender's term; the kind as its ordinal. */
+    /** The end of an attempt, proven by the owner of its machine under a term; {@code kindOrdinal} is the ordinal of the outcome. */
     record AttemptOutcome(String job, int task, long attempt, String machine, int shard, long term, int kindOrdinal) {}
 
-    /** Ends of attempts that the owner of their machines has proved, for the controller that writes them. */
+    /** Outcomes that the owner of the machines has proven, sent to the job scheduler that writes them to the store. */
     record AttemptOutcomes(List<AttemptOutcome> outcomes) implements PeerRecord {}
 
     /**
-     * How many tasks that the sender drives were dropped by their workers lately and have no place yet. Sent with the heartbeats while
-     * there are any, and once more as 0; a controller of the version before refuses it, and goes on as it did.
+     * The number of tasks scheduled by the sender that were recently dropped by their workers and are not placed yet. Sent with the
+     * heartbeats while there are any, and once more as 0. Controllers of the previous version reject it and continue without it.
      */
     record DroppedTasks(int count) implements PeerRecord {}
 
-    /** A cancellation and the revision that made it. */
+    /** The cancellation of a job and the revision that made it. */
     record Cancellation(String job, long revision) {}
 
     /**
-     * Asked of every member by one that the state service does not answer: does it know of anything after revision {@code applied}?
-     * {@code sentAt} is the asker's steady time. A controller of the version before refuses it, which is no word.
+     * Asks every member whether it knows of any revision after {@code appliedRevision}; sent by a member that the state service does not
+     * answer. {@code sentAtMs} is the sender's steady time. Controllers of the previous version reject it, so they send no reply.
      */
     record RevisionQuery(long sentAtMs, long appliedRevision) implements PeerRecord {}
 
     /**
-     * The answer, with what was asked echoed: {@code sentAt}, and the asker's {@code incarnation}. {@code served}: by the state service,
-     * as far as is known. {@code known}: the highest revision known, -1: none. {@code cancelled}: all that is known to have been cancelled
-     * after revision {@code since}; -1: that can't be told.
+     * The reply to a {@link RevisionQuery}.
+     *
+     * @param querySentAtMs echo of the query's time
+     * @param querierIncarnation echo of the incarnation that sent the query
+     * @param storeHealthy the state service answers the replying member, as far as it knows
+     * @param knownRevision the highest revision that the replying member knows, -1: none
+     * @param sinceRevision the revision after which {@code cancellations} are complete, -1: they are unknown
+     * @param cancellations all cancellations known after {@code sinceRevision}
      */
     record RevisionReply(
             long querySentAtMs,
--- a/src/test/java/birchusher/PeerCodecTest.java
+++ b/src/test/java/birchusher/PeerCodecTest.java
@@ -51,37 +51,38 @@
 
     @Test
     void decodingReturnsTheEncodedRecord() {
-        for (PeerRecord r : RECORDS) {
-            assertThat(PeerCodec.decode(PeerCodec.encode("perch-1", 8, r)))
-                    .isEqualTo(new PeerCodec.Envelope("perch-1", 8, r));
+        for (PeerRecord record : RECORDS) {
+            assertThat(PeerCodec.decode(PeerCodec.encode("perch-1", 8, record)))
+                    .isEqualTo(new PeerCodec.Envelope("perch-1", 8, record));
         }
     }
 
     @Test
     void truncatedRecordIsRejected() {
-        for (PeerRecord r : RECORDS) {
-            byte[] whole = PeerCodec.encode("perch-1", 8, r);
-            for (int n = 0; n < whole.length; n++) {
-                byte[] part = Arrays.copyOf(whole, n);
-                assertThatThrownBy(() -> PeerCodec.decode(part)).isInstanceOf(InvalidInputException.class);
+        for (PeerRecord record : RECORDS) {
+            byte[] encoded = PeerCodec.encode("perch-1", 8, record);
+            for (int length = 0; length < encoded.length; length++) {
+                byte[] truncated = Arrays.copyOf(encoded, length);
+                assertThatThrownBy(() -> PeerCodec.decode(truncated)).isInstanceOf(InvalidInputException.class);
             }
         }
     }
 
+    /** Two random bytes of each record are overwritten: decoding may succeed or throw the exception for invalid input, nothing else. */
     @Test
     void corruptedRecordIsDecodedOrRejected() {
         Random random = new Random(5);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 5_000; i++) {
-            byte[] b = PeerCodec.encode("perch-1", 8, RECORDS.get(i % RECORDS.size()));
-            b[random.nextInt(b.length)] = (byte) random.nextInt();
-            b[random.nextInt(b.length)] = (byte) random.nextInt();
+            byte[] bytes = PeerCodec.encode("perch-1", 8, RECORDS.get(i % RECORDS.size()));
+            bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
+            bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             try {
-                PeerCodec.decode(b);
+                PeerCodec.decode(bytes);
             } catch (InvalidInputException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertThat(refused).isGreaterThan(500);
+        assertThat(rejected).isGreaterThan(500);
     }
 }
