--- a/src/main/java/birchusher/mesh/PeerRecord.java
+++ b/src/main/java/birchusher/mesh/PeerRecord.java
@@ -41,7 +41,7 @@
             List<String> reservedTasks) {
         /** Takes tasks. */
         public static final int USABLE = 1;
-        /** Quarantined, as its tasks fail. */
+        /** Considered faulty, as tasks of different jobs fail on it. */
         public static final int FAULTY = 2;
         /** To be returned to the cloud. */
         public static final int LEAVING = 4;
