--- a/src/main/java/birchusher/membership/Membership.java
+++ b/src/main/java/birchusher/membership/Membership.java
@@ -21,22 +21,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Membership and who owns which workers. The seat's lease is the safety bound: nobody answers workers without it.
- * Heartbeats are only a hint about who is alive, and never decide anything by themselves.
+ * This controller's membership in the cluster and the ownership of shards of machines.
+ *
+ * <p>A controller is a member while the state service keeps its row, which is attached to the member lease. The lease
+ * is the safety bound: no controller answers workers without a valid one. Heartbeats between controllers are only
+ * hints about which of them are alive; no safety decision rests on them alone.
+ *
+ * <p>Members are addressed by index; index 0 is this controller. All times are in ms of the steady clock of
+ * {@link Effects} unless stated otherwise. Not thread-safe: it is driven by the thread that runs the controller core.
  */
 public final class Membership {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
 
     private static final long HANDOVER_TIMEOUT_MS = 1_000;
-    /** While we miss a controller in the mesh, a beat in our seat's row shows the others that we live. */
+    /** While a peer's heartbeats are missing, a heartbeat in the own member row shows that this controller is alive. */
     private static final long ROW_HEARTBEAT_INTERVAL_MS = 2_500;
 
     private static final long ROW_HEARTBEAT_TIMEOUT_MS = 6_500;
-    /** A controller that falls silent in the mesh has this long for its first beat. */
+    /** How long a controller whose peer heartbeats cease has to write its first row heartbeat. */
     private static final long FIRST_ROW_HEARTBEAT_GRACE_MS = 1_200;
     /** Two heartbeats. */
     private static final long RECENT_HEARTBEAT_MS = 1_000;
-    /** A shard that was taken for its workers' sake stays for a seat's lease, each time twice as long up to this often. */
+    /**
+     * A shard that was taken over because its workers could not reach the owner is kept for one member lease; the time
+     * doubles with each repetition, up to this many times.
+     */
     private static final int MAX_HANDOVER_DELAY_DOUBLINGS = 3;
 
     private final Effects effects;
@@ -48,7 +57,7 @@
     private final long suspicionTimeoutMs;
     private final long settleMs;
     private final int shardsPerZone;
-    /** When the state was first read; -1: not yet. */
+    /** When the state service's rows were first read completely; -1: not yet. */
     private long storeReadAtMs = -1;
 
     private final List<Settings.Peer> members = new ArrayList<>();
@@ -71,7 +80,7 @@
     private final long[] ownedSinceTerm;
     private final long[] fencedAtMs;
     private final long[] lastTakeoverMs;
-    /** When workers that could not reach its owner last made us take a shard, and how often. */
+    /** Per shard: when it was last taken over because workers could not reach its owner. */
     private final long[] ownerUnreachableAtMs;
 
     private BiPredicate<Integer, Integer> reachesWorkers = (member, zone) -> true;
@@ -84,123 +93,149 @@
     private long nextRowHeartbeatMs;
     private boolean rowHeartbeatPending;
     private final long[][] termsSeenByMember;
-    /** Per shard the highest term that another controller has told to own it by: higher than ours, we are replaced. */
+    /** Per shard: the highest term under which a peer said it owns it; above the own term, the peer is the owner. */
     private final long[] highestPeerTerm;
 
     private final Staleness staleness;
     private boolean takeoverPending;
+
+    /** Number of takeover transactions committed since this controller started, for the counters' log line. */
     public long takeovers;
 
-    public Membership(Effects effects, Settings s, Catalog catalog, StoreView view, StoreClient store, Tuning t) {
+    /** Creates a membership that is not registered yet; {@link #tick} obtains the lease and registers it. */
+    public Membership(
+            Effects effects, Settings settings, Catalog catalog, StoreView view, StoreClient store, Tuning tuning) {
         this.effects = effects;
-        this.settings = s;
+        this.settings = settings;
         this.catalog = catalog;
         this.view = view;
         this.store = store;
-        leaseMs = t.ms("seats.lease-s");
-        suspicionTimeoutMs = t.ms("seats.suspect-s");
-        settleMs = t.ms("seats.settle-s");
-        shardsPerZone = chooseShardsPerZone(s, (int) t.num("seats.shards-per-zone"));
-        members.add(new Settings.Peer(s.member(), s.zone(), s.mesh()));
-        members.addAll(s.peers());
+        leaseMs = tuning.ms("seats.lease-s");
+        suspicionTimeoutMs = tuning.ms("seats.suspect-s");
+        settleMs = tuning.ms("seats.settle-s");
+        shardsPerZone = chooseShardsPerZone(settings, (int) tuning.num("seats.shards-per-zone"));
+        members.add(new Settings.Peer(settings.member(), settings.zone(), settings.mesh()));
+        members.addAll(settings.peers());
         heartbeatAtMs = new long[members.size()];
         aliveSinceMs = new long[members.size()];
         storeHealthy = new boolean[members.size()];
         storeUnhealthySinceMs = new long[members.size()];
         java.util.Arrays.fill(heartbeatAtMs, Long.MIN_VALUE / 2);
         java.util.Arrays.fill(storeUnhealthySinceMs, -1);
-        int n = s.zones().size() * shardsPerZone;
-        shardKeys = new String[n];
-        for (int shard = 0; shard < n; shard++) {
+        int shardCount = settings.zones().size() * shardsPerZone;
+        shardKeys = new String[shardCount];
+        for (int shard = 0; shard < shardCount; shard++) {
             shardKeys[shard] = Keys.SHARD + catalog.zones.name(zoneOf(shard)) + "/" + shard % shardsPerZone;
         }
-        shardRows = new ShardRow[n];
-        handingOver = new boolean[n];
-        ownedSinceMs = new long[n];
-        ownedSinceTerm = new long[n];
-        fencedAtMs = new long[n];
-        lastTakeoverMs = new long[n];
-        ownerUnreachableAtMs = new long[n];
-        ownerUnreachableCount = new int[n];
+        shardRows = new ShardRow[shardCount];
+        handingOver = new boolean[shardCount];
+        ownedSinceMs = new long[shardCount];
+        ownedSinceTerm = new long[shardCount];
+        fencedAtMs = new long[shardCount];
+        lastTakeoverMs = new long[shardCount];
+        ownerUnreachableAtMs = new long[shardCount];
+        ownerUnreachableCount = new int[shardCount];
         java.util.Arrays.fill(ownerUnreachableAtMs, Long.MIN_VALUE / 2);
         java.util.Arrays.fill(lastTakeoverMs, Long.MIN_VALUE / 2);
-        workerWithoutOwnerAtMs = new long[n];
+        workerWithoutOwnerAtMs = new long[shardCount];
         java.util.Arrays.fill(workerWithoutOwnerAtMs, Long.MIN_VALUE / 2);
         seenIncarnation = new long[members.size()];
         rowHeartbeatVersion = new long[members.size()];
         rowHeartbeatAtMs = new long[members.size()];
         java.util.Arrays.fill(rowHeartbeatVersion, -1);
         java.util.Arrays.fill(rowHeartbeatAtMs, Long.MIN_VALUE / 2);
-        termsSeenByMember = new long[members.size()][n];
-        highestPeerTerm = new long[n];
-        staleness = new Staleness(effects, s, view, store);
+        termsSeenByMember = new long[members.size()][shardCount];
+        highestPeerTerm = new long[shardCount];
+        staleness = new Staleness(effects, settings, view, store);
         incarnation = effects.wallTime();
     }
 
     /**
-     * No two lives of a member may share an incarnation, and none may be lower than one before: a controller that is back within a
-     * blink, its clock set back or read in the same millisecond, would take the old one's seat and shards for its own.
+     * Raises the incarnation above every recorded one of this member. Two runs must never share an incarnation, and a
+     * later run must not have a lower one: a controller that restarts within the same millisecond, or with its clock
+     * set back, would take the member row and the shards of its previous run for its own.
      */
     private void raiseIncarnation() {
-        long last = recordedIncarnation(Keys.MEMBER_LEASE + settings.member(), null);
-        last = Math.max(last, recordedIncarnation(Keys.AUTOSCALER, "m"));
+        long highest = recordedIncarnation(Keys.MEMBER_LEASE + settings.member(), null);
+        highest = Math.max(highest, recordedIncarnation(Keys.AUTOSCALER, "m"));
         for (String key : shardKeys) {
-            last = Math.max(last, recordedIncarnation(key, "m"));
+            highest = Math.max(highest, recordedIncarnation(key, "m"));
         }
-        incarnation = Math.max(incarnation, last + 1);
+        incarnation = Math.max(incarnation, highest + 1);
     }
 
-    private long recordedIncarnation(String key, String owner) {
+    /**
+     * Returns the incarnation in a row, or 0 if there is no such row or it names another member.
+     *
+     * @param memberField the row's field that names the member; null: the row is always this member's
+     */
+    private long recordedIncarnation(String key, String memberField) {
         Map<String, Object> row = view.row(key);
-        return row == null || owner != null && !settings.member().equals(row.get(owner))
+        return row == null || memberField != null && !settings.member().equals(row.get(memberField))
                 ? 0
                 : Fields.countOr(row, "i", 0);
     }
 
-    /** As many as the fullest zone has controllers, so that all of them can own workers; the same for all controllers. */
-    private static int chooseShardsPerZone(Settings s, int asked) {
-        if (asked > 0) {
-            return asked;
+    /**
+     * Returns the number of shards of each zone: the configured one, else as many as the zone with most controllers
+     * has, at least 2, so that each of them can own workers. All controllers come to the same number.
+     *
+     * @param configured the configured number; 0: not configured
+     */
+    private static int chooseShardsPerZone(Settings settings, int configured) {
+        if (configured > 0) {
+            return configured;
         }
-        int most = 2;
-        for (String zone : s.zones()) {
-            int n = zone.equals(s.zone()) ? 1 : 0;
-            for (Settings.Peer p : s.peers()) {
-                n += zone.equals(p.zone()) ? 1 : 0;
+        int highest = 2;
+        for (String zone : settings.zones()) {
+            int controllers = zone.equals(settings.zone()) ? 1 : 0;
+            for (Settings.Peer peer : settings.peers()) {
+                controllers += zone.equals(peer.zone()) ? 1 : 0;
             }
-            most = Math.max(most, n);
+            highest = Math.max(highest, controllers);
         }
-        return most;
+        return highest;
     }
 
+    /** Returns the number of shards of all zones. */
     public int shardCount() {
         return handingOver.length;
     }
 
+    /**
+     * Returns the shard that a machine belongs to.
+     *
+     * @param zone the index of the machine's zone
+     */
     public int shardOf(String machine, int zone) {
         return zone * shardsPerZone + Math.floorMod(machine.hashCode() * 0x9E3779B1 >>> 7, shardsPerZone);
     }
 
+    /** Returns the index of a shard's zone. */
     public int zoneOf(int shard) {
         return shard / shardsPerZone;
     }
 
+    /** Returns the key of a shard's row in the state service. */
     public String shardKey(int shard) {
         return shardKeys[shard];
     }
 
-    /** A shard's row as the view has it. Every report and every picture of a machine asks for it several times. */
+    /**
+     * Returns a shard's row as the view has it. The decoded rows are cached until a row changes, as each report and
+     * each machine status needs them several times.
+     */
     private ShardRow shardRow(int shard) {
         if (shardRowsVersion != view.otherRowChangeCount()) {
             shardRowsVersion = view.otherRowChangeCount();
-            for (int s = 0; s < shardRows.length; s++) {
-                shardRows[s] = ShardRow.parse(view.row(shardKeys[s]));
+            for (int i = 0; i < shardRows.length; i++) {
+                shardRows[i] = ShardRow.parse(view.row(shardKeys[i]));
             }
         }
         return shardRows[shard];
     }
 
-    /** Owner, its incarnation and the term; no owner: null. */
+    /** A shard's owner, null if there is none, with the owner's incarnation and term. */
     private record ShardRow(String member, long incarnation, long term) {
         static ShardRow parse(Map<String, Object> row) {
             return row == null
@@ -210,27 +245,35 @@
         }
     }
 
+    /** Returns this controller's incarnation, which changes with each registration. */
     public long incarnation() {
         return incarnation;
     }
 
+    /** Returns the number of members in the settings, including this controller. */
     public int memberCount() {
         return members.size();
     }
 
-    public String memberName(int i) {
-        return members.get(i).member();
+    /** Returns the name of the member with an index. */
+    public String memberName(int index) {
+        return members.get(index).member();
     }
 
-    /** Whether our seat certainly still stands in the state service, by our own clock, and we know enough to act. */
+    /**
+     * Whether this controller may act as a member: by its own clock the state service certainly still holds its member
+     * lease, and its view is up to date.
+     */
     public boolean canAct() {
         return registered && effects.now() < leaseValidUntilMs && staleness.isUpToDate();
     }
 
+    /** Returns the tracking of how stale the view is. */
     public Staleness staleness() {
         return staleness;
     }
 
+    /** Whether this controller owns a shard and may answer its workers. */
     public boolean owns(int shard) {
         return canAct()
                 && !handingOver[shard]
@@ -239,23 +282,23 @@
     }
 
     /**
-     * Whether our view holds everything up to when we took a shard. Before that, a task whose end and whose next place the owner
-     * before us has seen may still look as if it was to be started here.
+     * Whether the view holds everything up to the takeover of a shard. Before that, a task whose end and next claim
+     * the previous owner has seen may still look as if it was to be started on this shard's machines.
      */
     public boolean viewCoversTakeover(int shard) {
         return view.appliedRevision() >= view.version(shardKey(shard));
     }
 
-    /** Per shard the term under which we own it, 0 where we don't. */
+    /** Returns per shard the term under which this controller is its recorded owner, 0 for the other shards. */
     public List<Long> ownedTerms() {
-        List<Long> l = new ArrayList<>();
-        for (int s = 0; s < handingOver.length; s++) {
-            l.add(isRecordedOwner(s) ? term(s) : 0);
+        List<Long> terms = new ArrayList<>();
+        for (int shard = 0; shard < handingOver.length; shard++) {
+            terms.add(isRecordedOwner(shard) ? term(shard) : 0);
         }
-        return l;
+        return terms;
     }
 
-    /** The shards that we own and under which terms, for log lines: {@code 0@5,3@7}. */
+    /** Lists the shards whose recorded owner is this controller, with their terms, for log lines: {@code 0@5,3@7}. */
     public String describeOwnedShards() {
         StringJoiner owned = new StringJoiner(",");
         for (int shard = 0; shard < handingOver.length; shard++) {
@@ -266,52 +309,57 @@
         return owned.toString();
     }
 
-    /** Whether the row names this incarnation of ours, even while we may not act on it. */
+    /** Whether a shard's row names this incarnation of this controller as owner, even while it may not act on that. */
     public boolean isRecordedOwner(int shard) {
         return rowNames(shard, settings.member(), incarnation);
     }
 
-    private boolean rowNames(int shard, String member, long inc) {
+    private boolean rowNames(int shard, String member, long incarnation) {
         ShardRow row = shardRow(shard);
-        return member.equals(row.member) && row.incarnation == inc;
+        return member.equals(row.member) && row.incarnation == incarnation;
     }
 
+    /** Returns the term of a shard's present owner, 0 if it never had one. */
     public long term(int shard) {
         return shardRow(shard).term;
     }
 
-    /** The member a shard's row names, or null. */
+    /** Returns the member that a shard's row names as owner, or null. */
     public String ownerName(int shard) {
         return shardRow(shard).member;
     }
 
-    /** The index of a shard's owner if that one still sits in its seat and is heard of, else -1. */
+    /** Returns the index of a shard's owner if it is still a member and its heartbeats arrive, else -1. */
     public int connectedOwner(int shard) {
-        String m = ownerName(shard);
-        int i = m == null ? -1 : memberIndex(m);
-        return i >= 0 && isOwnerMember(shard) && isConnected(i) ? i : -1;
+        String owner = ownerName(shard);
+        int index = owner == null ? -1 : memberIndex(owner);
+        return index >= 0 && isOwnerMember(shard) && isConnected(index) ? index : -1;
     }
 
-    /** The same, but it is enough that the owner is seen to live: workers may reach it though we can't. */
+    /**
+     * Returns the index of a shard's owner if it is still a member and {@link #isAlive}, else -1. Workers may reach an
+     * owner whose heartbeats do not arrive at this controller.
+     */
     public int aliveOwner(int shard) {
-        String m = ownerName(shard);
-        int i = m == null ? -1 : memberIndex(m);
-        return i >= 0 && isOwnerMember(shard) && isAlive(i) ? i : -1;
+        String owner = ownerName(shard);
+        int index = owner == null ? -1 : memberIndex(owner);
+        return index >= 0 && isOwnerMember(shard) && isAlive(index) ? index : -1;
     }
 
-    /** When we began to own this shard under its present owner row, by the steady clock. */
+    /** Returns when this controller's present ownership of a shard was first seen in the view. */
     public long ownedSinceMs(int shard) {
         return ownedSinceMs[shard];
     }
 
     /**
-     * When it became certain that no earlier owner can answer this shard's workers any more, or -1. A silent worker's
-     * lease is counted from there at the earliest.
+     * Returns when it became certain that no earlier owner can answer this shard's workers any more, or -1. The lease
+     * of a silent worker is counted from then at the earliest.
      */
     public long fencedAtMs(int shard) {
         return fencedAtMs[shard];
     }
 
+    /** Returns a member's index, or -1 if the settings do not name it. */
     public int memberIndex(String member) {
         for (int i = 0; i < members.size(); i++) {
             if (members.get(i).member().equals(member)) {
@@ -321,41 +369,50 @@
         return -1;
     }
 
-    public boolean isConnected(int i) {
-        return i == 0 || effects.now() - heartbeatAtMs[i] < suspicionTimeoutMs;
+    /** Whether a heartbeat of a member arrived within the suspicion time-out; always true of this controller. */
+    public boolean isConnected(int member) {
+        return member == 0 || effects.now() - heartbeatAtMs[member] < suspicionTimeoutMs;
     }
 
-    /** Served by the state service and heard in the mesh. */
-    private boolean isConnectedAndServed(int i) {
-        return i == 0 ? store.healthy() : isConnected(i) && storeHealthy[i];
+    /** Whether a member's heartbeats arrive and the state service answers it. */
+    private boolean isConnectedAndServed(int member) {
+        return member == 0 ? store.healthy() : isConnected(member) && storeHealthy[member];
     }
 
     /**
-     * Heard in the mesh, or seen to write to the state service lately. A silent mesh alone once made seven controllers take
-     * the same shards from each other twice a second, each time with the autoscaler's row.
+     * Whether a member's heartbeats arrive or it recently wrote a heartbeat to its row in the state service. Lost peer
+     * connections alone must not count as a failure: with seven controllers that could not reach each other, all of
+     * them took the same shards, and the autoscaler's row with them, from each other twice a second.
      */
-    public boolean isAlive(int i) {
+    public boolean isAlive(int member) {
         long now = effects.now();
-        return i == 0
-                || now - heartbeatAtMs[i] < suspicionTimeoutMs + FIRST_ROW_HEARTBEAT_GRACE_MS
-                || now - rowHeartbeatAtMs[i] < ROW_HEARTBEAT_TIMEOUT_MS;
+        return member == 0
+                || now - heartbeatAtMs[member] < suspicionTimeoutMs + FIRST_ROW_HEARTBEAT_GRACE_MS
+                || now - rowHeartbeatAtMs[member] < ROW_HEARTBEAT_TIMEOUT_MS;
     }
 
-    /** Heard just now, and in the same life for at least so long. */
-    public boolean isConnectedFor(int i, long ms) {
-        return effects.now() - heartbeatAtMs[i] < RECENT_HEARTBEAT_MS && effects.now() - aliveSinceMs[i] > ms;
+    /**
+     * Whether a heartbeat arrived just before, and the same incarnation has been connected for longer than {@code
+     * ms}.
+     */
+    public boolean isConnectedFor(int member, long ms) {
+        return effects.now() - heartbeatAtMs[member] < RECENT_HEARTBEAT_MS && effects.now() - aliveSinceMs[member] > ms;
     }
 
-    private boolean isAliveAndServed(int i) {
-        return i == 0
+    private boolean isAliveAndServed(int member) {
+        return member == 0
                 ? store.healthy()
-                : isConnected(i)
-                        ? storeHealthy[i]
-                        : isAlive(i)
-                                && (storeHealthy[i] || effects.now() - rowHeartbeatAtMs[i] < ROW_HEARTBEAT_TIMEOUT_MS);
+                : isConnected(member)
+                        ? storeHealthy[member]
+                        : isAlive(member)
+                                && (storeHealthy[member]
+                                        || effects.now() - rowHeartbeatAtMs[member] < ROW_HEARTBEAT_TIMEOUT_MS);
     }
 
-    /** Notes whose seat rows have changed. The first look tells nothing: the row may be a dead one's. */
+    /**
+     * Notes which members' rows have changed. The first version seen of a row proves nothing, as its writer may be
+     * dead.
+     */
     private void observeRowHeartbeats(long now) {
         for (int i = 1; i < members.size(); i++) {
             long version = view.version(Keys.MEMBER_LEASE + memberName(i));
@@ -366,6 +423,7 @@
         }
     }
 
+    /** Writes a heartbeat to the own row if a member's heartbeats are missing and the last row heartbeat is due. */
     private void writeRowHeartbeat(long now) {
         boolean missing = false;
         for (int i = 1; i < members.size(); i++) {
@@ -377,7 +435,7 @@
         rowHeartbeatPending = true;
         nextRowHeartbeatMs = now + ROW_HEARTBEAT_INTERVAL_MS;
         long id = leaseId;
-        long inc = incarnation;
+        long writtenIncarnation = incarnation;
         store.enqueue(new Change() {
             @Override
             public int rank() {
@@ -397,12 +455,12 @@
             @Override
             public boolean build(Transaction tx) {
                 if (leaseId != id
-                        || incarnation != inc
+                        || incarnation != writtenIncarnation
                         || !registered
                         || tx.writes(Keys.MEMBER_LEASE + settings.member())) {
                     return false;
                 }
-                tx.putWithLease(Keys.MEMBER_LEASE + settings.member(), Map.of("i", inc, "b", now), id);
+                tx.putWithLease(Keys.MEMBER_LEASE + settings.member(), Map.of("i", writtenIncarnation, "b", now), id);
                 return true;
             }
 
@@ -419,58 +477,70 @@
     }
 
     /**
-     * A heartbeat. The terms it has seen also settle who may still answer workers: a member that knows of our term does
-     * not answer under an older one any more. True if it was not heard of before, or not in this life.
+     * Handles a peer's heartbeat. The terms that the peer has seen also show who may still answer workers: a member
+     * that knows a shard's newer term no longer answers under an older one.
+     *
+     * @param member the peer's index
+     * @param itsStoreHealthy whether the state service answers the peer
+     * @param itsIncarnation the peer's incarnation
+     * @param terms per shard the highest term that the peer has seen, 0 where it owns the shard itself
+     * @param owned per shard the term under which the peer owns it, else 0
+     * @return whether the peer was not connected before, or with another incarnation
      */
-    public boolean handleHeartbeat(int i, boolean itsStoreOk, long itsIncarnation, List<Long> terms, List<Long> owned) {
-        boolean news = !isConnected(i) || seenIncarnation[i] != itsIncarnation;
-        seenIncarnation[i] = itsIncarnation;
+    public boolean handleHeartbeat(
+            int member, boolean itsStoreHealthy, long itsIncarnation, List<Long> terms, List<Long> owned) {
+        boolean reconnected = !isConnected(member) || seenIncarnation[member] != itsIncarnation;
+        seenIncarnation[member] = itsIncarnation;
         if (terms.size() == handingOver.length) {
-            for (int s = 0; s < handingOver.length; s++) {
-                termsSeenByMember[i][s] = terms.get(s);
+            for (int shard = 0; shard < handingOver.length; shard++) {
+                termsSeenByMember[member][shard] = terms.get(shard);
             }
         }
-        for (int s = 0; s < Math.min(owned.size(), highestPeerTerm.length); s++) {
-            highestPeerTerm[s] = Math.max(highestPeerTerm[s], owned.get(s));
+        for (int shard = 0; shard < Math.min(owned.size(), highestPeerTerm.length); shard++) {
+            highestPeerTerm[shard] = Math.max(highestPeerTerm[shard], owned.get(shard));
         }
-        if (news) {
-            // Also one that was back before anybody missed it: shards are handed to what has settled.
-            aliveSinceMs[i] = effects.now();
-            LOG.info("{} is heard of", memberName(i));
+        if (reconnected) {
+            // Includes a member that restarted before it was missed: shards are handed over only to members that have
+            // been alive for the settling time.
+            aliveSinceMs[member] = effects.now();
+            LOG.info("peer {} connected", memberName(member));
         }
-        heartbeatAtMs[i] = effects.now();
-        storeHealthy[i] = itsStoreOk;
-        if (itsStoreOk) {
-            storeUnhealthySinceMs[i] = -1;
-        } else if (storeUnhealthySinceMs[i] < 0) {
-            storeUnhealthySinceMs[i] = effects.now();
+        heartbeatAtMs[member] = effects.now();
+        storeHealthy[member] = itsStoreHealthy;
+        if (itsStoreHealthy) {
+            storeUnhealthySinceMs[member] = -1;
+        } else if (storeUnhealthySinceMs[member] < 0) {
+            storeUnhealthySinceMs[member] = effects.now();
         }
-        return news;
+        return reconnected;
     }
 
     /**
-     * Whether a record comes from an earlier life of a member than the one that is heard: it may have been long on its way. One that
-     * has fallen silent may be back with a clock that was set back.
+     * Whether a record comes from an earlier incarnation of a member than the one that is connected; such a record was
+     * delayed on its way. A lower incarnation of a member that is not connected is accepted, as the member may have
+     * restarted with its clock set back.
      */
-    public boolean isEarlierIncarnation(int i, long itsIncarnation) {
-        return itsIncarnation > 0 && itsIncarnation < seenIncarnation[i] && isConnected(i);
+    public boolean isEarlierIncarnation(int member, long itsIncarnation) {
+        return itsIncarnation > 0 && itsIncarnation < seenIncarnation[member] && isConnected(member);
     }
 
-    /** Per shard the highest term we know of, 0 where we may still answer under one of our own. */
+    /** Returns per shard the highest term known here, 0 where this controller may still answer under its own term. */
     public List<Long> highestTerms() {
-        List<Long> l = new ArrayList<>();
-        for (int s = 0; s < handingOver.length; s++) {
-            l.add(isRecordedOwner(s) ? 0 : term(s));
+        List<Long> terms = new ArrayList<>();
+        for (int shard = 0; shard < handingOver.length; shard++) {
+            terms.add(isRecordedOwner(shard) ? 0 : term(shard));
         }
-        return l;
+        return terms;
     }
 
-    /** A worker of a shard whose owner we don't hear of has come to us. */
+    /** Notes that a worker of a shard whose owner does not appear alive has reported to this controller. */
     public void workerWithoutOwner(int shard) {
         workerWithoutOwnerAtMs[shard] = effects.now();
     }
 
-    /** Whether another live controller is served by the state service, so that an outage seen here is ours alone. */
+    /**
+     * Whether the state service answers a connected peer, so that an outage seen here affects this controller alone.
+     */
     public boolean anyPeerServed() {
         for (int i = 1; i < members.size(); i++) {
             if (isConnected(i) && storeHealthy[i]) {
@@ -480,7 +550,7 @@
         return false;
     }
 
-    /** Whether we hear no other controller at all, though there are some. */
+    /** Whether no peer's heartbeats arrive although the settings name peers. */
     public boolean isIsolated() {
         for (int i = 1; i < members.size(); i++) {
             if (isConnected(i)) {
@@ -490,19 +560,23 @@
         return members.size() > 1;
     }
 
+    /** Whether this controller is the job scheduler of a job. */
     public boolean schedules(String job) {
         return schedulerOf(job) == 0;
     }
 
-    /** The member that drives this job, by rendezvous; disagreement is harmless. */
+    /**
+     * Returns the index of the member that schedules a job, by rendezvous hashing over the members that are connected
+     * and served. Members may disagree for a while, which is harmless.
+     */
     public int schedulerOf(String job) {
         int best = 0;
-        int top = Integer.MIN_VALUE;
+        int highestHash = Integer.MIN_VALUE;
         for (int i = 0; i < members.size(); i++) {
             if (i == 0 || isConnectedAndServed(i)) {
-                int h = mix(memberName(i).hashCode() * 31 + job.hashCode());
-                if (h > top) {
-                    top = h;
+                int hash = mix(memberName(i).hashCode() * 31 + job.hashCode());
+                if (hash > highestHash) {
+                    highestHash = hash;
                     best = i;
                 }
             }
@@ -510,16 +584,19 @@
         return best;
     }
 
-    private static int mix(int h) {
-        h ^= h >>> 16;
-        h *= 0x85EBCA6B;
-        h ^= h >>> 13;
-        h *= 0xC2B2AE35;
-        return h ^ h >>> 16;
+    private static int mix(int hash) {
+        hash ^= hash >>> 16;
+        hash *= 0x85EBCA6B;
+        hash ^= hash >>> 13;
+        hash *= 0xC2B2AE35;
+        return hash ^ hash >>> 16;
     }
 
-    // ---- the seat
+    // ---- member lease and member row
 
+    /**
+     * Renews the lease, registers the member, and takes over or hands over shards. Called on each tick of the core.
+     */
     public void tick() {
         long now = effects.now();
         if (!store.loaded()) {
@@ -541,9 +618,9 @@
             }
             return;
         }
-        Map<String, Object> seat = view.row(Keys.MEMBER_LEASE + settings.member());
-        if (seat == null || Fields.countOr(seat, "i", 0) != incarnation || now >= leaseValidUntilMs) {
-            LOG.error("seat lost, taking a new one");
+        Map<String, Object> memberRow = view.row(Keys.MEMBER_LEASE + settings.member());
+        if (memberRow == null || Fields.countOr(memberRow, "i", 0) != incarnation || now >= leaseValidUntilMs) {
+            LOG.error("membership lost: member row missing or replaced, or member lease expired; registering again");
             loseMembership();
             return;
         }
@@ -559,36 +636,36 @@
     private void requestLease() {
         leaseCallPending = true;
         raiseIncarnation();
-        long sent = effects.now();
-        nextLeaseCallMs = sent + 1_000;
-        store.callLease("POST", Wire.LEASES, Map.of(Wire.TTL, leaseMs), (status, m) -> {
+        long sentMs = effects.now();
+        nextLeaseCallMs = sentMs + 1_000;
+        store.callLease("POST", Wire.LEASES, Map.of(Wire.TTL, leaseMs), (status, body) -> {
             leaseCallPending = false;
             if (status == 200) {
-                leaseId = Fields.count(m, Wire.LEASE);
-                leaseRenewed(sent);
+                leaseId = Fields.count(body, Wire.LEASE);
+                leaseRenewed(sentMs);
             }
         });
     }
 
-    private void leaseRenewed(long sent) {
-        leaseValidUntilMs = sent + (long) (leaseMs * (1 - 2 * Settings.DRIFT)) - 250;
-        nextLeaseCallMs = sent + Math.max(1_000, leaseMs / 9);
+    private void leaseRenewed(long sentMs) {
+        leaseValidUntilMs = sentMs + (long) (leaseMs * (1 - 2 * Settings.DRIFT)) - 250;
+        nextLeaseCallMs = sentMs + Math.max(1_000, leaseMs / 9);
     }
 
     private void renewLease() {
         leaseCallPending = true;
-        long sent = effects.now();
-        nextLeaseCallMs = sent + 1_000;
+        long sentMs = effects.now();
+        nextLeaseCallMs = sentMs + 1_000;
         long id = leaseId;
-        store.callLease("POST", Wire.LEASES + "/" + id + Wire.EXTEND, Map.of(), (status, m) -> {
+        store.callLease("POST", Wire.LEASES + "/" + id + Wire.EXTEND, Map.of(), (status, body) -> {
             leaseCallPending = false;
             if (id != leaseId) {
                 return;
             }
             if (status == 200) {
-                leaseRenewed(sent);
+                leaseRenewed(sentMs);
             } else if (status == 404) {
-                LOG.error("seat lease ended");
+                LOG.error("the state service no longer has the member lease; registering again");
                 loseMembership();
             }
         });
@@ -598,14 +675,14 @@
         leaseId = 0;
         registered = false;
         leaseValidUntilMs = -1;
-        // A new seat is a new incarnation: whoever counted on the old one having ended must stay right.
+        // Each registration has a new incarnation: controllers that relied on the end of the old one must stay right.
         incarnation = Math.max(incarnation + 1, effects.wallTime());
     }
 
     private void register() {
         registrationPending = true;
         long id = leaseId;
-        long inc = incarnation;
+        long writtenIncarnation = incarnation;
         store.enqueue(new Change() {
             @Override
             public int rank() {
@@ -619,19 +696,19 @@
 
             @Override
             public boolean build(Transaction tx) {
-                if (leaseId != id || incarnation != inc) {
+                if (leaseId != id || incarnation != writtenIncarnation) {
                     return false;
                 }
-                tx.putWithLease(Keys.MEMBER_LEASE + settings.member(), Map.of("i", inc), id);
+                tx.putWithLease(Keys.MEMBER_LEASE + settings.member(), Map.of("i", writtenIncarnation), id);
                 return true;
             }
 
             @Override
             public void committed(long revision) {
                 registrationPending = false;
-                if (leaseId == id && incarnation == inc) {
+                if (leaseId == id && incarnation == writtenIncarnation) {
                     registered = true;
-                    LOG.info("seat taken, incarnation {}", inc);
+                    LOG.info("registered as member, incarnation {}", writtenIncarnation);
                 }
             }
 
@@ -647,61 +724,66 @@
 
     // ---- shards
 
-    /** Notes since when we own a shard and when its earlier owners became harmless. */
+    /** Notes since when this controller owns each of its shards and when the shard's earlier owners were fenced. */
     private void updateOwnership(long now) {
-        for (int s = 0; s < handingOver.length; s++) {
-            Map<String, Object> row = view.row(shardKey(s));
-            boolean mine = row != null && rowNames(s, settings.member(), incarnation);
-            if (!mine) {
-                ownedSinceTerm[s] = 0;
-                fencedAtMs[s] = -1;
-                handingOver[s] = false;
+        for (int shard = 0; shard < handingOver.length; shard++) {
+            Map<String, Object> row = view.row(shardKey(shard));
+            boolean recordedOwner = row != null && rowNames(shard, settings.member(), incarnation);
+            if (!recordedOwner) {
+                ownedSinceTerm[shard] = 0;
+                fencedAtMs[shard] = -1;
+                handingOver[shard] = false;
                 continue;
             }
-            long since = Fields.countOr(row, "o", 0);
-            if (ownedSinceTerm[s] != since) {
-                ownedSinceTerm[s] = since;
-                ownedSinceMs[s] = now;
-                fencedAtMs[s] = -1;
+            long sinceTerm = Fields.countOr(row, "o", 0);
+            if (ownedSinceTerm[shard] != sinceTerm) {
+                ownedSinceTerm[shard] = sinceTerm;
+                ownedSinceMs[shard] = now;
+                fencedAtMs[shard] = -1;
             }
-            if (fencedAtMs[s] < 0 && arePriorOwnersFenced(priorOwnersStillMembers(row), s, since)) {
-                fencedAtMs[s] = now;
+            if (fencedAtMs[shard] < 0 && arePriorOwnersFenced(priorOwnersStillMembers(row), shard, sinceTerm)) {
+                fencedAtMs[shard] = now;
             }
         }
     }
 
-    /** Earlier owners whose seats still stand: they might still answer workers. */
+    /** Returns the earlier owners in a shard's row that are still members, and so might still answer workers. */
     private List<Object> priorOwnersStillMembers(Map<String, Object> row) {
-        List<Object> alive = new ArrayList<>();
-        if (row != null && row.get("p") instanceof List<?> l) {
-            for (Object o : l) {
-                String[] p = String.valueOf(o).split("#");
-                if (p.length == 2 && isMember(p[0], p[1])) {
-                    alive.add(o);
+        List<Object> members = new ArrayList<>();
+        if (row != null && row.get("p") instanceof List<?> owners) {
+            for (Object owner : owners) {
+                String[] parts = String.valueOf(owner).split("#");
+                if (parts.length == 2 && isMember(parts[0], parts[1])) {
+                    members.add(owner);
                 }
             }
         }
-        return alive;
+        return members;
     }
 
-    /** Whether none of these earlier owners can answer this shard's workers: each is us, or knows of our term. */
-    private boolean arePriorOwnersFenced(List<Object> priors, int shard, long since) {
-        for (Object o : priors) {
-            String[] p = String.valueOf(o).split("#");
-            int i = memberIndex(p[0]);
-            boolean us = i == 0 && p[1].equals(String.valueOf(incarnation));
-            boolean knows =
-                    i > 0 && p[1].equals(String.valueOf(seenIncarnation[i])) && termsSeenByMember[i][shard] >= since;
-            if (!us && !knows) {
+    /**
+     * Whether none of these earlier owners can answer a shard's workers any more: each is this incarnation itself, or
+     * has seen a term of the present ownership.
+     */
+    private boolean arePriorOwnersFenced(List<Object> priors, int shard, long sinceTerm) {
+        for (Object owner : priors) {
+            String[] parts = String.valueOf(owner).split("#");
+            int index = memberIndex(parts[0]);
+            boolean self = index == 0 && parts[1].equals(String.valueOf(incarnation));
+            boolean fenced = index > 0
+                    && parts[1].equals(String.valueOf(seenIncarnation[index]))
+                    && termsSeenByMember[index][shard] >= sinceTerm;
+            if (!self && !fenced) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean isMember(String member, String inc) {
-        Map<String, Object> seat = view.row(Keys.MEMBER_LEASE + member);
-        return seat != null && String.valueOf(seat.get("i")).equals(inc);
+    /** Whether this incarnation of a member has its row in the state service. */
+    private boolean isMember(String member, String incarnation) {
+        Map<String, Object> memberRow = view.row(Keys.MEMBER_LEASE + member);
+        return memberRow != null && String.valueOf(memberRow.get("i")).equals(incarnation);
     }
 
     private boolean isOwnerMember(int shard) {
@@ -709,60 +791,71 @@
         return row != null && isMember(String.valueOf(row.get("m")), String.valueOf(row.get("i")));
     }
 
-    /** The member that should own a shard: one in its zone if any is able, else any. */
-    private int preferredOwner(int shard, boolean hopeful) {
+    /**
+     * Returns the index of the member that should own a shard, -1 if there is none. Members in the shard's zone are
+     * preferred; the others are candidates only if the zone has none.
+     *
+     * @param starting whether all members count as alive, as after a common start
+     */
+    private int preferredOwner(int shard, boolean starting) {
         String zone = catalog.zones.name(zoneOf(shard));
-        List<Integer> near = new ArrayList<>();
+        List<Integer> inZone = new ArrayList<>();
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < members.size(); i++) {
-            // Young controllers count on the others to be starting as well.
-            boolean maybe = isAliveAndServed(i) || hopeful;
-            if (maybe) {
+            // A controller that has just started assumes that the others are starting as well.
+            boolean candidate = isAliveAndServed(i) || starting;
+            if (candidate) {
                 all.add(i);
                 if (members.get(i).zone().equals(zone)) {
-                    near.add(i);
+                    inZone.add(i);
                 }
             }
         }
-        List<Integer> from = near.isEmpty() ? all : near;
-        from.sort((a, b) -> memberName(a).compareTo(memberName(b)));
-        return from.isEmpty() ? -1 : from.get(shard % from.size());
+        List<Integer> candidates = inZone.isEmpty() ? all : inZone;
+        candidates.sort((a, b) -> memberName(a).compareTo(memberName(b)));
+        return candidates.isEmpty() ? -1 : candidates.get(shard % candidates.size());
     }
 
     private void takeOverPreferredShards(long now) {
         if (takeoverPending) {
             return;
         }
-        // Counted from the reading, not from the start: after a start inside an outage whoever read first once took all
-        // shards, 0.1 s
-        // before the others, and handed them over six seconds later, in the middle of squaring their workers' reports.
-        boolean hopeful = now - storeReadAtMs < suspicionTimeoutMs + 500;
-        List<Integer> take = new ArrayList<>();
-        for (int s = 0; s < handingOver.length; s++) {
-            if (owns(s) || handingOver[s] || preferredOwner(s, hopeful) != 0) {
+        // Counted from when the rows were read, not from the process start. After a start during an outage, the
+        // controller that read the rows first, 0.1 s before the others, took over all shards and handed them over 6 s
+        // later, while their workers' reports were being reconciled.
+        boolean starting = now - storeReadAtMs < suspicionTimeoutMs + 500;
+        List<Integer> shards = new ArrayList<>();
+        for (int shard = 0; shard < handingOver.length; shard++) {
+            if (owns(shard) || handingOver[shard] || preferredOwner(shard, starting) != 0) {
                 continue;
             }
-            String owner = ownerName(s);
-            int o = owner == null ? -1 : memberIndex(owner);
-            boolean orphan = owner == null || !isOwnerMember(s) || o == 0;
-            // Without a worker that has lost its owner, the silence may be the mesh's alone: taking would start a
-            // fight.
-            boolean silent = o > 0 && !isAlive(o) && !hopeful && now - workerWithoutOwnerAtMs[s] < 6_000;
-            boolean unserved = o > 0 && storeUnhealthySinceMs[o] >= 0 && now - storeUnhealthySinceMs[o] > 4_000;
-            if (orphan || silent || unserved) {
-                take.add(s);
+            String owner = ownerName(shard);
+            int ownerIndex = owner == null ? -1 : memberIndex(owner);
+            boolean ownerless = owner == null || !isOwnerMember(shard) || ownerIndex == 0;
+            // Unless a worker has lost its owner, only the peer connections may have failed; a takeover would then
+            // start
+            // a series of mutual takeovers.
+            boolean silent =
+                    ownerIndex > 0 && !isAlive(ownerIndex) && !starting && now - workerWithoutOwnerAtMs[shard] < 6_000;
+            boolean unserved = ownerIndex > 0
+                    && storeUnhealthySinceMs[ownerIndex] >= 0
+                    && now - storeUnhealthySinceMs[ownerIndex] > 4_000;
+            if (ownerless || silent || unserved) {
+                shards.add(shard);
             }
         }
-        if (!take.isEmpty()) {
-            takeOver(take);
+        if (!shards.isEmpty()) {
+            takeOver(shards);
         }
     }
 
-    /** Workers of a foreign shard keep coming to us: their owner can't be reached by them. */
+    /**
+     * Takes over a shard of another member whose workers keep reporting here because they cannot reach their owner.
+     */
     public void ownerUnreachable(int shard) {
         long now = effects.now();
         if (!takeoverPending && store.healthy() && canAct() && !owns(shard) && now - lastTakeoverMs[shard] > 15_000) {
-            LOG.info("workers of shard {} can't reach their owner", shard);
+            LOG.info("taking over shard {}: its workers cannot reach their owner", shard);
             lastTakeoverMs[shard] = now;
             ownerUnreachableAtMs[shard] = now;
             ownerUnreachableCount[shard]++;
@@ -770,23 +863,26 @@
         }
     }
 
-    /** A higher term for a shard of ours fences commands that may still be under way. */
+    /**
+     * Takes an owned shard under a higher term, which fences commands that may still be on their way to its workers.
+     */
     public void raiseTerm(int shard) {
         if (!takeoverPending && owns(shard) && effects.now() - lastTakeoverMs[shard] > 2_000) {
             takeOver(List.of(shard));
         }
     }
 
+    /** Enqueues a takeover of the shards; those that change before it is built are left out. */
     private void takeOver(List<Integer> shards) {
         takeoverPending = true;
         long[] versions =
                 shards.stream().mapToLong(s -> view.version(shardKey(s))).toArray();
         store.enqueue(new ShardChange(0) {
-            private boolean unclear;
+            private boolean unknownOutcome;
 
             @Override
             public void outcomeUnknown() {
-                unclear = true;
+                unknownOutcome = true;
             }
 
             @Override
@@ -796,21 +892,21 @@
                 }
                 tx.requireUnchanged(Keys.MEMBER_LEASE + settings.member());
                 long term = lastTerm();
-                int n = 0;
-                for (int i = 0; i < versions.length && n + 2 <= settings.txnOps(); i++) {
+                int taken = 0;
+                for (int i = 0; i < versions.length && taken + 2 <= settings.txnOps(); i++) {
                     int s = shards.get(i);
                     if (view.version(shardKey(s)) != versions[i]) {
-                        // Somebody else moved it since we decided to.
+                        // Another controller has changed the owner since the takeover was decided.
                         continue;
                     }
                     Map<String, Object> old = view.row(shardKey(s));
-                    List<Object> before = priorOwnersStillMembers(old);
-                    boolean ours = rowNames(s, settings.member(), incarnation);
-                    if (old != null && !ours) {
-                        String p = old.get("m") + "#" + old.get("i");
+                    List<Object> priorOwners = priorOwnersStillMembers(old);
+                    boolean recordedOwner = rowNames(s, settings.member(), incarnation);
+                    if (old != null && !recordedOwner) {
+                        String previousOwner = old.get("m") + "#" + old.get("i");
                         if (isMember(String.valueOf(old.get("m")), String.valueOf(old.get("i")))
-                                && !before.contains(p)) {
-                            before.add(p);
+                                && !priorOwners.contains(previousOwner)) {
+                            priorOwners.add(previousOwner);
                         }
                     }
                     term++;
@@ -820,12 +916,12 @@
                                     settings.member(),
                                     incarnation,
                                     term,
-                                    ours ? Fields.countOr(old, "o", term) : term,
-                                    before));
+                                    recordedOwner ? Fields.countOr(old, "o", term) : term,
+                                    priorOwners));
                     lastTakeoverMs[s] = effects.now();
-                    n++;
+                    taken++;
                 }
-                if (n == 0) {
+                if (taken == 0) {
                     return false;
                 }
                 tx.put(Keys.TERM, Map.of("t", term));
@@ -838,16 +934,17 @@
             }
 
             @Override
-            void finished(boolean ok) {
+            void finished(boolean committed) {
                 takeoverPending = false;
-                // Without an answer, and then seen to be ours: it was carried out.
-                if (ok
-                        || unclear
+                // A transaction of unknown outcome was carried out if a shard is seen to have a new row that names
+                // this controller.
+                if (committed
+                        || unknownOutcome
                                 && shards.stream()
                                         .anyMatch(s -> isRecordedOwner(s)
                                                 && view.version(shardKey(s)) != versions[shards.indexOf(s)])) {
                     takeovers++;
-                    LOG.info("shards {} are ours, term {}", shards, lastTerm());
+                    LOG.info("took over shards {}, last term {}", shards, lastTerm());
                     updateOwnership(effects.now());
                 }
             }
@@ -857,81 +954,93 @@
     private void handOverOtherShards(long now) {
         for (int i = 1; i < members.size(); i++) {
             if (isConnected(i) && !storeHealthy[i]) {
-                // An outage that begins is noticed by one after the other, and preferences follow. Handing over then
-                // left half
-                // of the shards with nobody to answer their workers until the outage was over, and their leases were
-                // not.
+                // Controllers notice the beginning of an outage of the state service one after the other, and the
+                // preferred owners change with that. Handing over at that time left half of the shards without an
+                // owner that answered their workers until the end of the outage, so that the workers' leases expired.
                 return;
             }
         }
-        for (int s = 0; s < handingOver.length; s++) {
-            if (!owns(s) || takeoverPending) {
+        for (int shard = 0; shard < handingOver.length; shard++) {
+            if (!owns(shard) || takeoverPending) {
                 continue;
             }
-            int p = preferredOwner(s, false);
-            Map<String, Object> seat = p <= 0 ? null : view.row(Keys.MEMBER_LEASE + memberName(p));
-            // Whom its workers could not reach looks as well as ever from here, unless it was restarted. Given back
-            // after six seconds, the shard went round for as
-            // long as such a cut lasted, and its workers' leases ended.
-            boolean unreached =
-                    aliveSinceMs[p] <= ownerUnreachableAtMs[s] && now - ownerUnreachableAtMs[s] < handoverDelayMs(s, p);
-            if (seat == null
-                    || !isConnected(p)
-                    || unreached
-                    || now - aliveSinceMs[p] < settleMs
-                    || now - ownedSinceMs[s] < settleMs) {
+            int preferred = preferredOwner(shard, false);
+            Map<String, Object> memberRow = preferred <= 0 ? null : view.row(Keys.MEMBER_LEASE + memberName(preferred));
+            // An owner that its workers could not reach looks healthy from here, unless it was restarted. Handed back
+            // to
+            // it after 6 s, the shard changed hands for as long as such a network partition lasted, and its workers'
+            // leases expired.
+            boolean recentlyUnreachable = aliveSinceMs[preferred] <= ownerUnreachableAtMs[shard]
+                    && now - ownerUnreachableAtMs[shard] < handoverDelayMs(shard, preferred);
+            if (memberRow == null
+                    || !isConnected(preferred)
+                    || recentlyUnreachable
+                    || now - aliveSinceMs[preferred] < settleMs
+                    || now - ownedSinceMs[shard] < settleMs) {
                 continue;
             }
-            handOver(s, memberName(p), Fields.countOr(seat, "i", 0));
+            handOver(shard, memberName(preferred), Fields.countOr(memberRow, "i", 0));
         }
     }
 
     /**
-     * For how long a shard is not given back to an owner that its workers could not reach. While the owner tells of no worker in the
-     * shard's zone that hears it, all that can show whether they reach it again is to send them there, at the price of most of a short
-     * worker's lease: after 45 s of a longer cut, replicas with leases of 10 s were dropped by it.
+     * Returns for how long a shard is not handed back to an owner that its workers could not reach. While that owner
+     * names no worker in the shard's zone that receives its responses, only sending the shard's workers there can show
+     * whether they reach it again, which costs most of a short worker lease: 45 s into a longer partition, replicas
+     * with leases of 10 s were dropped by such a trial.
      */
     private long handoverDelayMs(int shard, int owner) {
-        boolean heard = reachesWorkers.test(owner, zoneOf(shard));
+        boolean reachesZone = reachesWorkers.test(owner, zoneOf(shard));
         return leaseMs
-                << (heard
+                << (reachesZone
                         ? Math.min(MAX_HANDOVER_DELAY_DOUBLINGS, Math.max(0, ownerUnreachableCount[shard] - 1))
                         : MAX_HANDOVER_DELAY_DOUBLINGS);
     }
 
-    /** {@code hears}: whether a member, by its index, tells of a worker in a zone that hears it. */
-    public void reachesWorkers(BiPredicate<Integer, Integer> hears) {
-        reachesWorkers = hears;
+    /**
+     * Sets the test of whether a member reaches workers of a zone.
+     *
+     * @param reaches whether the member with this index names a worker in the zone with this index that receives its
+     *     responses
+     */
+    public void reachesWorkers(BiPredicate<Integer, Integer> reaches) {
+        reachesWorkers = reaches;
     }
 
-    /** We stop answering first and write after: the new owner then has nobody to wait for. */
-    private void handOver(int shard, String to, long inc) {
+    /**
+     * Hands over a shard. This controller stops answering its workers before the new owner is written, so that the new
+     * owner need not wait for it to be fenced.
+     */
+    private void handOver(int shard, String newOwner, long newIncarnation) {
         handingOver[shard] = true;
-        LOG.info("handing shard {} to {}", shard, to);
-        long until = effects.now() + HANDOVER_TIMEOUT_MS;
+        LOG.info("handing over shard {} to {}", shard, newOwner);
+        long deadlineMs = effects.now() + HANDOVER_TIMEOUT_MS;
         store.enqueue(new ShardChange(1) {
-            private boolean unclear;
+            private boolean unknownOutcome;
 
-            /** Not written in time, we go on answering; but not if it may yet be applied. */
+            /** If it is not written in time, this controller answers workers again, unless it may still be applied. */
             @Override
             public long expiresAtMs() {
-                return unclear ? Long.MAX_VALUE : until;
+                return unknownOutcome ? Long.MAX_VALUE : deadlineMs;
             }
 
             @Override
             public void outcomeUnknown() {
-                unclear = true;
+                unknownOutcome = true;
             }
 
             @Override
             boolean write(Transaction tx) {
                 Map<String, Object> old = view.row(shardKey(shard));
-                if (!rowNames(shard, settings.member(), incarnation) || !isMember(to, String.valueOf(inc))) {
+                if (!rowNames(shard, settings.member(), incarnation)
+                        || !isMember(newOwner, String.valueOf(newIncarnation))) {
                     return false;
                 }
-                tx.requireUnchanged(Keys.MEMBER_LEASE + to);
+                tx.requireUnchanged(Keys.MEMBER_LEASE + newOwner);
                 long term = lastTerm() + 1;
-                tx.put(shardKey(shard), encodeShardRow(to, inc, term, term, priorOwnersStillMembers(old)));
+                tx.put(
+                        shardKey(shard),
+                        encodeShardRow(newOwner, newIncarnation, term, term, priorOwnersStillMembers(old)));
                 tx.put(Keys.TERM, Map.of("t", term));
                 return true;
             }
@@ -942,29 +1051,30 @@
             }
 
             @Override
-            void finished(boolean ok) {
+            void finished(boolean committed) {
                 handingOver[shard] = false;
             }
         });
     }
 
+    /** Returns the last term issued for any shard; all shards share one counter. */
     private long lastTerm() {
         Map<String, Object> row = view.row(Keys.TERM);
         return row == null ? 0 : Fields.countOr(row, "t", 0);
     }
 
     private static Map<String, Object> encodeShardRow(
-            String member, long inc, long term, long since, List<Object> priors) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("m", member);
-        m.put("i", inc);
-        m.put("t", term);
-        m.put("o", since);
-        m.put("p", priors);
-        return m;
+            String member, long incarnation, long term, long sinceTerm, List<Object> priors) {
+        Map<String, Object> row = new LinkedHashMap<>();
+        row.put("m", member);
+        row.put("i", incarnation);
+        row.put("t", term);
+        row.put("o", sinceTerm);
+        row.put("p", priors);
+        return row;
     }
 
-    /** Changes of shards share the term counter, so only one of them goes into a transaction. */
+    /** A change of shard owners. All of them write the term counter, so a transaction holds only one of them. */
     private abstract static class ShardChange implements Change {
         private final int rank;
 
--- a/src/main/java/birchusher/membership/Staleness.java
+++ b/src/main/java/birchusher/membership/Staleness.java
@@ -11,15 +11,24 @@
 import java.util.List;
 
 /**
- * Up to which moment this controller is informed: every cancellation that a user had been told of by then is known here. Who answers
- * workers renews the leases of whatever they run, so it may do that only for a bounded time after this moment, whatever else holds.
+ * Determines up to which moment this controller's view is up to date: every cancellation that a user had been told of
+ * by then is known here. Whoever answers workers renews the leases of whatever they run, so a controller may answer
+ * them only for a bounded time after this moment.
  *
- * <p>Two things move it, each counted from when we sent what was answered, as answers may be long on their way: a read that proves
- * the view, and, when the state service answers nobody, the word of every other member that nothing is known to it that is not
- * known here. That nobody is served now is no such word: one of them may have been served since we were.
+ * <p>Two kinds of evidence move the moment forward, each counted from when the request was sent, as replies may be
+ * delayed:
+ *
+ * <ul>
+ *   <li>a read from the state service that confirms the view;
+ *   <li>while the state service answers nobody, replies of all other members that nothing is known to them that is not
+ *       known here. That the state service answers nobody now does not suffice: it may have answered one of them since
+ *       it last answered this controller.
+ * </ul>
+ *
+ * <p>Times are in ms of the steady clock. Not thread-safe.
  */
 public final class Staleness {
-    /** More cancellations than this are not told, and then the word is none. */
+    /** A reply with more cancellations than this lists none of them, and then proves nothing. */
     private static final int MAX_CANCELLATIONS_SENT = 500;
 
     private static final long QUERY_PEERS_AFTER_MS = 1_000;
@@ -28,72 +37,82 @@
     private final StoreView view;
     private final StoreClient store;
     private final long maxAgeMs;
-    /** Per member: what it knew at this moment, by our clock, is known here. */
+    /** Per member: all that it knew at this moment, by this controller's clock, is known here. */
     private final long[] peerCoveredAtMs;
 
-    Staleness(Effects effects, Settings s, StoreView view, StoreClient store) {
+    Staleness(Effects effects, Settings settings, StoreView view, StoreClient store) {
         this.effects = effects;
         this.view = view;
         this.store = store;
-        maxAgeMs = s.staleMs();
-        peerCoveredAtMs = new long[1 + s.peers().size()];
+        maxAgeMs = settings.staleMs();
+        peerCoveredAtMs = new long[1 + settings.peers().size()];
         Arrays.fill(peerCoveredAtMs, Long.MIN_VALUE / 2);
-        // Nobody else tells users anything but what we know when there is nobody else.
+        // All that this controller itself told users is known here.
         peerCoveredAtMs[0] = Long.MAX_VALUE;
     }
 
-    /** Every change that a user was told of before this moment is known here. */
+    /** Returns the moment before which every change that a user was told of is known here. */
     long upToDateAtMs() {
-        long told = Arrays.stream(peerCoveredAtMs).min().getAsLong();
-        return Math.max(store.upToDateAsOfMs(), Math.min(told, effects.now()));
+        long coveredAtMs = Arrays.stream(peerCoveredAtMs).min().getAsLong();
+        return Math.max(store.upToDateAsOfMs(), Math.min(coveredAtMs, effects.now()));
     }
 
-    /** How long ago, in ms, the last moment lies up to which we are informed. */
+    /** Returns the age of the view in ms: how long ago it was last known to be up to date. */
     public long ageMs() {
         return effects.now() - upToDateAtMs();
     }
 
+    /** Whether the view's age is within the bound from the settings. */
     boolean isUpToDate() {
         return effects.now() - upToDateAtMs() < maxAgeMs;
     }
 
-    /** What to ask the other members now; null while the state service proves our view. */
+    /** Returns the query to send to all peers, or null while reads from the state service confirm the view. */
     public RevisionQuery peerQuery() {
         return store.loaded() && effects.now() - store.upToDateAsOfMs() > QUERY_PEERS_AFTER_MS
                 ? new RevisionQuery(effects.now(), view.appliedRevision())
                 : null;
     }
 
-    /** Our word for another member, with the cancellations that its view lacks. */
-    public RevisionReply answerQuery(RevisionQuery q, long itsIncarnation) {
+    /**
+     * Answers a peer's query, with the cancellations that its view lacks.
+     *
+     * @param querierIncarnation the peer's incarnation, which the reply repeats
+     */
+    public RevisionReply answerQuery(RevisionQuery query, long querierIncarnation) {
         if (!store.loaded()) {
-            // In the middle of a reading, what an earlier life of ours told users may not be known here yet.
-            return new RevisionReply(q.sentAtMs(), itsIncarnation, false, -1, -1, List.of());
+            // Until the rows are read, what an earlier incarnation of this controller told users may not be known
+            // here.
+            return new RevisionReply(query.sentAtMs(), querierIncarnation, false, -1, -1, List.of());
         }
-        List<Cancellation> news = view.cancellations().since(q.appliedRevision(), MAX_CANCELLATIONS_SENT);
+        List<Cancellation> cancellations = view.cancellations().since(query.appliedRevision(), MAX_CANCELLATIONS_SENT);
         return new RevisionReply(
-                q.sentAtMs(),
-                itsIncarnation,
+                query.sentAtMs(),
+                querierIncarnation,
                 store.healthy(),
                 view.knownRevision(),
-                news == null ? -1 : q.appliedRevision(),
-                news == null ? List.of() : news);
+                cancellations == null ? -1 : query.appliedRevision(),
+                cancellations == null ? List.of() : cancellations);
     }
 
     /**
-     * Another member's answer. What it tells of cancellations is always used; it is a word only if it answers this life of ours, is not
-     * served, and leaves nothing that it knows unknown here.
+     * Handles a peer's reply. Its cancellations are always added to the view. It moves the moment forward only if it
+     * answers a query of this incarnation, the state service does not answer the peer, and the peer knows nothing that
+     * is unknown here.
+     *
+     * @param member the peer's index
+     * @param incarnation this controller's incarnation
      */
-    public void handleReply(int member, RevisionReply r, long ourIncarnation) {
-        boolean kept = view.addReportedCancellations(r.cancellations());
-        boolean covered = r.knownRevision() >= 0
-                && (r.knownRevision() <= view.appliedRevision()
-                        || r.sinceRevision() >= 0 && r.sinceRevision() <= view.appliedRevision() && kept);
+    public void handleReply(int member, RevisionReply reply, long incarnation) {
+        boolean allKept = view.addReportedCancellations(reply.cancellations());
+        boolean covered = reply.knownRevision() >= 0
+                && (reply.knownRevision() <= view.appliedRevision()
+                        || reply.sinceRevision() >= 0 && reply.sinceRevision() <= view.appliedRevision() && allKept);
         if (covered
-                && !r.storeHealthy()
-                && r.querierIncarnation() == ourIncarnation
-                && r.querySentAtMs() <= effects.now()) {
-            peerCoveredAtMs[member] = Math.max(peerCoveredAtMs[member], r.querySentAtMs());
+                && !reply.storeHealthy()
+                && reply.querierIncarnation() == incarnation
+                && reply.querySentAtMs() <= effects.now()) {
+            peerCoveredAtMs[member] = Math.max(peerCoveredAtMs[member], reply.querySentAtMs());
         }
     }
 }
--- a/src/test/java/birchusher/membership/StalenessTest.java
+++ b/src/test/java/birchusher/membership/StalenessTest.java
@@ -21,14 +21,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Up to which moment a controller is informed, word by word. The controller has two peers. */
+/** Checks up to which moment a controller's view counts as up to date, for each kind of evidence. It has two peers. */
 class StalenessTest {
     private static final long INCARNATION = 5;
     private static final String PEER_SETTINGS =
             "\"seeds\":[{\"member\":\"b\",\"area\":\"z\",\"peer_addr\":\"1.1.1.1:5\"},"
                     + "{\"member\":\"c\",\"area\":\"z\",\"peer_addr\":\"1.1.1.1:6\"}]";
 
-    /** One controller's knowledge, its state service answered by hand. */
+    /** The view and staleness of one controller; the test answers its calls to the state service. */
     private static final class TestController {
         final Settings settings = SettingsReader.read(
                 TestJobs.SETTINGS.replace("\"seeds\":[]", PEER_SETTINGS).getBytes(StandardCharsets.UTF_8));
@@ -47,22 +47,22 @@
         }
 
         List<Effect.Call> drainCalls(String path) {
-            List<Effect.Call> l = new ArrayList<>();
-            for (Effect e : effects.drain()) {
-                if (e instanceof Effect.Call c && c.path().startsWith(path)) {
-                    l.add(c);
+            List<Effect.Call> calls = new ArrayList<>();
+            for (Effect effect : effects.drain()) {
+                if (effect instanceof Effect.Call call && call.path().startsWith(path)) {
+                    calls.add(call);
                 }
             }
-            return l;
+            return calls;
         }
 
         void answerCalls(String path, int status, Map<String, Object> body) {
-            drainCalls(path).forEach(c -> effects.completeCall(c.id(), status, body));
+            drainCalls(path).forEach(call -> effects.completeCall(call.id(), status, body));
         }
 
-        /** Time in which the state service answers 503. */
-        void refuseStoreCalls(long ms) {
-            for (long end = now + ms; now < end; ) {
+        /** Lets this much time pass, in which the state service answers every call with 503. */
+        void refuseStoreCalls(long durationMs) {
+            for (long endMs = now + durationMs; now < endMs; ) {
                 now += 100;
                 effects.setTime(now, now);
                 store.tick();
@@ -78,9 +78,12 @@
     private final TestController controller = new TestController(40);
     private final TestController peer = new TestController(40);
 
-    /** What a peer that is out as well and knows nothing newer would say to a question of that time. */
-    private static RevisionReply replyWithoutNews(long sentAt) {
-        return new RevisionReply(sentAt, INCARNATION, false, 40, 40, List.of());
+    /**
+     * The reply, to a query sent at that time, of a peer that the state service does not answer and that knows
+     * nothing newer.
+     */
+    private static RevisionReply replyWithoutNews(long querySentAtMs) {
+        return new RevisionReply(querySentAtMs, INCARNATION, false, 40, 40, List.of());
     }
 
     @Test
@@ -88,15 +91,16 @@
         controller.now += 3_000;
         controller.effects.setTime(controller.now, controller.now);
         controller.store.tick();
-        long sent = controller.now;
+        long sentAtMs = controller.now;
         List<Effect.Call> reads = controller.drainCalls("/watch");
         controller.now += 900;
         controller.effects.setTime(controller.now, controller.now);
-        controller.store.callLease("POST", "/leases/1/extend", Map.of(), (s, m) -> {});
+        controller.store.callLease("POST", "/leases/1/extend", Map.of(), (status, body) -> {});
         controller.answerCalls("/leases", 200, Map.of());
         assertThat(controller.staleness.upToDateAtMs()).isEqualTo(100_000);
-        reads.forEach(c -> controller.effects.completeCall(c.id(), 200, Map.of("events", List.of(), "epoch", 41L)));
-        assertThat(controller.staleness.upToDateAtMs()).isEqualTo(sent);
+        reads.forEach(
+                call -> controller.effects.completeCall(call.id(), 200, Map.of("events", List.of(), "epoch", 41L)));
+        assertThat(controller.staleness.upToDateAtMs()).isEqualTo(sentAtMs);
     }
 
     @Test
@@ -107,25 +111,27 @@
                 .as("one of two is not enough")
                 .isEqualTo(100_000);
         controller.staleness.handleReply(2, replyWithoutNews(controller.now - 7_000), INCARNATION);
-        assertThat(controller.staleness.upToDateAtMs()).as("long on its way").isEqualTo(controller.now - 7_000);
+        assertThat(controller.staleness.upToDateAtMs())
+                .as("a reply that was delayed")
+                .isEqualTo(controller.now - 7_000);
         assertThat(controller.staleness.isUpToDate()).isTrue();
         controller.refuseStoreCalls(Math.round(controller.settings.staleMs()));
-        assertThat(controller.staleness.isUpToDate()).as("the bound").isFalse();
+        assertThat(controller.staleness.isUpToDate()).as("age above the bound").isFalse();
     }
 
     @Test
     void repliesThatDoNotProveTheViewAreIgnored() {
         controller.refuseStoreCalls(20_000);
         controller.staleness.handleReply(2, replyWithoutNews(controller.now), INCARNATION);
-        for (RevisionReply r : List.of(
+        for (RevisionReply reply : List.of(
                 new RevisionReply(controller.now, INCARNATION, true, 40, 40, List.of()),
                 new RevisionReply(controller.now, INCARNATION - 1, false, 40, 40, List.of()),
                 new RevisionReply(controller.now + 1, INCARNATION, false, 40, 40, List.of()),
                 new RevisionReply(controller.now, INCARNATION, false, 41, -1, List.of()),
                 new RevisionReply(controller.now, INCARNATION, false, 41, 41, List.of()),
                 new RevisionReply(controller.now, INCARNATION, false, -1, -1, List.of()))) {
-            controller.staleness.handleReply(1, r, INCARNATION);
-            assertThat(controller.staleness.upToDateAtMs()).as("%s", r).isEqualTo(100_000);
+            controller.staleness.handleReply(1, reply, INCARNATION);
+            assertThat(controller.staleness.upToDateAtMs()).as("%s", reply).isEqualTo(100_000);
         }
         controller.staleness.handleReply(
                 1,
@@ -150,15 +156,19 @@
                 .containsExactly("wk-2", "wk-3");
     }
 
-    /** Final states are read last, and an earlier life may have told users of one: what it read as a whole it can't list. */
+    /**
+     * A controller that read all rows cannot list the cancellations among them with their revisions, though an earlier
+     * incarnation may have told users of them: ended jobs are read last.
+     */
     @Test
     void peerCannotListCancellationsFromBeforeItsFullRead() {
-        TestController back = new TestController(50);
-        back.refuseStoreCalls(4_000);
-        RevisionReply r = back.staleness.answerQuery(new RevisionQuery(controller.now, 40), INCARNATION);
-        assertThat(r.knownRevision()).isEqualTo(50);
-        assertThat(r.sinceRevision()).isEqualTo(-1);
-        assertThat(back.staleness
+        TestController restarted = new TestController(50);
+        restarted.refuseStoreCalls(4_000);
+        RevisionReply reply = restarted.staleness.answerQuery(new RevisionQuery(controller.now, 40), INCARNATION);
+        assertThat(reply.knownRevision()).isEqualTo(50);
+        assertThat(reply.sinceRevision()).isEqualTo(-1);
+        assertThat(restarted
+                        .staleness
                         .answerQuery(new RevisionQuery(controller.now, 50), INCARNATION)
                         .sinceRevision())
                 .isEqualTo(50);
@@ -166,15 +176,15 @@
 
     @Test
     void peerThatHasNotLoadedTheStoreProvesNothing() {
-        TestController blank = new TestController(50);
-        blank.answerCalls("/", 200, Map.of());
-        // As after a watch that was too old: all is read anew.
-        blank.now += 3_000;
-        blank.effects.setTime(blank.now, blank.now);
-        blank.store.tick();
-        blank.answerCalls("/watch", 410, Map.of());
-        assertThat(blank.store.loaded()).isFalse();
-        assertThat(blank.staleness
+        TestController unloaded = new TestController(50);
+        unloaded.answerCalls("/", 200, Map.of());
+        // After a watch from a revision that is too old, all rows have to be read again.
+        unloaded.now += 3_000;
+        unloaded.effects.setTime(unloaded.now, unloaded.now);
+        unloaded.store.tick();
+        unloaded.answerCalls("/watch", 410, Map.of());
+        assertThat(unloaded.store.loaded()).isFalse();
+        assertThat(unloaded.staleness
                         .answerQuery(new RevisionQuery(controller.now, 60), INCARNATION)
                         .knownRevision())
                 .isEqualTo(-1);
@@ -182,31 +192,34 @@
 
     @Test
     void tooManyCancellationsToSendOrToKeepProveNothing() {
-        for (int i = 0; i < 501; i++) {
-            peer.addCancellation("wk-" + i, 41 + i);
+        for (int round = 0; round < 501; round++) {
+            peer.addCancellation("wk-" + round, 41 + round);
         }
         peer.refuseStoreCalls(4_000);
-        RevisionReply r = peer.staleness.answerQuery(new RevisionQuery(controller.now, 40), INCARNATION);
-        assertThat(r.sinceRevision()).isEqualTo(-1);
-        assertThat(r.cancellations()).isEmpty();
+        RevisionReply reply = peer.staleness.answerQuery(new RevisionQuery(controller.now, 40), INCARNATION);
+        assertThat(reply.sinceRevision()).isEqualTo(-1);
+        assertThat(reply.cancellations()).isEmpty();
         controller.refuseStoreCalls(20_000);
         controller.staleness.handleReply(2, replyWithoutNews(controller.now), INCARNATION);
-        for (int i = 0; i < 5; i++) {
+        for (int round = 0; round < 5; round++) {
             List<Cancellation> many = new ArrayList<>();
-            for (int k = 0; k < 450; k++) {
-                many.add(new Cancellation("wk-" + i + k * 10, 1_000));
+            for (int j = 0; j < 450; j++) {
+                many.add(new Cancellation("wk-" + round + j * 10, 1_000));
             }
             controller.staleness.handleReply(
                     1, new RevisionReply(controller.now, INCARNATION, false, 1_000, 40, many), INCARNATION);
             assertThat(controller.staleness.upToDateAtMs() == controller.now)
-                    .as("round %s", i)
-                    .isEqualTo(i < 4);
+                    .as("round %s", round)
+                    .isEqualTo(round < 4);
             controller.refuseStoreCalls(100);
             controller.staleness.handleReply(2, replyWithoutNews(controller.now), INCARNATION);
         }
     }
 
-    /** A reading, or a long outage, may hide what the view dropped: what is kept is bounded, and says so. */
+    /**
+     * The view bounds the cancellations that it keeps. After a full read or a long outage, a query from before the oldest
+     * kept one gets null, not a list that lacks the dropped ones.
+     */
     @Test
     void keptCancellationsAreBounded() {
         for (int i = 0; i < 2_500; i++) {
