--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -42,8 +42,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The whole core as one state machine: inputs with their times go in, effects come out. It has no I/O, no clock and no
- * thread, so a test or a simulation can drive it as well as the server does.
+ * A controller's logic as one state machine: each input method takes an event with its time and returns the effects to
+ * carry out. It has no I/O, no clock and no thread, so that tests and simulations can drive it as the server does. Not
+ * thread-safe.
+ *
+ * <p>In all input methods {@code now} is the steady time and {@code wall} the time of day, both in ms.
  */
 public final class Core {
     private static final Logger LOG = LoggerFactory.getLogger(Core.class);
@@ -55,10 +58,10 @@
     private final StoreView view;
     private final StoreClient store;
     private final Membership membership;
-    private final OutcomeRecorder outcomes;
+    private final OutcomeRecorder outcomeRecorder;
     private final WorkerRegistry workerRegistry;
     private final JobApi jobApi;
-    private final QueryApi listing;
+    private final QueryApi queryApi;
     private final Planner planner;
     private final JobScheduler jobScheduler;
     private final Autoscaler autoscaler;
@@ -67,7 +70,7 @@
     private final ActionCounters actionCounters = new ActionCounters();
     private final Inventory inventory;
     private final LostTasks lostTasks;
-    /** Our machines as last drawn, a quarter of a second old at most when the news of them is told. */
+    /** The statuses of the owned machines, at most 250 ms old when they are published with a heartbeat. */
     private List<MachineStatus> ownStatuses = List.of();
 
     private boolean restoringAnnounced;
@@ -76,68 +79,70 @@
     private long nextCountersLogMs;
     private long rejectionLoggedMs = -1_000_000;
 
-    public Core(Settings s, Tuning t, long now, long wall) {
+    /** Creates a controller that has read nothing from the state service yet. */
+    public Core(Settings settings, Tuning tuning, long now, long wall) {
         effects.setTime(now, wall);
-        settings = s;
-        catalog = new Catalog(s);
+        this.settings = settings;
+        catalog = new Catalog(settings);
         JobCodec codec = new JobCodec(catalog);
         view = new StoreView(catalog, codec);
         view.steadyClock(effects::now);
-        store = new StoreClient(effects, view, s, t);
-        membership = new Membership(effects, s, catalog, view, store, t);
-        EstimateBias speeds = new EstimateBias();
-        JobScheduler[] later = new JobScheduler[1];
+        store = new StoreClient(effects, view, settings, tuning);
+        membership = new Membership(effects, settings, catalog, view, store, tuning);
+        EstimateBias estimateBias = new EstimateBias();
+        JobScheduler[] schedulerHolder = new JobScheduler[1];
         statusExchange = new MachineStatusExchange(effects, catalog, membership);
         membership.reachesWorkers(statusExchange::ownerReachesZone);
-        long patience = Inventory.reconnectTimeMs(
-                Math.round(s.reportS() * 1000), 1 + s.peers().size());
-        lostTasks = new LostTasks(patience, 1 + s.peers().size());
-        outcomes = new OutcomeRecorder(effects, view, store, membership, counters, lostTasks, this::send);
+        long reconnectTimeMs = Inventory.reconnectTimeMs(
+                Math.round(settings.reportS() * 1000), 1 + settings.peers().size());
+        lostTasks = new LostTasks(reconnectTimeMs, 1 + settings.peers().size());
+        outcomeRecorder = new OutcomeRecorder(effects, view, store, membership, counters, lostTasks, this::send);
         workerRegistry = new WorkerRegistry(
                 effects,
-                s,
+                settings,
                 catalog,
                 view,
                 store,
                 membership,
-                speeds,
-                t,
+                estimateBias,
+                tuning,
                 counters,
-                outcomes,
+                outcomeRecorder,
                 statusExchange,
                 actionCounters,
-                (job, grace, reason) -> later[0].stopGang(job, grace, reason),
-                id -> later[0].lastPlan().guaranteedJobs().contains(id));
-        LossRates hazards = new LossRates();
+                (job, graceS, reason) -> schedulerHolder[0].stopGang(job, graceS, reason),
+                id -> schedulerHolder[0].lastPlan().guaranteedJobs().contains(id));
+        LossRates lossRates = new LossRates();
         TaskEvents events = new TaskEvents();
         view.setClaimListeners(
                 statusExchange::machineKind,
-                c -> {
-                    events.placed(effects.now(), c);
-                    lostTasks.recordPlaced(c);
+                claim -> {
+                    events.placed(effects.now(), claim);
+                    lostTasks.recordPlaced(claim);
                 },
-                (c, lost) -> {
-                    events.ended(effects.now(), c, lost);
+                (claim, lost) -> {
+                    events.ended(effects.now(), claim, lost);
                     if (lost) {
-                        lostTasks.recordReleased(c, effects.now());
+                        lostTasks.recordReleased(claim, effects.now());
                     }
-                    if (c.machineKind() >= 0) {
-                        hazards.observe(c.machineKind(), (effects.now() - c.seenAtMs()) / 1000.0, lost, effects.now());
+                    if (claim.machineKind() >= 0) {
+                        lossRates.observe(
+                                claim.machineKind(), (effects.now() - claim.seenAtMs()) / 1000.0, lost, effects.now());
                     }
                 });
         planner = new Planner(
                 catalog,
                 view,
-                speeds,
-                hazards,
+                estimateBias,
+                lossRates,
                 lostTasks,
-                LeaseSettings.from(t),
-                s.objectives(),
-                t.num("placement.begin-by-s"));
-        inventory = new Inventory(view, patience);
+                LeaseSettings.from(tuning),
+                settings.objectives(),
+                tuning.num("placement.begin-by-s"));
+        inventory = new Inventory(view, reconnectTimeMs);
         jobScheduler = new JobScheduler(
                 effects,
-                s,
+                settings,
                 catalog,
                 view,
                 store,
@@ -145,26 +150,26 @@
                 workerRegistry,
                 planner,
                 counters,
-                t,
+                tuning,
                 this::send,
                 inventory::wasFleetKnown,
                 () -> lostTasks.tasksToRestoreOfAll(effects.now()));
-        later[0] = jobScheduler;
-        jobApi = new JobApi(effects, s, catalog, codec, view, store, membership);
-        listing = new QueryApi(effects, catalog, codec, view, store, jobApi, events);
+        schedulerHolder[0] = jobScheduler;
+        jobApi = new JobApi(effects, settings, catalog, codec, view, store, membership);
+        queryApi = new QueryApi(effects, catalog, codec, view, store, jobApi, events);
         autoscaler = new Autoscaler(
                 effects,
-                s,
+                settings,
                 catalog,
                 view,
                 store,
                 membership,
-                new CloudClient(effects, s),
+                new CloudClient(effects, settings),
                 counters,
                 actionCounters,
                 inventory::isFleetKnown,
                 () -> lostTasks.tasksToRestoreOfAll(effects.now()),
-                t,
+                tuning,
                 this::requestReturn,
                 workerRegistry::onMachineDeleted,
                 jobScheduler::freeSlots,
@@ -173,6 +178,11 @@
 
     // ---- inputs
 
+    /**
+     * Handles an HTTP request.
+     *
+     * @param exchange identifies the request in its {@link Effect.Answer}
+     */
     public List<Effect> handleRequest(long now, long wall, long exchange, String method, String target, byte[] body) {
         effects.setTime(now, wall);
         try {
@@ -180,53 +190,61 @@
         } catch (InvalidInputException | Target.Bad e) {
             if (now - rejectionLoggedMs > 1_000) {
                 rejectionLoggedMs = now;
-                LOG.info("{} {} refused: {}", method, target, e.getMessage());
+                LOG.info("{} {} rejected: {}", method, target, e.getMessage());
             }
             effects.answer(exchange, 400, Map.of("error", e.getMessage()));
         }
         return finishStep();
     }
 
+    /**
+     * Handles the reply to an {@link Effect.Call}.
+     *
+     * @param id the call's id
+     * @param status the HTTP status; 0: no reply came, and the call may or may not have been carried out
+     */
     public List<Effect> handleReply(long now, long wall, long id, int status, byte[] body) {
         effects.setTime(now, wall);
-        Map<String, Object> m = Map.of();
-        int got = status;
+        Map<String, Object> fields = Map.of();
+        int effectiveStatus = status;
         if (body.length > 0) {
             try {
-                m = Fields.map(Pack.decode(body), "answer");
+                fields = Fields.map(Pack.decode(body), "answer");
             } catch (InvalidInputException e) {
-                LOG.info("unreadable answer: {}", e.getMessage());
-                got = 0;
+                LOG.info("reply with an unreadable body, treated as no reply: {}", e.getMessage());
+                effectiveStatus = 0;
             }
         }
         try {
-            effects.completeCall(id, got, m);
+            effects.completeCall(id, effectiveStatus, fields);
         } catch (InvalidInputException e) {
-            LOG.error("answer not as agreed: {}", e.getMessage());
+            LOG.error("reply with missing or invalid fields: {}", e.getMessage());
         }
         return finishStep();
     }
 
+    /** Handles a record from another controller; invalid records and those of unknown members are dropped. */
     public List<Effect> handlePeerRecord(long now, long wall, byte[] record) {
         effects.setTime(now, wall);
         try {
-            PeerCodec.Envelope from = PeerCodec.decode(record);
-            int i = membership.memberIndex(from.member());
-            if (i > 0 && membership.isEarlierIncarnation(i, from.incarnation())) {
-                throw new InvalidInputException("from an earlier life of " + from.member());
+            PeerCodec.Envelope envelope = PeerCodec.decode(record);
+            int sender = membership.memberIndex(envelope.member());
+            if (sender > 0 && membership.isEarlierIncarnation(sender, envelope.incarnation())) {
+                throw new InvalidInputException("from an earlier incarnation of " + envelope.member());
             }
-            if (i > 0) {
-                dispatchPeerRecord(i, from.incarnation(), from.record());
+            if (sender > 0) {
+                dispatchPeerRecord(sender, envelope.incarnation(), envelope.record());
             }
         } catch (InvalidInputException e) {
             if (now - rejectionLoggedMs > 1_000) {
                 rejectionLoggedMs = now;
-                LOG.info("peer record refused: {}", e.getMessage());
+                LOG.info("peer record rejected: {}", e.getMessage());
             }
         }
         return finishStep();
     }
 
+    /** Does what is due by time: renewals, plans, status updates, heartbeats and the counters' log line. */
     public List<Effect> tick(long now, long wall) {
         effects.setTime(now, wall);
         store.tick();
@@ -268,7 +286,7 @@
                     store.logText(),
                     jobScheduler.logText(),
                     inventory.phase(),
-                    inventory.open(),
+                    inventory.awaitedMachines(),
                     view.releasedClaimCount(),
                     actionCounters.logText());
         }
@@ -280,11 +298,11 @@
         return effects.drain();
     }
 
-    // ---- users, workers, probers
+    // ---- requests of users, workers and health probes
 
     private void route(long exchange, String method, String target, byte[] body) throws Target.Bad {
-        int q = target.indexOf('?');
-        String path = q < 0 ? target : target.substring(0, q);
+        int queryStart = target.indexOf('?');
+        String path = queryStart < 0 ? target : target.substring(0, queryStart);
         if (path.equals(Wire.HELLO)) {
             if (requireMethod(exchange, method, "POST")) {
                 workerRegistry.onReport(exchange, Fields.map(Pack.decode(body), "body"));
@@ -298,14 +316,14 @@
                 }
             }
         } else if (path.equals(Wire.RUNS) && method.equals("GET")) {
-            listing.list(exchange, Target.parse(target));
+            queryApi.list(exchange, Target.parse(target));
         } else if (path.equals(Wire.RUNS)) {
             if (requireMethod(exchange, method, "POST")) {
                 jobApi.submit(exchange, body);
             }
         } else if (path.equals(Wire.TEAMS)) {
             if (requireMethod(exchange, method, "GET")) {
-                listing.teams(exchange, settings.teams());
+                queryApi.teams(exchange, settings.teams());
             }
         } else if (path.startsWith(Wire.RUNS + "/")) {
             String id = path.substring(Wire.RUNS.length() + 1);
@@ -315,7 +333,7 @@
                 }
             } else if (id.endsWith(Wire.DESCRIBE)) {
                 if (requireMethod(exchange, method, "GET")) {
-                    listing.describe(
+                    queryApi.describe(
                             exchange, id.substring(0, id.length() - Wire.DESCRIBE.length()), Target.parse(target));
                 }
             } else if (requireMethod(exchange, method, "GET")) {
@@ -326,6 +344,7 @@
         }
     }
 
+    /** Whether the request has the allowed method; otherwise it is answered with status 405. */
     private boolean requireMethod(long exchange, String method, String allowed) {
         if (method.equals(allowed)) {
             return true;
@@ -335,8 +354,10 @@
     }
 
     /**
-     * In an outage of everybody's, staying ready keeps polls of ended jobs answered; alone refused, we step back. So does who hears
-     * neither the state service nor any other controller: it can't tell the two apart, and its users would get nothing but 503.
+     * Whether load balancers may send requests here. In an outage of the state service that affects all controllers,
+     * staying ready keeps polls of ended jobs answered. A controller that alone gets no answers from the state
+     * service is not ready. Neither is one that reaches neither the state service nor any peer: it cannot tell the
+     * two cases apart, and its users would get nothing but 503.
      */
     private boolean isReady() {
         return store.loaded()
@@ -346,128 +367,139 @@
 
     // ---- other controllers
 
-    private void send(int member, PeerRecord r) {
-        effects.send(member, encode(r));
+    private void send(int member, PeerRecord record) {
+        effects.send(member, encode(record));
     }
 
-    private byte[] encode(PeerRecord r) {
-        return PeerCodec.encode(settings.member(), membership.incarnation(), r);
+    private byte[] encode(PeerRecord record) {
+        return PeerCodec.encode(settings.member(), membership.incarnation(), record);
     }
 
     private void sendHeartbeat() {
-        List<PeerRecord.Machine> news = statusExchange.changedStatuses(ownStatuses);
-        PeerRecord.Heartbeat h = new PeerRecord.Heartbeat(
+        List<PeerRecord.Machine> changedStatuses = statusExchange.changedStatuses(ownStatuses);
+        PeerRecord.Heartbeat heartbeat = new PeerRecord.Heartbeat(
                 membership.incarnation(),
                 store.healthy(),
                 membership.highestTerms(),
                 membership.ownedTerms(),
-                news,
+                changedStatuses,
                 statusExchange.removedMachines(),
                 autoscaler.recentlyDeleted());
-        byte[] record = encode(h);
-        byte[] restoring = lostTasks.tasksToRestore() > 0 || restoringAnnounced
+        byte[] encodedHeartbeat = encode(heartbeat);
+        byte[] encodedDroppedTasks = lostTasks.tasksToRestore() > 0 || restoringAnnounced
                 ? encode(new PeerRecord.DroppedTasks(lostTasks.tasksToRestore()))
                 : null;
         restoringAnnounced = lostTasks.tasksToRestore() > 0;
-        PeerRecord.RevisionQuery q = membership.staleness().peerQuery();
-        byte[] query = q == null ? null : encode(q);
+        PeerRecord.RevisionQuery query = membership.staleness().peerQuery();
+        byte[] encodedQuery = query == null ? null : encode(query);
         for (int i = 1; i < membership.memberCount(); i++) {
-            effects.send(i, record);
-            if (restoring != null) {
-                effects.send(i, restoring);
+            effects.send(i, encodedHeartbeat);
+            if (encodedDroppedTasks != null) {
+                effects.send(i, encodedDroppedTasks);
             }
-            if (query != null) {
-                effects.send(i, query);
+            if (encodedQuery != null) {
+                effects.send(i, encodedQuery);
             }
         }
     }
 
-    private void dispatchPeerRecord(int from, long incarnation, PeerRecord r) {
-        if (r instanceof PeerRecord.Heartbeat h) {
-            if (membership.handleHeartbeat(from, h.storeHealthy(), h.incarnation(), h.seenTerms(), h.ownedTerms())) {
+    private void dispatchPeerRecord(int from, long incarnation, PeerRecord record) {
+        if (record instanceof PeerRecord.Heartbeat heartbeat) {
+            if (membership.handleHeartbeat(
+                    from,
+                    heartbeat.storeHealthy(),
+                    heartbeat.incarnation(),
+                    heartbeat.seenTerms(),
+                    heartbeat.ownedTerms())) {
                 statusExchange.publishAllNext();
             }
-            statusExchange.onHeartbeat(from, h);
-            h.deletedMachines().forEach(workerRegistry::onMachineDeleted);
-        } else if (r instanceof PeerRecord.Offer o) {
-            send(from, jobScheduler.evaluateOffer(o));
-        } else if (r instanceof PeerRecord.WithdrawnOffer o) {
-            jobScheduler.releaseReservations(o);
-        } else if (r instanceof PeerRecord.OfferReply v) {
-            jobScheduler.handleReply(v);
-        } else if (r instanceof PeerRecord.StopRequest s) {
-            jobScheduler.handleStop(s);
-        } else if (r instanceof PeerRecord.ReturnRequest x) {
+            statusExchange.onHeartbeat(from, heartbeat);
+            heartbeat.deletedMachines().forEach(workerRegistry::onMachineDeleted);
+        } else if (record instanceof PeerRecord.Offer offer) {
+            send(from, jobScheduler.evaluateOffer(offer));
+        } else if (record instanceof PeerRecord.WithdrawnOffer offer) {
+            jobScheduler.releaseReservations(offer);
+        } else if (record instanceof PeerRecord.OfferReply reply) {
+            jobScheduler.handleReply(reply);
+        } else if (record instanceof PeerRecord.StopRequest request) {
+            jobScheduler.handleStop(request);
+        } else if (record instanceof PeerRecord.ReturnRequest request) {
             send(
                     from,
-                    new PeerRecord.ReturnReply(x.machine(), workerRegistry.prepareReturn(x.machine(), x.withTasks())));
-        } else if (r instanceof PeerRecord.AttemptOutcomes o) {
-            outcomes.onPeerOutcomes(o);
-        } else if (r instanceof PeerRecord.ReturnReply x) {
-            autoscaler.onReturnReply(x.machine(), x.agreed());
-        } else if (r instanceof PeerRecord.DroppedTasks x) {
-            lostTasks.handlePeerReport(from, x.count(), effects.now());
-        } else if (r instanceof PeerRecord.RevisionQuery q) {
-            send(from, membership.staleness().answerQuery(q, incarnation));
-        } else if (r instanceof PeerRecord.RevisionReply a) {
-            membership.staleness().handleReply(from, a, membership.incarnation());
+                    new PeerRecord.ReturnReply(
+                            request.machine(), workerRegistry.prepareReturn(request.machine(), request.withTasks())));
+        } else if (record instanceof PeerRecord.AttemptOutcomes outcomes) {
+            outcomeRecorder.onPeerOutcomes(outcomes);
+        } else if (record instanceof PeerRecord.ReturnReply reply) {
+            autoscaler.onReturnReply(reply.machine(), reply.agreed());
+        } else if (record instanceof PeerRecord.DroppedTasks dropped) {
+            lostTasks.handlePeerReport(from, dropped.count(), effects.now());
+        } else if (record instanceof PeerRecord.RevisionQuery query) {
+            send(from, membership.staleness().answerQuery(query, incarnation));
+        } else if (record instanceof PeerRecord.RevisionReply reply) {
+            membership.staleness().handleReply(from, reply, membership.incarnation());
         }
     }
 
+    /** Returns what the status that a machine's owner publishes shows of it. */
     private Inventory.MachineEvidence machineEvidence(String machine) {
-        MachineStatus p = statusExchange.statuses().get(machine);
-        if (p == null) {
+        MachineStatus status = statusExchange.statuses().get(machine);
+        if (status == null) {
             return Inventory.MachineEvidence.NONE;
         }
-        return p.usable() || p.faulty() || p.beingReturned() || p.silentMs() > 0
+        return status.usable() || status.faulty() || status.beingReturned() || status.silentMs() > 0
                 ? Inventory.MachineEvidence.CONFIRMED
                 : Inventory.MachineEvidence.REPORTED;
     }
 
+    /** Asks the owner of a machine to prepare its return to the cloud; the autoscaler gets the reply. */
     private void requestReturn(String machine, boolean withTasks) {
-        MachineStatus p = statusExchange.statuses().get(machine);
-        if (p == null) {
+        MachineStatus status = statusExchange.statuses().get(machine);
+        if (status == null) {
             return;
         }
-        if (membership.owns(p.shard())) {
+        if (membership.owns(status.shard())) {
             autoscaler.onReturnReply(machine, workerRegistry.prepareReturn(machine, withTasks));
-        } else if (membership.connectedOwner(p.shard()) > 0) {
-            send(membership.connectedOwner(p.shard()), new PeerRecord.ReturnRequest(machine, withTasks));
+        } else if (membership.connectedOwner(status.shard()) > 0) {
+            send(membership.connectedOwner(status.shard()), new PeerRecord.ReturnRequest(machine, withTasks));
         }
     }
 
-    /** Room that will be there before a machine bought now could be up. */
+    /**
+     * Returns the capacity that will be available before a machine rented now could be ready: of booting machines, of
+     * machines that await confirmation, and of tasks that are expected to end so soon that renting does not pay.
+     */
     private List<Slot> upcomingSlots() {
-        List<Slot> l = autoscaler.bootingSlots(statusExchange.statuses());
+        List<Slot> slots = autoscaler.bootingSlots(statusExchange.statuses());
         long now = effects.now();
-        for (MachineStatus p : statusExchange.statuses().values()) {
-            Catalog.MachineType t = catalog.type(p.type());
-            if (p.pendingConfirmation() && t != null) {
-                l.add(Slot.ofArrivingMachine(p, t, view.capacityUsedOn(p.machine())));
+        for (MachineStatus status : statusExchange.statuses().values()) {
+            Catalog.MachineType type = catalog.type(status.type());
+            if (status.pendingConfirmation() && type != null) {
+                slots.add(Slot.ofArrivingMachine(status, type, view.capacityUsedOn(status.machine())));
             }
-            if (!p.usable() || t == null) {
+            if (!status.usable() || type == null) {
                 continue;
             }
             double cpus = 0;
             double gpus = 0;
-            double mem = 0;
-            long eta = 0;
-            for (Claim c : view.claims(p.machine()).values()) {
-                long end = jobScheduler.expectedEndMs(c);
-                if (end == Long.MAX_VALUE
-                        || end > now + t.rentBreakEvenMs()
-                        || !c.job().isPlaced(c.task())) {
+            double memoryGb = 0;
+            long readyInMs = 0;
+            for (Claim claim : view.claims(status.machine()).values()) {
+                long endMs = jobScheduler.expectedEndMs(claim);
+                if (endMs == Long.MAX_VALUE
+                        || endMs > now + type.rentBreakEvenMs()
+                        || !claim.job().isPlaced(claim.task())) {
                     continue;
                 }
-                eta = Math.max(eta, Math.max(1_000, end - now));
-                cpus += c.job().spec.cpus();
-                gpus += c.job().spec.gpus();
-                mem += c.job().spec.memoryGb();
+                readyInMs = Math.max(readyInMs, Math.max(1_000, endMs - now));
+                cpus += claim.job().spec.cpus();
+                gpus += claim.job().spec.gpus();
+                memoryGb += claim.job().spec.memoryGb();
             }
-            if (eta > 0) {
-                l.add(Slot.of(p, t, p.shard(), eta, false, new double[] {cpus, gpus, mem}));
+            if (readyInMs > 0) {
+                slots.add(Slot.of(status, type, status.shard(), readyInMs, false, new double[] {cpus, gpus, memoryGb}));
             }
         }
-        return l;
+        return slots;
     }
 }
--- a/src/main/java/birchusher/recovery/ActionCounters.java
+++ b/src/main/java/birchusher/recovery/ActionCounters.java
@@ -7,11 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * The account of what this controller orders, by cause, and of orders that contradict each other: money or work spent on an order
- * that the next one takes back. Counts only; bounded by what is ordered within a boot time.
+ * Counts the actions of this controller by cause (starts, stops, rentals, returns), and the pairs of actions that
+ * contradict each other: a start or rental whose cost is wasted because a later action undoes it.
+ *
+ * <p>These are counters only; nothing is decided by them. Memory is bounded by the actions within one boot time of a
+ * machine. Times are in ms of the steady clock. Not thread-safe.
  */
 public final class ActionCounters {
-    /** By the users' rules a start that is stopped sooner does not count. */
+    /** By the cluster's objectives, a start that is stopped within this time does not count as a start. */
     private static final long STOPPED_SOON_MS = 30_000;
 
     private static final int MAX_ENTRIES = 20_000;
@@ -24,7 +27,11 @@
     private long stoppedSoon;
     private long rentedAgain;
 
-    /** @param again whether the task had been started before */
+    /**
+     * Records the start of a task attempt.
+     *
+     * @param again whether the task had been started before
+     */
     public void recordStart(String attempt, boolean again, long now) {
         for (Iterator<Long> oldest = startedAtMs.values().iterator(); oldest.hasNext(); ) {
             if (now - oldest.next() <= STOPPED_SOON_MS && startedAtMs.size() < MAX_ENTRIES) {
@@ -36,17 +43,18 @@
         count(again ? "restart" : "start", 1);
     }
 
-    /** Notices and cancellations are nobody's contradiction. */
+    /** Records the stop of a task attempt. Stops for interruption notices and cancellations contradict no start. */
     public void recordStop(String attempt, String cause, long now) {
-        Long at = startedAtMs.remove(attempt);
-        if (at != null && now - at <= STOPPED_SOON_MS && !cause.equals("notice")) {
+        Long startMs = startedAtMs.remove(attempt);
+        if (startMs != null && now - startMs <= STOPPED_SOON_MS && !cause.equals("notice")) {
             stoppedSoon++;
         }
-        // "makes room for JOB" and the like: the cause without the name.
-        int name = cause.indexOf(" for ");
-        count("stop " + (name < 0 ? cause : cause.substring(0, name)), 1);
+        // Drops the job's name from causes such as "makes room for JOB".
+        int suffix = cause.indexOf(" for ");
+        count("stop " + (suffix < 0 ? cause : cause.substring(0, suffix)), 1);
     }
 
+    /** Records that a machine of a kind is returned to the cloud. */
     public void recordReturn(int kind, long now) {
         if (returnedMachines.size() >= MAX_ENTRIES) {
             returnedMachines.poll();
@@ -55,36 +63,43 @@
         count("return", 1);
     }
 
-    /** Of the machines rented now, as many are contradictions as ones of their kind went within a boot time before. */
-    public void recordRental(int kind, int n, long bootMs, long now) {
-        returnedMachines.removeIf(r -> r.kind == kind && now - r.returnedAtMs > bootMs);
-        int left = n;
-        for (Iterator<ReturnedMachine> i = returnedMachines.iterator(); i.hasNext() && left > 0; ) {
+    /**
+     * Records the rental of machines of one kind. As many of them are contradictions as machines of this kind were
+     * returned within the boot time before.
+     */
+    public void recordRental(int kind, int machines, long bootMs, long now) {
+        returnedMachines.removeIf(machine -> machine.kind == kind && now - machine.returnedAtMs > bootMs);
+        int remaining = machines;
+        for (Iterator<ReturnedMachine> i = returnedMachines.iterator(); i.hasNext() && remaining > 0; ) {
             if (i.next().kind == kind) {
                 i.remove();
-                left--;
+                remaining--;
                 rentedAgain++;
             }
         }
-        count("rent", n);
+        count("rent", machines);
     }
 
-    private void count(String cause, long n) {
-        countsByCause.merge(cause, n, Long::sum);
+    private void count(String cause, long amount) {
+        countsByCause.merge(cause, amount, Long::sum);
     }
 
+    /** Returns how many starts were stopped within 30 s. */
     public long stoppedSoon() {
         return stoppedSoon;
     }
 
+    /** Returns how many machines were rented within a boot time of the return of one of the same kind. */
     public long rentedAgain() {
         return rentedAgain;
     }
 
+    /** Returns the number of actions with a cause: {@code start}, {@code stop CAUSE}, {@code rent} and so on. */
     public long count(String cause) {
         return countsByCause.getOrDefault(cause, 0L);
     }
 
+    /** Returns the counters for the counters' log line. */
     public String logText() {
         return "orders=" + countsByCause + " stopped_within_30s=" + stoppedSoon + " rented_again=" + rentedAgain;
     }
--- a/src/main/java/birchusher/recovery/Inventory.java
+++ b/src/main/java/birchusher/recovery/Inventory.java
@@ -12,45 +12,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which machines are to be heard of, and for how long that is waited for. Every claim's machine is expected, by the rows, and every
- * machine that the cloud lists as running; each is heard (its owner tells of it, and its worker has shown that owner's term), gone (the cloud confirmed it), or open. While any
- * is open, what the next report may overturn is not ordered: renting, returning, moving. Each machine is waited for only as long as
- * a worker that lost its controller may need to find another one; a machine silent for longer is a matter of its lease. Orders that
- * keep a rule (stops of cancelled work, starts kept out) never ask here.
+ * Tracks which machines are expected to report after a restart, and for how long that is awaited. The machine of every
+ * stored claim is expected, and every machine that the cloud lists as running. Each of them is either confirmed (its
+ * owner publishes its status, and its worker has shown that owner's term), gone (the cloud confirmed its deletion), or
+ * open.
  *
- * <p>It needs no talk: all rows are known to every controller, and owners tell of the machines they have heard anyway.
+ * <p>While more than a few machines are open, actions that the next report may invalidate are held back: renting and
+ * returning machines, and moving tasks. Each machine is awaited only as long as a worker that lost its controller may
+ * need to find another one; what becomes of a machine that is silent for longer is decided by its lease. Commands
+ * that keep a safety rule (stops of cancelled tasks, fenced starts) do not depend on this class.
+ *
+ * <p>No messages are needed for it: every controller has all rows, and owners publish their machines' statuses anyway.
+ * Times are in ms of the steady clock. Not thread-safe.
  */
 public final class Inventory {
     private static final Logger LOG = LoggerFactory.getLogger(Inventory.class);
     private static final int MAX_CONFIRMED = 50_000;
-    /** One in so many may be open: waiting for single machines held up rentals on days when many are taken back. */
+    /**
+     * One in this many expected machines may be open. Waiting for single machines held up rentals whenever the cloud
+     * took back many machines.
+     */
     private static final int TOLERATED_OPEN_ONE_IN = 50;
-    /** So old may a plan be: one made before the last machine was heard knows nothing of its room. */
+    /** A plan may be this old, and one made before the last machine was confirmed lacks that machine's capacity. */
     private static final long MAX_PLAN_AGE_MS = 1_000;
 
-    /** What owners tell of a machine: nothing yet, a report whose worker has not shown its owner's term, or all that can be had. */
+    /** What the published status of a machine shows. */
     public enum MachineEvidence {
+        /** No status is published. */
         NONE,
+        /** The machine has reported, but its worker has not shown its owner's term yet. */
         REPORTED,
+        /** The worker has shown its owner's term, or the machine is in a state in which that is not awaited. */
         CONFIRMED
     }
 
-    /** Of a cluster's return; each ends by evidence, or when nothing more is waited for. */
+    /** A phase of restart recovery; each ends by evidence, or when nothing more is awaited. */
     public enum Phase {
-        /** The rows are not read yet. */
+        /** The rows of the state service are not read yet. */
         READING,
-        /** Machines are expected that nobody has told of. */
+        /** Too many of the expected machines are still awaited. */
         HEARING,
-        /** All are heard or given up; losses are known that their rows do not show yet. */
+        /**
+         * The machines are confirmed or no longer awaited; the rows still hold claims that are proven to be released.
+         */
         RESTORING,
+        /** Nothing is left to recover. */
         ORDINARY
     }
 
     private final StoreView view;
     private final long maxWaitMs;
-    /** Expected machines that nobody tells of, since when; those waited for long enough stay, so that they are not begun again. */
-    private final Map<String, Long> open = new HashMap<>();
-    /** Machines that were fit since they were first told of: what makes one unfit later is not a matter of this. */
+    /**
+     * Expected machines that are not confirmed, with the time since when. Those that are no longer awaited stay in
+     * it, so that their wait does not begin again.
+     */
+    private final Map<String, Long> openSinceMs = new HashMap<>();
+    /**
+     * Machines that were confirmed since their status was first published; what happens to them later is no concern
+     * here.
+     */
     private final Set<String> confirmed = new HashSet<>();
 
     private long fleetKnownFromMs;
@@ -62,54 +82,61 @@
     private long phaseSinceMs;
     private int maxAwaitedMachines;
 
-    public Inventory(StoreView view, long patienceMs) {
+    /**
+     * Creates an inventory in the phase {@link Phase#READING}.
+     *
+     * @param maxWaitMs how long each machine is awaited, see {@link #reconnectTimeMs}
+     */
+    public Inventory(StoreView view, long maxWaitMs) {
         this.view = view;
-        this.maxWaitMs = patienceMs;
+        this.maxWaitMs = maxWaitMs;
     }
 
     /**
-     * How long a worker that lost its controller may need to be heard by another one, in ms.
+     * Returns how long a worker that lost its controller may need until its report reaches its new owner, in ms.
      *
-     * @param reportMs the workers' mean report interval; it may be a quarter longer
-     * @param controllers how many a worker may have to ask until it finds its owner
+     * @param reportMs the workers' mean report interval; a single interval may be a quarter longer
+     * @param controllers how many controllers a worker may have to try until it finds its owner
      */
     public static long reconnectTimeMs(long reportMs, int controllers) {
         return reportMs * 5 / 4 + Settings.NO_ANSWER_MS + Settings.NEXT_MS * (controllers + 1);
     }
 
     /**
-     * @param read whether the rows are read
-     * @param told what owners tell of a machine
+     * Updates the expected machines and the phase.
+     *
+     * @param loaded whether the rows of the state service are read
+     * @param evidence what the published status of a machine shows
      * @param gone whether a machine is known to be gone
-     * @param listed machines that the cloud's list shows as running though nobody tells of them
+     * @param listed machines that the cloud lists as running although no status of them is published
      */
     public void update(
             long now,
-            boolean read,
-            Function<String, MachineEvidence> told,
+            boolean loaded,
+            Function<String, MachineEvidence> evidence,
             Predicate<String> gone,
             Iterable<String> listed) {
         this.nowMs = now;
-        if (!read) {
+        if (!loaded) {
             enterPhase(Phase.READING, now);
             return;
         }
-        Map<String, Long> before = Map.copyOf(open);
-        open.clear();
+        Map<String, Long> previouslyOpen = Map.copyOf(openSinceMs);
+        openSinceMs.clear();
         expectedMachines = 0;
         if (confirmed.size() > MAX_CONFIRMED) {
-            // Machines long gone: those that are still there are noted again at once.
+            // Most of them are gone for long; those that still exist are added again by this update.
             confirmed.clear();
         }
         for (String machine : view.claimedMachines()) {
-            expectMachine(machine, told, gone, before, now);
+            expectMachine(machine, evidence, gone, previouslyOpen, now);
         }
         for (String machine : listed) {
-            expectMachine(machine, told, gone, before, now);
+            expectMachine(machine, evidence, gone, previouslyOpen, now);
         }
         awaitedMachines = 0;
-        for (long at : open.values()) {
-            awaitedMachines += now - at < maxWaitMs ? 1 : 0;
+        for (long openAtMs : openSinceMs.values()) {
+            awaitedMachines += now - openAtMs < maxWaitMs ? 1 : 0;
         }
         maxAwaitedMachines = Math.max(maxAwaitedMachines, awaitedMachines);
         enterPhase(
@@ -121,64 +148,66 @@
 
     private void expectMachine(
             String machine,
-            Function<String, MachineEvidence> told,
+            Function<String, MachineEvidence> evidence,
             Predicate<String> gone,
-            Map<String, Long> before,
+            Map<String, Long> previouslyOpen,
             long now) {
         expectedMachines++;
-        MachineEvidence t = told.apply(machine);
-        if (t == MachineEvidence.NONE) {
+        MachineEvidence shown = evidence.apply(machine);
+        if (shown == MachineEvidence.NONE) {
             confirmed.remove(machine);
         }
-        if (t == MachineEvidence.CONFIRMED) {
+        if (shown == MachineEvidence.CONFIRMED) {
             confirmed.add(machine);
         } else if (!confirmed.contains(machine) && !gone.test(machine)) {
-            open.put(machine, before.getOrDefault(machine, now));
+            openSinceMs.put(machine, previouslyOpen.getOrDefault(machine, now));
         }
     }
 
-    private void enterPhase(Phase p, long now) {
-        if (p == phase) {
+    private void enterPhase(Phase next, long now) {
+        if (next == phase) {
             return;
         }
         if (phase == Phase.READING || phase == Phase.HEARING) {
             fleetKnownFromMs = now + MAX_PLAN_AGE_MS;
         }
-        wasFleetKnown = p != Phase.READING && (wasFleetKnown || p != Phase.HEARING);
+        wasFleetKnown = next != Phase.READING && (wasFleetKnown || next != Phase.HEARING);
         if (phase == Phase.HEARING && maxAwaitedMachines >= 10) {
             LOG.info(
                     "recovery: {} machines were waited for, {} of them in vain, for {} ms; {} losses to be written",
                     maxAwaitedMachines,
-                    open.size(),
+                    openSinceMs.size(),
                     now - phaseSinceMs,
                     view.releasedClaimCount());
         }
-        if (p == Phase.HEARING) {
+        if (next == Phase.HEARING) {
             maxAwaitedMachines = awaitedMachines;
         }
-        phase = p;
+        phase = next;
         phaseSinceMs = now;
     }
 
+    /** Returns the phase as of the last update. */
     public Phase phase() {
         return phase;
     }
 
-    /** Whether what is known of the fleet is complete enough to rent, return or empty machines by it. */
+    /** Whether the fleet is known well enough to decide on renting, returning or emptying machines. */
     public boolean isFleetKnown() {
         return nowMs >= fleetKnownFromMs && (phase == Phase.RESTORING || phase == Phase.ORDINARY);
     }
 
     /**
-     * Whether the fleet was known once since the rows were read. Work is stopped for want of room from then on: held back as well whenever
-     * one of the other controllers restarted, it made gangs late that had always found their room.
+     * Whether the fleet was known at some time since the rows were read. Preemption is allowed from then on. When it
+     * was also held back at each restart of another controller, gangs started late that otherwise always found
+     * capacity.
      */
     public boolean wasFleetKnown() {
         return wasFleetKnown;
     }
 
-    /** Expected machines that are still waited for. */
-    public int open() {
+    /** Returns the number of expected machines that are still awaited. */
+    public int awaitedMachines() {
         return awaitedMachines;
     }
 }
--- a/src/main/java/birchusher/recovery/LostTasks.java
+++ b/src/main/java/birchusher/recovery/LostTasks.java
@@ -6,30 +6,39 @@
 import java.util.TreeMap;
 
 /**
- * Where tasks ran that their workers dropped, all at once, as a lease ended: a machine that lives still has their images, and what
- * ran there before fits there again. Remembered from the proof, or from the row's change, until the task has a place again, by every
- * controller that sees it: its driver plans it there first, see the order in {@code docs/recovery.md}, and the others leave it that
- * room. Only a hint, gone with the process.
+ * Remembers where tasks ran that were lost, so that they are restored there. A worker whose lease expires drops all
+ * of its tasks at once; if its machine still exists, it has their images, and the tasks that ran there fit there
+ * again.
+ *
+ * <p>A loss is remembered from its proof, or from the change of the stored claim, until the task is placed again, by
+ * every controller that sees it: the task's job scheduler plans it for that machine first, and the other controllers
+ * leave it that capacity. The order is described in {@code docs/recovery.md}. This is only a hint, which is lost when
+ * the process ends.
+ *
+ * <p>Times are in ms of the steady clock. Not thread-safe.
  */
 public final class LostTasks {
     private static final int MAX_TASKS = 20_000;
-    /** What found no way back for so long is no longer there where it ran. */
+    /** A task that could not be restored for this long is no longer planned for the machine where it ran. */
     private static final long RETENTION_MS = 60_000;
 
     /**
-     * For so long a task waits until its machine is told of as usable again: half a second until the worker shows the new term, and
-     * as long again for its owner's picture and for the news of it.
+     * How long a task waits until its machine is published as usable again: half a second until the worker shows the
+     * new term, and as long again for its owner's status update and for the publication of it.
      */
     private static final long MACHINE_WAIT_MS = 1_500;
 
-    /** Before every session: a proven loss needs no other evidence. */
+    /** Lower than every session: after a proven loss, any session of the machine is a later one. */
     private static final long BEFORE_ANY_SESSION = -1;
 
     /**
-     * @param session the session of the machine that the task was placed for
-     * @param at steady time at which the loss was seen
-     * @param proven by the worker's report of a later session; else only the row tells that the task is gone
-     * @param ours the job was ours to drive when the loss was proven
+     * Where a lost task ran.
+     *
+     * @param session the worker session that the task was placed for
+     * @param seenAtMs steady time at which the loss was seen
+     * @param proven whether the report of a later worker session proves the loss; else only the stored claim was
+     *     released
+     * @param scheduledHere whether this controller was the job's scheduler when the loss was proven
      */
     public record LostRun(String machine, long session, long seenAtMs, boolean proven, boolean scheduledHere) {}
 
@@ -37,36 +46,43 @@
     private int taskCount;
     private int tasksToRestore;
     private final long reconnectTimeMs;
-    /** What the others tell of theirs, by member. */
+    /** By member: the last reported number of its tasks to restore. */
     private final int[] tasksToRestoreOfPeers;
 
     private final long[] peerReportAtMs;
     private long nextCleanupMs;
 
     /**
-     * @param patienceMs for how long what was dropped is expected to find its place again by itself, see {@link Inventory}
-     * @param members of the cluster, ourselves included
+     * Creates an empty memory of lost tasks.
+     *
+     * @param reconnectTimeMs for how long a dropped task is expected to be placed again on its machine, see
+     *     {@link Inventory#reconnectTimeMs}
+     * @param members number of members of the cluster, including this controller
      */
-    public LostTasks(long patienceMs, int members) {
-        this.reconnectTimeMs = patienceMs;
+    public LostTasks(long reconnectTimeMs, int members) {
+        this.reconnectTimeMs = reconnectTimeMs;
         tasksToRestoreOfPeers = new int[members];
         peerReportAtMs = new long[members];
     }
 
-    /** A worker's later session proves that it dropped a task of a job that we drive. */
+    /** Records that a worker's later session proves that it dropped a task of a job that this controller schedules. */
     public void recordDropped(String job, int task, String machine, long now) {
         remember(job, task, new LostRun(machine, BEFORE_ANY_SESSION, now, true, true));
     }
 
     /**
-     * The same of a job that another controller drives: it plans the task back there, and our plan has to leave it that room and no
-     * other. Without this, plans of owners and of drivers gave the same rooms to different tasks.
+     * Records the same of a job that another controller schedules. That controller plans to restore the task on its
+     * machine, and the plan made here has to leave it that capacity and no other. Without this, the plans of owners
+     * and of job schedulers gave the same capacity to different tasks.
      */
     public void recordDroppedForPeer(String job, int task, String machine, long now) {
         remember(job, task, new LostRun(machine, BEFORE_ANY_SESSION, now, true, false));
     }
 
-    /** A claim has left its row and its task has still to run. Whether it was dropped, a later session of the machine tells. */
+    /**
+     * Records that a claim was released whose task has still to run. Whether its worker dropped the task becomes
+     * known when the machine has a later session.
+     */
     public void recordReleased(Claim claim, long now) {
         LostRun known = lostRun(claim.job().spec.id(), claim.task());
         if (known == null || !known.machine.equals(claim.machine())) {
@@ -77,99 +93,107 @@
         }
     }
 
-    private void remember(String job, int task, LostRun home) {
+    private void remember(String job, int task, LostRun run) {
         if (taskCount < MAX_TASKS
-                && lostRuns.computeIfAbsent(job, k -> new TreeMap<>()).put(task, home) == null) {
+                && lostRuns.computeIfAbsent(job, key -> new TreeMap<>()).put(task, run) == null) {
             taskCount++;
         }
     }
 
-    /** Where a task ran that was lost lately, or null. */
+    /** Returns where a task ran that was lost in the last minute, or null. */
     public LostRun lostRun(String job, int task) {
-        TreeMap<Integer, LostRun> of = lostRuns.get(job);
-        return of == null ? null : of.get(task);
+        TreeMap<Integer, LostRun> runsOfJob = lostRuns.get(job);
+        return runsOfJob == null ? null : runsOfJob.get(task);
     }
 
-    /** Whether a loss is so young that its task may still find its place again by itself. */
-    public boolean isRecent(LostRun home, long now) {
-        return now - home.seenAtMs < reconnectTimeMs;
+    /** Whether a loss is so recent that its task may still be restored on its machine without further action. */
+    public boolean isRecent(LostRun run, long now) {
+        return now - run.seenAtMs < reconnectTimeMs;
     }
 
-    /** Whether a machine with this session is one that has dropped the task. */
+    /** Whether a worker session of the machine is later than the lost run, so that its worker has dropped the task. */
     public boolean isLaterSession(String job, int task, long session) {
-        LostRun home = lostRun(job, task);
-        return home != null && session > home.session;
+        LostRun run = lostRun(job, task);
+        return run != null && session > run.session;
     }
 
-    /** The task has a place again. */
-    public void recordPlaced(Claim c) {
-        TreeMap<Integer, LostRun> of = lostRuns.get(c.job().spec.id());
-        if (of != null && of.remove(c.task()) != null) {
+    /** Records that a task is placed again, and forgets its loss. */
+    public void recordPlaced(Claim claim) {
+        TreeMap<Integer, LostRun> runsOfJob = lostRuns.get(claim.job().spec.id());
+        if (runsOfJob != null && runsOfJob.remove(claim.task()) != null) {
             taskCount--;
-            if (of.isEmpty()) {
-                lostRuns.remove(c.job().spec.id());
+            if (runsOfJob.isEmpty()) {
+                lostRuns.remove(claim.job().spec.id());
             }
         }
     }
 
+    /** Whether any lost task of a job is remembered. */
     public boolean hasLostTasks(String job) {
         return lostRuns.containsKey(job);
     }
 
-    /** The machine on which a task may be expected back although it is not in the picture yet, or null. */
+    /**
+     * Returns the machine on which a task is expected to be restored although it is not published as usable yet, or
+     * null.
+     */
     public String awaitedMachine(String job, int task, long now) {
-        LostRun h = lostRun(job, task);
-        return h == null || !h.proven || now - h.seenAtMs > MACHINE_WAIT_MS ? null : h.machine;
+        LostRun run = lostRun(job, task);
+        return run == null || !run.proven || now - run.seenAtMs > MACHINE_WAIT_MS ? null : run.machine;
     }
 
-    /** Task and machine, by task. */
+    /** Returns the machines of a job's lost tasks, by task index. */
     public Map<Integer, String> machinesByTask(String job) {
-        TreeMap<Integer, String> l = new TreeMap<>();
-        lostRuns.getOrDefault(job, new TreeMap<>()).forEach((task, home) -> l.put(task, home.machine));
-        return l;
+        TreeMap<Integer, String> machines = new TreeMap<>();
+        lostRuns.getOrDefault(job, new TreeMap<>()).forEach((task, run) -> machines.put(task, run.machine));
+        return machines;
     }
 
+    /** Forgets old losses and updates the counts, once a second. */
     public void tick(long now) {
         if (now < nextCleanupMs) {
             return;
         }
         nextCleanupMs = now + 1_000;
-        lostRuns.values().removeIf(of -> {
-            of.values().removeIf(h -> now - h.seenAtMs > RETENTION_MS);
-            return of.isEmpty();
+        lostRuns.values().removeIf(runsOfJob -> {
+            runsOfJob.values().removeIf(run -> now - run.seenAtMs > RETENTION_MS);
+            return runsOfJob.isEmpty();
         });
         taskCount = 0;
         tasksToRestore = 0;
-        for (TreeMap<Integer, LostRun> of : lostRuns.values()) {
-            taskCount += of.size();
-            for (LostRun h : of.values()) {
-                tasksToRestore += h.scheduledHere && isRecent(h, now) ? 1 : 0;
+        for (TreeMap<Integer, LostRun> runsOfJob : lostRuns.values()) {
+            taskCount += runsOfJob.size();
+            for (LostRun run : runsOfJob.values()) {
+                tasksToRestore += run.scheduledHere && isRecent(run, now) ? 1 : 0;
             }
         }
     }
 
-    /** Our own tasks that were dropped lately and have no place yet. */
+    /** Returns how many tasks that this controller schedules were dropped recently and are not placed yet. */
     public int tasksToRestore() {
         return tasksToRestore;
     }
 
+    /** Records how many tasks a peer has to restore, as {@link #tasksToRestore} counts them. */
     public void handlePeerReport(int member, int tasks, long now) {
         tasksToRestoreOfPeers[member] = tasks;
         peerReportAtMs[member] = now;
     }
 
     /**
-     * The same of the whole cluster. Nothing is rented for as many tasks: the room that they left is theirs, or somebody's whom they
-     * make room for, but only their drivers see it before their rows are written.
+     * Returns how many tasks the whole cluster has to restore. Nothing is rented for that many tasks: the capacity
+     * that they left is for them, or for tasks that preempt them, but only their job schedulers know that before the
+     * claims are written.
      */
     public int tasksToRestoreOfAll(long now) {
-        int n = tasksToRestore;
+        int total = tasksToRestore;
         for (int i = 0; i < tasksToRestoreOfPeers.length; i++) {
-            n += now - peerReportAtMs[i] < reconnectTimeMs ? tasksToRestoreOfPeers[i] : 0;
+            total += now - peerReportAtMs[i] < reconnectTimeMs ? tasksToRestoreOfPeers[i] : 0;
         }
-        return n;
+        return total;
     }
 
+    /** Returns the number of remembered lost tasks. */
     public int size() {
         return taskCount;
     }
--- a/src/main/java/birchusher/recovery/Reconciliation.java
+++ b/src/main/java/birchusher/recovery/Reconciliation.java
@@ -1,28 +1,33 @@
 package birchusher.recovery;
 
 /**
- * What the rows say of an attempt squared with what its machine's newest report says: what is then written, and what is ordered.
- * The table stands in {@code docs/recovery.md}; it is the same after a start of all controllers, after a takeover and on any
- * ordinary report, so that a second crash in the middle of a return is nothing new. It keeps no state.
+ * Reconciles the stored claim of a task attempt with the newest report of its machine: decides what is written to the
+ * state service and which command the worker gets. The table is in {@code docs/recovery.md}. It is the same after a
+ * start of all controllers, after a takeover and for any other report, so that a second crash during recovery is no
+ * special case. This class has no state.
  *
- * <p>The caller has already left out reports that are not newer than the last one, and answers only under a valid seat and term.
+ * <p>The caller drops reports that are not newer than the last one, and answers only with a valid member lease and
+ * term.
  */
 public final class Reconciliation {
-    /** What the rows say of an attempt on this machine. */
+    /** What the stored rows say of an attempt on the reporting machine. */
     public enum ClaimState {
-        /** It is to run here, in the session that the report is of. */
+        /** The attempt is to run on the machine, in the worker session of the report. */
         CLAIMED,
-        /** The same, but nobody wants it any more: its job is over or cancelled, its gang has a gap, it is being stopped. */
+        /**
+         * As claimed, but no longer needed: its job is over or cancelled, its gang lacks a task, or it is being
+         * stopped.
+         */
         UNWANTED,
-        /** It is recorded here for an earlier session of this worker. */
+        /** The claim is for an earlier session of the machine's worker. */
         EARLIER,
-        /** It is recorded for a later session than the report's: the report is from before the claim. */
+        /** The claim is for a later session than the report's: the report was sent before the claim was made. */
         LATER,
-        /** It is not recorded here: given away, taken out, another attempt is, or nobody knows of it. */
+        /** There is no claim on this machine: it moved, was released, is for another attempt, or never existed. */
         NONE
     }
 
-    /** What the report shows of it. */
+    /** What the report shows of the attempt; {@code ENDED} is any end other than {@code DONE} and {@code ERROR}. */
     public enum ReportedState {
         ABSENT,
         FETCHING,
@@ -35,13 +40,17 @@
     }
 
     /**
-     * What this owner knows beside. {@code before}: an earlier report under its own eyes showed the attempt; {@code loose}: a start
-     * sent straight to the worker has not been answered and may yet arrive; {@code fenced}: the worker has seen our term, so nothing of
-     * an earlier owner can reach it any more; {@code told}: the attempt's end is known and on its way into the rows.
+     * What else the machine's owner knows.
+     *
+     * @param reportedBefore an earlier report to this owner showed the attempt
+     * @param startUnanswered a start sent directly to the worker has not been answered and may still arrive
+     * @param fenced the worker has seen this owner's term, so that no command of an earlier owner can reach it any
+     * more
+     * @param endKnown the attempt's end is known and about to be written to the state service
      */
     public record OwnerKnowledge(boolean reportedBefore, boolean startUnanswered, boolean fenced, boolean endKnown) {}
 
-    /** What is to be written of a claim. */
+    /** What is to be written to the state service for a claim. */
     public enum ClaimOutcome {
         NOTHING,
         DONE,
@@ -50,7 +59,10 @@
         NOT_STARTED
     }
 
-    /** {@code FENCE}: an unanswered start has to be kept out by a higher term before anything else may follow. */
+    /**
+     * The command for the worker. {@code FENCE} is no command: an unanswered start has to be fenced by a higher term
+     * of the shard before any command may follow.
+     */
     public enum Command {
         NOTHING,
         START,
@@ -61,44 +73,53 @@
 
     private Reconciliation() {}
 
-    /** What goes into the rows: a claim leaves them only with a proof that the task is not on the machine and can't come to be there. */
-    public static ClaimOutcome claimOutcome(ClaimState row, ReportedState shown, OwnerKnowledge k) {
-        return switch (row) {
+    /**
+     * Returns what is to be written for a claim. A claim is released only with proof that its task is not on the
+     * machine and cannot be started there any more.
+     */
+    public static ClaimOutcome claimOutcome(ClaimState claim, ReportedState reported, OwnerKnowledge known) {
+        return switch (claim) {
             case NONE, LATER -> ClaimOutcome.NOTHING;
                 // A worker drops all of its tasks between two sessions.
             case EARLIER -> ClaimOutcome.LOST;
-            case CLAIMED, UNWANTED -> switch (shown) {
+            case CLAIMED, UNWANTED -> switch (reported) {
                 case FETCHING, WAITING, RUNNING, SAVING -> ClaimOutcome.NOTHING;
-                    // Work that ended while nobody listened counts, also if nobody wants it any more.
+                    // A completion counts also if it was not received at the time, or is no longer needed.
                 case DONE -> ClaimOutcome.DONE;
                 case ERROR -> ClaimOutcome.ERROR;
                 case ENDED -> ClaimOutcome.LOST;
-                case ABSENT -> k.reportedBefore() && !k.startUnanswered()
+                case ABSENT -> known.reportedBefore() && !known.startUnanswered()
                         ? ClaimOutcome.LOST
-                        : row == ClaimState.UNWANTED && !k.reportedBefore() && !k.startUnanswered() && k.fenced()
+                        : claim == ClaimState.UNWANTED
+                                        && !known.reportedBefore()
+                                        && !known.startUnanswered()
+                                        && known.fenced()
                                 ? ClaimOutcome.NOT_STARTED
                                 : ClaimOutcome.NOTHING;
             };
         };
     }
 
-    /** What the worker is told. An exit is reaped only when nothing asks for it any more, as its report is the only proof of it. */
-    public static Command command(ClaimState row, ReportedState shown, OwnerKnowledge k) {
-        return switch (row) {
-            case NONE, EARLIER, LATER -> switch (shown) {
+    /**
+     * Returns the command for the worker. An exit is reaped only when its report is no longer needed, as that is the
+     * only proof of the exit.
+     */
+    public static Command command(ClaimState claim, ReportedState reported, OwnerKnowledge known) {
+        return switch (claim) {
+            case NONE, EARLIER, LATER -> switch (reported) {
                 case ABSENT -> Command.NOTHING;
-                case DONE, ERROR, ENDED -> k.startUnanswered()
+                case DONE, ERROR, ENDED -> known.startUnanswered()
                         ? Command.FENCE
-                        : k.endKnown() ? Command.NOTHING : Command.REAP;
-                    // Kept out of a double start: it is stopped whatever it was doing.
+                        : known.endKnown() ? Command.NOTHING : Command.REAP;
+                    // Stopped in any state, so that the task does not run twice.
                 default -> Command.STOP;
             };
-            case CLAIMED -> shown == ReportedState.ABSENT && !k.reportedBefore() && !k.endKnown()
+            case CLAIMED -> reported == ReportedState.ABSENT && !known.reportedBefore() && !known.endKnown()
                     ? Command.START
                     : Command.NOTHING;
-            case UNWANTED -> switch (shown) {
+            case UNWANTED -> switch (reported) {
                 case DONE, ERROR, ENDED -> Command.NOTHING;
-                case ABSENT -> k.startUnanswered() && !k.reportedBefore() && !k.endKnown()
+                case ABSENT -> known.startUnanswered() && !known.reportedBefore() && !known.endKnown()
                         ? Command.FENCE
                         : Command.NOTHING;
                 default -> Command.STOP;
--- a/src/test/java/birchusher/recovery/ReconciliationTest.java
+++ b/src/test/java/birchusher/recovery/ReconciliationTest.java
@@ -16,7 +16,7 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
-/** The table in docs/recovery.md against the code, every combination of its columns. */
+/** Checks {@link Reconciliation} against the table in docs/recovery.md, for every combination of its columns. */
 class ReconciliationTest {
     private record TableRow(
             List<ClaimState> claimStates,
@@ -24,51 +24,51 @@
             List<String> conditions,
             ClaimOutcome outcome,
             Command command) {
-        boolean matches(ClaimState r, ReportedState s, OwnerKnowledge k) {
-            return claimStates.contains(r)
-                    && reportedStates.contains(s)
-                    && conditions.stream().allMatch(w -> isTrue(w, k));
+        boolean matches(ClaimState claim, ReportedState reported, OwnerKnowledge known) {
+            return claimStates.contains(claim)
+                    && reportedStates.contains(reported)
+                    && conditions.stream().allMatch(condition -> isTrue(condition, known));
         }
     }
 
-    private static boolean isTrue(String word, OwnerKnowledge k) {
-        if (word.startsWith("!")) {
-            return !isTrue(word.substring(1), k);
+    private static boolean isTrue(String condition, OwnerKnowledge known) {
+        if (condition.startsWith("!")) {
+            return !isTrue(condition.substring(1), known);
         }
-        return switch (word) {
-            case "before" -> k.reportedBefore();
-            case "loose" -> k.startUnanswered();
-            case "fenced" -> k.fenced();
-            case "told" -> k.endKnown();
-            default -> throw new AssertionError("unknown word " + word);
+        return switch (condition) {
+            case "before" -> known.reportedBefore();
+            case "loose" -> known.startUnanswered();
+            case "fenced" -> known.fenced();
+            case "told" -> known.endKnown();
+            default -> throw new AssertionError("unknown condition " + condition);
         };
     }
 
-    private static <E extends Enum<E>> List<E> parseConstants(Class<E> e, String cell) {
+    private static <E extends Enum<E>> List<E> parseConstants(Class<E> type, String cell) {
         return splitCell(cell).stream()
-                .map(w -> Enum.valueOf(e, w.toUpperCase(Locale.ROOT)))
+                .map(word -> Enum.valueOf(type, word.toUpperCase(Locale.ROOT)))
                 .toList();
     }
 
     private static List<String> splitCell(String cell) {
         return Arrays.stream(cell.split(","))
                 .map(String::strip)
-                .filter(w -> !w.isEmpty())
+                .filter(word -> !word.isEmpty())
                 .toList();
     }
 
     private static List<TableRow> readTable() throws IOException {
-        List<TableRow> l = new ArrayList<>();
-        boolean in = false;
+        List<TableRow> rows = new ArrayList<>();
+        boolean inTable = false;
         for (String line : Files.readAllLines(Path.of("docs/recovery.md"))) {
-            in = line.startsWith("| row | report |") || in && line.startsWith("|");
+            inTable = line.startsWith("| row | report |") || inTable && line.startsWith("|");
             String[] cells = line.split("\\|");
-            if (in
+            if (inTable
                     && cells.length == 6
                     && !cells[1].isBlank()
                     && !cells[1].contains("row")
                     && !cells[1].contains("---")) {
-                l.add(new TableRow(
+                rows.add(new TableRow(
                         parseConstants(ClaimState.class, cells[1]),
                         parseConstants(ReportedState.class, cells[2]),
                         splitCell(cells[3]),
@@ -76,51 +76,56 @@
                         parseConstants(Command.class, cells[5]).get(0)));
             }
         }
-        return l;
+        return rows;
     }
 
     @Test
     void everyCombinationMatchesExactlyOneTableRow() throws IOException {
         List<TableRow> table = readTable();
         assertThat(table).hasSizeGreaterThan(20);
-        for (ClaimState r : ClaimState.values()) {
-            for (ReportedState s : ReportedState.values()) {
+        for (ClaimState claim : ClaimState.values()) {
+            for (ReportedState reported : ReportedState.values()) {
                 for (int bits = 0; bits < 16; bits++) {
-                    OwnerKnowledge k =
+                    OwnerKnowledge known =
                             new OwnerKnowledge((bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0, (bits & 8) > 0);
-                    List<TableRow> lines =
-                            table.stream().filter(x -> x.matches(r, s, k)).toList();
-                    assertThat(lines).as("%s %s %s", r, s, k).hasSize(1);
-                    assertThat(Reconciliation.claimOutcome(r, s, k))
-                            .as("%s %s %s", r, s, k)
-                            .isEqualTo(lines.get(0).outcome);
-                    assertThat(Reconciliation.command(r, s, k))
-                            .as("%s %s %s", r, s, k)
-                            .isEqualTo(lines.get(0).command);
+                    List<TableRow> rows = table.stream()
+                            .filter(row -> row.matches(claim, reported, known))
+                            .toList();
+                    assertThat(rows).as("%s %s %s", claim, reported, known).hasSize(1);
+                    assertThat(Reconciliation.claimOutcome(claim, reported, known))
+                            .as("%s %s %s", claim, reported, known)
+                            .isEqualTo(rows.get(0).outcome);
+                    assertThat(Reconciliation.command(claim, reported, known))
+                            .as("%s %s %s", claim, reported, known)
+                            .isEqualTo(rows.get(0).command);
                 }
             }
         }
     }
 
-    /** What the table must never say, whatever is changed in it. */
+    /** Rules that hold whatever is changed in the table. */
     @Test
     void claimsAreReleasedOnlyOnProofAndExitsReapedOnlyWhenUnneeded() {
-        for (ClaimState r : ClaimState.values()) {
-            for (ReportedState s : ReportedState.values()) {
+        for (ClaimState claim : ClaimState.values()) {
+            for (ReportedState reported : ReportedState.values()) {
                 for (int bits = 0; bits < 16; bits++) {
-                    OwnerKnowledge k =
+                    OwnerKnowledge known =
                             new OwnerKnowledge((bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0, (bits & 8) > 0);
-                    boolean here = r == ClaimState.CLAIMED || r == ClaimState.UNWANTED;
-                    if (here
-                            && (s == ReportedState.ABSENT && k.startUnanswered()
-                                    || s.compareTo(ReportedState.ABSENT) > 0 && s.compareTo(ReportedState.DONE) < 0)) {
-                        assertThat(Reconciliation.claimOutcome(r, s, k)).isEqualTo(ClaimOutcome.NOTHING);
+                    boolean claimedHere = claim == ClaimState.CLAIMED || claim == ClaimState.UNWANTED;
+                    if (claimedHere
+                            && (reported == ReportedState.ABSENT && known.startUnanswered()
+                                    || reported.compareTo(ReportedState.ABSENT) > 0
+                                            && reported.compareTo(ReportedState.DONE) < 0)) {
+                        assertThat(Reconciliation.claimOutcome(claim, reported, known))
+                                .isEqualTo(ClaimOutcome.NOTHING);
                     }
-                    if (here || k.endKnown() || k.startUnanswered()) {
-                        assertThat(Reconciliation.command(r, s, k)).isNotEqualTo(Command.REAP);
+                    if (claimedHere || known.endKnown() || known.startUnanswered()) {
+                        assertThat(Reconciliation.command(claim, reported, known))
+                                .isNotEqualTo(Command.REAP);
                     }
-                    if (r != ClaimState.CLAIMED || s != ReportedState.ABSENT) {
-                        assertThat(Reconciliation.command(r, s, k)).isNotEqualTo(Command.START);
+                    if (claim != ClaimState.CLAIMED || reported != ReportedState.ABSENT) {
+                        assertThat(Reconciliation.command(claim, reported, known))
+                                .isNotEqualTo(Command.START);
                     }
                 }
             }
--- a/src/test/java/birchusher/recovery/RecoveryStateTest.java
+++ b/src/test/java/birchusher/recovery/RecoveryStateTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The census, the memory of what was dropped, and the account of orders, each by itself. */
+/** Tests of the state kept for restart recovery: {@link Inventory}, {@link LostTasks} and {@link ActionCounters}. */
 class RecoveryStateTest {
     private final Catalog catalog = new Catalog(birchusher.settings.SettingsReader.read(
             birchusher.TestJobs.SETTINGS.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
@@ -21,13 +21,15 @@
     private final Set<String> gone = new HashSet<>();
     private final List<String> listed = new ArrayList<>(List.of("n-1", "n-2", "n-3"));
 
-    private Inventory.Phase updateInventory(long now, boolean read) {
+    private Inventory.Phase updateInventory(long now, boolean loaded) {
         inventory.update(
                 now,
-                read,
-                m -> confirmed.contains(m)
+                loaded,
+                machine -> confirmed.contains(machine)
                         ? Inventory.MachineEvidence.CONFIRMED
-                        : reported.contains(m) ? Inventory.MachineEvidence.REPORTED : Inventory.MachineEvidence.NONE,
+                        : reported.contains(machine)
+                                ? Inventory.MachineEvidence.REPORTED
+                                : Inventory.MachineEvidence.NONE,
                 gone::contains,
                 listed);
         return inventory.phase();
@@ -37,7 +39,7 @@
     void machinesAreAwaitedUntilConfirmedOrGone() {
         assertThat(updateInventory(0, false)).isEqualTo(Inventory.Phase.READING);
         assertThat(updateInventory(1_000, true)).isEqualTo(Inventory.Phase.HEARING);
-        assertThat(inventory.open()).isEqualTo(3);
+        assertThat(inventory.awaitedMachines()).isEqualTo(3);
         confirmed.add("n-1");
         gone.add("n-2");
         assertThat(updateInventory(2_000, true)).isEqualTo(Inventory.Phase.HEARING);
@@ -46,11 +48,11 @@
         assertThat(updateInventory(3_000, true)).isEqualTo(Inventory.Phase.HEARING);
         confirmed.add("n-3");
         assertThat(updateInventory(4_000, true)).isEqualTo(Inventory.Phase.ORDINARY);
-        // The last plan was made without its room.
+        // The last plan may have been made without its capacity.
         assertThat(inventory.isFleetKnown()).isFalse();
         updateInventory(5_000, true);
         assertThat(inventory.isFleetKnown()).isTrue();
-        // Unfit for reasons of its own, it is not waited for again.
+        // A confirmed machine that ceases to be usable is not awaited again.
         confirmed.remove("n-3");
         assertThat(updateInventory(6_000, true)).isEqualTo(Inventory.Phase.ORDINARY);
     }
@@ -65,7 +67,7 @@
         assertThat(updateInventory(60_000, true)).isEqualTo(Inventory.Phase.ORDINARY);
         confirmed.remove("n-1");
         assertThat(updateInventory(61_000, true)).isEqualTo(Inventory.Phase.HEARING);
-        assertThat(inventory.open()).isEqualTo(1);
+        assertThat(inventory.awaitedMachines()).isEqualTo(1);
         assertThat(updateInventory(70_999, true)).isEqualTo(Inventory.Phase.HEARING);
         assertThat(updateInventory(71_000, true)).isEqualTo(Inventory.Phase.ORDINARY);
     }
