--- a/src/main/java/birchusher/cloud/CloudClient.java
+++ b/src/main/java/birchusher/cloud/CloudClient.java
@@ -5,29 +5,35 @@
 import birchusher.core.TokenBucket;
 import birchusher.settings.Settings;
 
-/** Calls to the cloud, within its request limit. */
+/** Client of the cloud's HTTP interface that keeps its calls within the cloud's request limit. Not thread-safe. */
 public final class CloudClient {
     private static final int TIMEOUT_MS = 4_000;
     private final Effects effects;
     private final String address;
     private final TokenBucket rateLimit;
 
-    public CloudClient(Effects effects, Settings s) {
+    /** Creates a client with the cloud's address and request limit from the settings. */
+    public CloudClient(Effects effects, Settings settings) {
         this.effects = effects;
-        address = s.cloud().toString();
-        rateLimit = new TokenBucket(s.cloudRps() * 0.6, s.cloudRps());
+        address = settings.cloud().toString();
+        rateLimit = new TokenBucket(settings.cloudRps() * 0.6, settings.cloudRps());
     }
 
-    /** False when the budget does not allow the call now; the caller tries again later. */
+    /**
+     * Calls the cloud unless the request limit forbids it.
+     *
+     * @param body the request's body; null: none
+     * @return whether the call was made; if not, the caller has to try again later
+     */
     public boolean call(String method, String path, Object body, Effects.ReplyHandler reply) {
         if (!rateLimit.tryTake(effects.now(), 1)) {
             return false;
         }
-        effects.call(Destination.CLOUD, address, method, path, body, TIMEOUT_MS, (status, m) -> {
-            if (status == 429 || status == 503 && "trouble".equals(m.get("error"))) {
+        effects.call(Destination.CLOUD, address, method, path, body, TIMEOUT_MS, (status, fields) -> {
+            if (status == 429 || status == 503 && "trouble".equals(fields.get("error"))) {
                 rateLimit.block(effects.now(), effects.now() + 700);
             }
-            reply.onReply(status, m);
+            reply.onReply(status, fields);
         });
         return true;
     }
--- a/src/main/java/birchusher/core/Effect.java
+++ b/src/main/java/birchusher/core/Effect.java
@@ -2,20 +2,20 @@
 
 import java.util.Map;
 
-/** What the core asks the world to do. The core itself does no I/O. */
+/** An action that the core, which does no I/O itself, asks the process around it to carry out. */
 public sealed interface Effect {
-    /** Answers one user's, worker's or prober's request. {@code retryAfterS} 0: no such header. */
+    /** Answers an HTTP request of a user, a worker or a health probe. {@code retryAfterS} 0: no Retry-After header. */
     record Answer(long exchange, int status, Map<String, ?> body, int retryAfterS) implements Effect {}
 
-    /** Calls another party over HTTP. Its answer comes back as {@link Effects#reply}. */
+    /** Calls another process over HTTP. The reply is passed to {@link Effects#completeCall}. */
     record Call(
             long id, Destination destination, String address, String method, String path, Object body, int timeoutMs)
             implements Effect {}
 
-    /** Sends one record to another controller. It may be lost. */
+    /** Sends one record to another controller, given by its member index. It may be lost. */
     record Send(int peer, byte[] record) implements Effect {}
 
-    /** Whom a call is for. */
+    /** What a call is for. */
     enum Destination {
         STORE,
         WATCH,
--- a/src/main/java/birchusher/core/Effects.java
+++ b/src/main/java/birchusher/core/Effects.java
@@ -5,10 +5,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Collects what one step of the core decided, and keeps who waits for which answer. */
+/**
+ * The core's clock and output: holds the time of the present step, collects its effects, and passes the replies to
+ * calls on to their handlers. Not thread-safe.
+ */
 public final class Effects {
-    /** What to do when an answer comes. Status 0 means that none came: the request may or may not be carried out. */
+    /** Handles the reply to a call. */
     public interface ReplyHandler {
+        /**
+         * Called at most once for each call.
+         *
+         * @param status the HTTP status; 0: no reply came, and the request may or may not have been carried out
+         * @param body the decoded body, empty if there is none
+         */
         void onReply(int status, Map<String, Object> body);
     }
 
@@ -18,60 +27,66 @@
     private long now;
     private long wallTime;
 
-    /** Steady time in milliseconds. */
+    /** Returns the steady time of the present step in ms. */
     public long now() {
         return now;
     }
 
-    /** Time of day in milliseconds, only as good as the settings' clock bound. */
+    /** Returns the time of day in ms, only as accurate as the clock bound in the settings. */
     public long wallTime() {
         return wallTime;
     }
 
+    /** Sets the time of a step. The steady time does not go back: a lower one is ignored. */
     public void setTime(long steadyMs, long wallMs) {
         now = Math.max(now, steadyMs);
         wallTime = wallMs;
     }
 
+    /** Answers an HTTP request. */
     public void answer(long exchange, int status, Map<String, ?> body) {
         pendingEffects.add(new Effect.Answer(exchange, status, body, 0));
     }
 
-    /** Refuses for now, saying when to come back. */
+    /** Refuses an HTTP request with a Retry-After header of that many seconds. */
     public void refuseWithRetry(long exchange, int status, int seconds) {
         pendingEffects.add(new Effect.Answer(exchange, status, Map.of("error", "later"), seconds));
     }
 
+    /** Calls another process over HTTP; the handler gets its reply. */
     public void call(
-            Effect.Destination target,
+            Effect.Destination destination,
             String address,
             String method,
             String path,
             Object body,
             int timeoutMs,
-            ReplyHandler reply) {
+            ReplyHandler handler) {
         long id = nextId++;
-        pendingCalls.put(id, reply);
-        pendingEffects.add(new Effect.Call(id, target, address, method, path, body, timeoutMs));
+        pendingCalls.put(id, handler);
+        pendingEffects.add(new Effect.Call(id, destination, address, method, path, body, timeoutMs));
     }
 
+    /** Sends a record to another controller, given by its member index. It may be lost. */
     public void send(int peer, byte[] record) {
         pendingEffects.add(new Effect.Send(peer, record));
     }
 
+    /** Passes the reply to a call on to its handler; unknown calls are ignored. */
     public void completeCall(long id, int status, Map<String, Object> body) {
-        ReplyHandler reply = pendingCalls.remove(id);
-        if (reply != null) {
-            reply.onReply(status, body == null ? Map.of() : body);
+        ReplyHandler handler = pendingCalls.remove(id);
+        if (handler != null) {
+            handler.onReply(status, body == null ? Map.of() : body);
         }
     }
 
+    /** Returns the effects collected since the last call, in order, and removes them. */
     public List<Effect> drain() {
         if (pendingEffects.isEmpty()) {
             return List.of();
         }
-        List<Effect> all = pendingEffects;
+        List<Effect> drained = pendingEffects;
         pendingEffects = new ArrayList<>();
-        return all;
+        return drained;
     }
 }
--- a/src/main/java/birchusher/core/Fields.java
+++ b/src/main/java/birchusher/core/Fields.java
@@ -3,9 +3,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads loosely typed maps from outside; anything missing or of the wrong type is a {@link Bad}. */
+/**
+ * Reads fields of untyped maps that come from other processes. All methods throw an {@link InvalidInputException} that
+ * names the field if it is of the wrong type or, unless a default or null is allowed, missing.
+ */
 public final class Fields {
-    /** Input that can't be used; the message names the field. */
+    /** Invalid input; the message names the field. It has no stack trace. */
     public static final class InvalidInputException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -16,65 +19,77 @@
 
     private Fields() {}
 
+    /**
+     * Casts a value to a map with text keys.
+     *
+     * @param what what the value is, for the exception's message
+     */
     @SuppressWarnings("unchecked")
-    public static Map<String, Object> map(Object o, String what) {
-        if (o instanceof Map<?, ?> m) {
-            return (Map<String, Object>) m;
+    public static Map<String, Object> map(Object value, String what) {
+        if (value instanceof Map<?, ?> fields) {
+            return (Map<String, Object>) fields;
         }
         throw new InvalidInputException(what + ": not a map");
     }
 
-    public static String text(Map<String, Object> m, String key) {
-        if (m.get(key) instanceof String s && !s.isEmpty() && s.length() <= 200) {
-            return s;
+    /** Returns a text of 1 to 200 characters. */
+    public static String text(Map<String, Object> fields, String key) {
+        if (fields.get(key) instanceof String text && !text.isEmpty() && text.length() <= 200) {
+            return text;
         }
         throw new InvalidInputException(key + ": missing, empty, too long or not text");
     }
 
-    public static String textOrNull(Map<String, Object> m, String key) {
-        return m.get(key) == null ? null : text(m, key);
+    /** Returns a text of 1 to 200 characters, or null if the field is missing. */
+    public static String textOrNull(Map<String, Object> fields, String key) {
+        return fields.get(key) == null ? null : text(fields, key);
     }
 
-    public static boolean flag(Map<String, Object> m, String key) {
-        if (m.get(key) instanceof Boolean b) {
+    /** Returns a boolean. */
+    public static boolean flag(Map<String, Object> fields, String key) {
+        if (fields.get(key) instanceof Boolean b) {
             return b;
         }
         throw new InvalidInputException(key + ": missing or not a boolean");
     }
 
-    /** A finite number that is not negative. */
-    public static double amount(Map<String, Object> m, String key) {
-        if (m.get(key) instanceof Number n) {
-            double d = n.doubleValue();
-            if (Double.isFinite(d) && d >= 0) {
-                return d;
+    /** Returns a finite number that is not negative. */
+    public static double amount(Map<String, Object> fields, String key) {
+        if (fields.get(key) instanceof Number number) {
+            double amount = number.doubleValue();
+            if (Double.isFinite(amount) && amount >= 0) {
+                return amount;
             }
         }
         throw new InvalidInputException(key + ": missing or not an amount");
     }
 
-    public static double amountOr(Map<String, Object> m, String key, double none) {
-        return m.get(key) == null ? none : amount(m, key);
+    /** Returns a finite number that is not negative, or the default if the field is missing. */
+    public static double amountOr(Map<String, Object> fields, String key, double defaultValue) {
+        return fields.get(key) == null ? defaultValue : amount(fields, key);
     }
 
-    public static long count(Map<String, Object> m, String key) {
-        Object o = m.get(key);
-        if ((o instanceof Long || o instanceof Integer) && ((Number) o).longValue() >= 0) {
-            return ((Number) o).longValue();
+    /** Returns a whole number that is not negative; a floating-point number counts if it is whole and below 1e15. */
+    public static long count(Map<String, Object> fields, String key) {
+        Object value = fields.get(key);
+        if ((value instanceof Long || value instanceof Integer) && ((Number) value).longValue() >= 0) {
+            return ((Number) value).longValue();
         }
-        if (o instanceof Double d && d >= 0 && d == Math.rint(d) && d < 1e15) {
-            return d.longValue();
+        if (value instanceof Double number && number >= 0 && number == Math.rint(number) && number < 1e15) {
+            return number.longValue();
         }
         throw new InvalidInputException(key + ": missing or not a count");
     }
 
-    public static long countOr(Map<String, Object> m, String key, long none) {
-        return m.get(key) == null ? none : count(m, key);
+    /** Returns a whole number that is not negative, or the default if the field is missing. */
+    public static long countOr(Map<String, Object> fields, String key, long defaultValue) {
+        return fields.get(key) == null ? defaultValue : count(fields, key);
     }
 
-    public static List<?> list(Map<String, Object> m, String key) {
-        if (m.get(key) instanceof List<?> l) {
-            return l;
+    /** Returns a list. */
+    public static List<?> list(Map<String, Object> fields, String key) {
+        if (fields.get(key) instanceof List<?> list) {
+            return list;
         }
         throw new InvalidInputException(key + ": missing or not a list");
     }
--- a/src/main/java/birchusher/core/TokenBucket.java
+++ b/src/main/java/birchusher/core/TokenBucket.java
@@ -1,8 +1,10 @@
 package birchusher.core;
 
 /**
- * A rate limit that allows bursts; time is an input. One that is shared with others finds its part by itself: it grows
- * slowly while nobody is refused and shrinks when it is told "too many", never below its fair part.
+ * A token bucket: a rate limit that allows bursts. Where several processes share one limit, each adapts its rate: it
+ * grows slowly while no request is refused and shrinks on each "too many requests", but never below its fair share.
+ *
+ * <p>Time is an input, in ms of the steady clock. Not thread-safe.
  */
 public final class TokenBucket {
     private static final double GROWTH_FRACTION_PER_MS = 0.00002;
@@ -16,19 +18,31 @@
     private long lastRefillMs;
     private long blockedUntilMs;
 
+    /** Creates a full bucket with a fixed rate. */
     public TokenBucket(double perSecond, double burst) {
         this(perSecond, perSecond, perSecond, burst);
     }
 
-    /** Starts at a rate and stays between the least and the most. */
-    public TokenBucket(double perSecond, double least, double most, double burst) {
+    /**
+     * Creates a full bucket with an adaptive rate.
+     *
+     * @param perSecond the initial rate in tokens per second
+     * @param minPerSecond the lowest rate in tokens per second
+     * @param maxPerSecond the highest rate in tokens per second
+     * @param burst the capacity in tokens, at least 1
+     */
+    public TokenBucket(double perSecond, double minPerSecond, double maxPerSecond, double burst) {
         this.tokensPerMs = perSecond / 1000.0;
-        this.minPerMs = least / 1000.0;
-        this.maxPerMs = most / 1000.0;
+        this.minPerMs = minPerSecond / 1000.0;
+        this.maxPerMs = maxPerSecond / 1000.0;
         this.burst = Math.max(1, burst);
         this.tokens = this.burst;
     }
 
+    /**
+     * Whether the bucket holds an amount of tokens, or is full if the amount exceeds its capacity, and is not
+     * blocked.
+     */
     public boolean canTake(long now, double amount) {
         if (now > lastRefillMs) {
             tokens = Math.min(burst, tokens + (now - lastRefillMs) * tokensPerMs);
@@ -38,6 +52,7 @@
         return now >= blockedUntilMs && tokens >= Math.min(amount, burst);
     }
 
+    /** Takes an amount of tokens if {@link #canTake}; returns whether it did. */
     public boolean tryTake(long now, double amount) {
         if (!canTake(now, amount)) {
             return false;
@@ -46,27 +61,28 @@
         return true;
     }
 
-    /** Takes even what is not there: for requests that must not wait, paid for by those that can. */
+    /** Takes tokens even if there are too few: for requests that must not wait, at the expense of those that can. */
     public void overdraw(long now, double amount) {
         canTake(now, 0);
         tokens -= amount;
     }
 
-    /** The other side said "too many": nothing more until then, and less from then on. */
-    public void block(long now, long until) {
-        blockedUntilMs = Math.max(blockedUntilMs, until);
+    /** Handles a "too many requests" reply: blocks the bucket until the given time and lowers its rate. */
+    public void block(long now, long untilMs) {
+        blockedUntilMs = Math.max(blockedUntilMs, untilMs);
         if (now - lastShrinkMs > 500) {
             lastShrinkMs = now;
             tokensPerMs = Math.max(minPerMs, tokensPerMs * SHRINK_FACTOR);
         }
     }
 
-    /** From 0, nothing is short, to 1, nothing is left. */
+    /** Returns how empty the bucket is, from 0 (full) to 1 (no tokens left). */
     public double shortage(long now) {
         canTake(now, 0);
         return Math.max(0, Math.min(1, 1 - tokens / burst));
     }
 
+    /** Returns the present rate. */
     public double tokensPerSecond() {
         return tokensPerMs * 1000;
     }
