--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -176,13 +176,7 @@
                 jobScheduler::runningMs);
     }
 
-    // ---- inputs
-
-    /**
-     * Handles an HTTP request.
-     *
-     * @param exchange identifies the request in its {@link Effect.Answer}
-     */
+    /** Handles an HTTP request; {@code exchange} identifies it in its {@link Effect.Answer}. */
     public List<Effect> handleRequest(long now, long wall, long exchange, String method, String target, byte[] body) {
         effects.setTime(now, wall);
         try {
@@ -198,10 +192,8 @@
     }
 
     /**
-     * Handles the reply to an {@link Effect.Call}.
-     *
-     * @param id the call's id
-     * @param status the HTTP status; 0: no reply came, and the call may or may not have been carried out
+     * Handles the reply to the {@link Effect.Call} with this id. {@code status} is the HTTP status; 0 means that no reply
+     * came, and the call may or may not have been carried out.
      */
     public List<Effect> handleReply(long now, long wall, long id, int status, byte[] body) {
         effects.setTime(now, wall);
@@ -298,8 +290,7 @@
         return effects.drain();
     }
 
-    // ---- requests of users, workers and health probes
-
+    /** Passes on a request of a user, a worker or a health probe. */
     private void route(long exchange, String method, String target, byte[] body) throws Target.Bad {
         int queryStart = target.indexOf('?');
         String path = queryStart < 0 ? target : target.substring(0, queryStart);
@@ -365,8 +356,6 @@
                 && (store.healthy() || !membership.anyPeerServed() && !membership.isIsolated());
     }
 
-    // ---- other controllers
-
     private void send(int member, PeerRecord record) {
         effects.send(member, encode(record));
     }
