--- a/src/main/java/birchusher/agent/Agent.java
+++ b/src/main/java/birchusher/agent/Agent.java
@@ -6,7 +6,7 @@
 import birchusher.http.HttpClient;
 import birchusher.http.HttpServer;
 import birchusher.http.Target;
-import birchusher.wal.HostDisk;
+import birchusher.wal.LockedDirectory;
 import birchusher.wire.Pack;
 import birchusher.wire.Wire;
 import java.io.Closeable;
@@ -52,7 +52,7 @@
     private final EventLoop loop = new EventLoop();
     private final HttpServer httpServer;
     private final HttpClient client;
-    private final HostDisk lock;
+    private final LockedDirectory lock;
     private final Worker worker;
     private final Runner runner;
     private final Logs logs;
@@ -73,7 +73,7 @@
                     "/proc can't be read: an agent needs Linux, to be sure that nothing of a task is left");
         }
         options = o;
-        lock = new HostDisk(o.dir().resolve("state"));
+        lock = new LockedDirectory(o.dir().resolve("state"));
         tag = kept("tag", UUID.randomUUID().toString());
         Tagged.killAll(tag + "/");
         // Only now may the pool be told that the agent before this one is dead, and all its tasks.
--- a/src/main/java/birchusher/cli/Serving.java
+++ b/src/main/java/birchusher/cli/Serving.java
@@ -6,7 +6,7 @@
 import birchusher.daemon.DaemonSettings;
 import birchusher.settings.Settings.Address;
 import birchusher.settings.SettingsReader;
-import birchusher.wal.HostDisk;
+import birchusher.wal.LockedDirectory;
 import birchusher.wal.Repair;
 import java.io.IOException;
 import java.io.Reader;
@@ -209,13 +209,13 @@
                 if (!Files.isDirectory(dir)) {
                     throw new InvalidInputException("--dir: " + dir + " is no directory");
                 }
-                try (HostDisk disk = new HostDisk(dir)) {
+                try (LockedDirectory disk = new LockedDirectory(dir)) {
                     Repair.Plan plan = Repair.plan(disk);
                     if (plan == null) {
                         System.out.println("nothing is damaged");
                         return 0;
                     }
-                    plan.lines().forEach(System.out::println);
+                    plan.summaryLines().forEach(System.out::println);
                     if (yes) {
                         Repair.apply(disk, plan);
                         System.out.println("done");
--- a/src/main/java/birchusher/daemon/Daemon.java
+++ b/src/main/java/birchusher/daemon/Daemon.java
@@ -3,11 +3,11 @@
 import birchusher.http.EventLoop;
 import birchusher.kv.Limits;
 import birchusher.server.Loop;
-import birchusher.statehost.Host;
-import birchusher.statehost.Keeper;
+import birchusher.statehost.DurableStore;
+import birchusher.statehost.DurableStoreRunner;
 import birchusher.statehost.StateServer;
-import birchusher.wal.HostDisk;
-import birchusher.wal.Log;
+import birchusher.wal.LockedDirectory;
+import birchusher.wal.WriteAheadLog;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -24,7 +24,7 @@
 public final class Daemon implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
     /** The pool's own store has no clients to be protected from. */
-    private static final Limits HOME = new Limits(1e6, 1e6, 128, Limits.TXN_BYTES);
+    private static final Limits HOME = new Limits(1e6, 1e6, 128, Limits.MAX_TRANSACTION_BYTES);
 
     private interface Body {
         void run() throws Exception;
@@ -32,8 +32,8 @@
 
     private final EventLoop stateLoop = new EventLoop();
     private final EventLoop frontLoop = new EventLoop();
-    private final Host state;
-    private final Host home;
+    private final DurableStoreRunner state;
+    private final DurableStoreRunner home;
     private final StateServer stateServer;
     private final Front front;
     private final Loop controller;
@@ -71,17 +71,20 @@
         return data.resolve("pool");
     }
 
-    private static Host host(EventLoop loop, Path dir, DaemonSettings d, Limits limits) throws IOException {
-        HostDisk disk = new HostDisk(dir);
+    private static DurableStoreRunner host(EventLoop loop, Path dir, DaemonSettings d, Limits limits)
+            throws IOException {
+        LockedDirectory disk = new LockedDirectory(dir);
         try {
-            return new Host(loop, Keeper.open(disk, Log.Options.USUAL, d.snapshotBytes(), limits, EventLoop.now()));
+            return new DurableStoreRunner(
+                    loop,
+                    DurableStore.open(disk, WriteAheadLog.Options.DEFAULT, d.snapshotBytes(), limits, EventLoop.now()));
         } catch (IOException | RuntimeException e) {
             disk.close();
             throw e;
         }
     }
 
-    private static void closeQuietly(Host h) {
+    private static void closeQuietly(DurableStoreRunner h) {
         try {
             h.close();
         } catch (IOException e) {
--- a/src/main/java/birchusher/daemon/Front.java
+++ b/src/main/java/birchusher/daemon/Front.java
@@ -11,7 +11,7 @@
 import birchusher.pool.Pool;
 import birchusher.pool.Programs;
 import birchusher.settings.Settings;
-import birchusher.statehost.Host;
+import birchusher.statehost.DurableStoreRunner;
 import birchusher.wire.JobCodec;
 import birchusher.wire.Pack;
 import birchusher.wire.Wire;
@@ -38,7 +38,7 @@
 
     private final Settings settings;
     private final String controller;
-    private final Host store;
+    private final DurableStoreRunner store;
     private final Home home;
     private final HttpServer users;
     private final HttpServer cloud;
@@ -49,7 +49,7 @@
     private final Gangs gangs;
     private long nextSweep;
 
-    Front(EventLoop loop, DaemonSettings d, Host store) {
+    Front(EventLoop loop, DaemonSettings d, DurableStoreRunner store) {
         settings = d.settings();
         controller = settings.listen().toString();
         this.store = store;
@@ -215,7 +215,7 @@
                 answer(exchange, p == null ? 404 : 200, p == null ? Map.of("error", "no such program") : p, 0);
             } else if (route.startsWith("GET " + Wire.TASK_LOGS)) {
                 logs(exchange, t);
-            } else if (route.equals("GET " + Wire.READY) && store.stalled()) {
+            } else if (route.equals("GET " + Wire.READY) && store.readOnly()) {
                 refuse(exchange, 503, "the disk can't be written", 1);
             } else if (t.path().startsWith(Wire.RUNS)
                     || t.path().equals(Wire.TEAMS)
--- a/src/main/java/birchusher/daemon/Home.java
+++ b/src/main/java/birchusher/daemon/Home.java
@@ -6,7 +6,7 @@
 import birchusher.kv.Row;
 import birchusher.kv.Write;
 import birchusher.pool.Outbox;
-import birchusher.statehost.Host;
+import birchusher.statehost.DurableStoreRunner;
 import birchusher.wire.Json;
 import birchusher.wire.Pack;
 import java.util.ArrayList;
@@ -19,16 +19,16 @@
  * that a controller could write to, would be none.
  */
 final class Home {
-    private final Host host;
+    private final DurableStoreRunner host;
 
-    Home(Host host) {
+    Home(DurableStoreRunner host) {
         this.host = host;
     }
 
     /** All rows, as they are at the start. */
     Map<String, Map<String, Object>> rows() {
         Map<String, Map<String, Object>> all = new HashMap<>();
-        for (Map.Entry<String, Row> e : host.state().rows().entrySet()) {
+        for (Map.Entry<String, Row> e : host.durableState().rows().entrySet()) {
             all.put(e.getKey(), Fields.map(Pack.decode(e.getValue().value()), e.getKey()));
         }
         return all;
@@ -49,7 +49,7 @@
                 writes.add(new Write.Set(e.getKey(), Pack.encode(e.getValue()), 0));
             }
         }
-        host.ask(new Request.Txn(List.of(), writes, bytes, largest), reply -> {
+        host.submit(new Request.Transaction(List.of(), writes, bytes, largest), reply -> {
             outbox.written(w.id(), reply instanceof Reply.Committed);
             then.run();
         });
--- a/src/main/java/birchusher/kv/Codec.java
+++ b/src/main/java/birchusher/kv/Codec.java
@@ -22,32 +22,32 @@
  * Keys are modified UTF-8. A state is its head, all leases, all rows, in this order.
  */
 public final class Codec {
-    private static final int VERSION = 1;
-    private static final int CHANGED = 1;
-    private static final int GRANTED = 2;
-    private static final int ENDED = 3;
-    private static final int HEAD = 10;
-    private static final int LEASE = 11;
-    private static final int ROW = 12;
+    private static final int FORMAT_VERSION = 1;
+    private static final int ROWS_CHANGED_KIND = 1;
+    private static final int LEASE_GRANTED_KIND = 2;
+    private static final int LEASE_ENDED_KIND = 3;
+    private static final int HEADER_KIND = 10;
+    private static final int LEASE_KIND = 11;
+    private static final int ROW_KIND = 12;
 
     /** Takes one record after the other. */
-    public interface Sink {
-        void record(byte[] bytes) throws IOException;
+    public interface RecordSink {
+        void accept(byte[] bytes) throws IOException;
     }
 
-    private interface Fill {
-        void to(DataOutputStream out) throws IOException;
+    private interface RecordBody {
+        void writeTo(DataOutputStream out) throws IOException;
     }
 
     private Codec() {}
 
-    private static byte[] record(int kind, Fill fill) {
+    private static byte[] encodeRecord(int kind, RecordBody fill) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
             DataOutputStream out = new DataOutputStream(bytes);
-            out.writeByte(VERSION);
+            out.writeByte(FORMAT_VERSION);
             out.writeByte(kind);
-            fill.to(out);
+            fill.writeTo(out);
             return bytes.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -67,47 +67,47 @@
         return in.readNBytes(length);
     }
 
-    private static int kind(DataInputStream in) throws IOException {
+    private static int readKind(DataInputStream in) throws IOException {
         int version = in.readUnsignedByte();
-        if (version != VERSION) {
-            throw new IOException("version " + version + " of a record is not known here, " + VERSION + " is");
+        if (version != FORMAT_VERSION) {
+            throw new IOException("version " + version + " of a record is not known here, " + FORMAT_VERSION + " is");
         }
         return in.readUnsignedByte();
     }
 
-    private static IOException unknown(int kind) {
+    private static IOException unknownKind(int kind) {
         return new IOException("kind " + kind + " of a record is not known here");
     }
 
     public static byte[] encode(Entry e) {
-        if (e instanceof Entry.Changed c) {
-            return record(CHANGED, out -> {
+        if (e instanceof Entry.RowsChanged c) {
+            return encodeRecord(ROWS_CHANGED_KIND, out -> {
                 out.writeInt(c.writes().size());
                 for (Write w : c.writes()) {
                     out.writeBoolean(w instanceof Write.Set);
                     out.writeUTF(w.key());
                     if (w instanceof Write.Set s) {
                         value(out, s.value());
-                        out.writeLong(s.lease());
+                        out.writeLong(s.leaseId());
                     }
                 }
             });
         }
-        if (e instanceof Entry.Granted g) {
-            return record(GRANTED, out -> {
-                out.writeLong(g.lease());
-                out.writeLong(g.lifeMs());
+        if (e instanceof Entry.LeaseGranted g) {
+            return encodeRecord(LEASE_GRANTED_KIND, out -> {
+                out.writeLong(g.leaseId());
+                out.writeLong(g.ttlMs());
             });
         }
-        return record(ENDED, out -> out.writeLong(((Entry.Ended) e).lease()));
+        return encodeRecord(LEASE_ENDED_KIND, out -> out.writeLong(((Entry.LeaseEnded) e).leaseId()));
     }
 
     /** @throws IOException if it is of another version or kind, or cut off */
     public static Entry decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        int kind = kind(in);
+        int kind = readKind(in);
         switch (kind) {
-            case CHANGED -> {
+            case ROWS_CHANGED_KIND -> {
                 int count = in.readInt();
                 if (count < 0 || count > bytes.length) {
                     throw new IOException("a change of " + count + " rows");
@@ -118,57 +118,57 @@
                     String key = in.readUTF();
                     writes.add(set ? new Write.Set(key, value(in), in.readLong()) : new Write.Remove(key));
                 }
-                return new Entry.Changed(writes);
+                return new Entry.RowsChanged(writes);
             }
-            case GRANTED -> {
-                return new Entry.Granted(in.readLong(), in.readLong());
+            case LEASE_GRANTED_KIND -> {
+                return new Entry.LeaseGranted(in.readLong(), in.readLong());
             }
-            case ENDED -> {
-                return new Entry.Ended(in.readLong());
+            case LEASE_ENDED_KIND -> {
+                return new Entry.LeaseEnded(in.readLong());
             }
-            default -> throw unknown(kind);
+            default -> throw unknownKind(kind);
         }
     }
 
     /** Gives a whole state, row by row; the state does not change meanwhile, whatever is done to newer ones. */
-    public static void encode(State s, Sink to) throws IOException {
-        to.record(record(HEAD, out -> {
+    public static void encode(State s, RecordSink to) throws IOException {
+        to.accept(encodeRecord(HEADER_KIND, out -> {
             out.writeLong(s.revision());
-            out.writeLong(s.nextLease());
+            out.writeLong(s.nextLeaseId());
         }));
         for (Lease l : s.leases().values()) {
-            to.record(record(LEASE, out -> {
+            to.accept(encodeRecord(LEASE_KIND, out -> {
                 out.writeLong(l.id());
-                out.writeLong(l.lifeMs());
+                out.writeLong(l.ttlMs());
             }));
         }
         for (Map.Entry<String, Row> e : s.rows().entrySet()) {
-            to.record(record(ROW, out -> {
+            to.accept(encodeRecord(ROW_KIND, out -> {
                 out.writeUTF(e.getKey());
                 value(out, e.getValue().value());
-                out.writeLong(e.getValue().stamp());
-                out.writeLong(e.getValue().lease());
+                out.writeLong(e.getValue().modRevision());
+                out.writeLong(e.getValue().leaseId());
             }));
         }
     }
 
     /** The state with one more record of a whole one. */
-    static State restored(State s, byte[] bytes) throws IOException {
+    static State withRestoredRecord(State s, byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        int kind = kind(in);
+        int kind = readKind(in);
         switch (kind) {
-            case HEAD -> {
+            case HEADER_KIND -> {
                 return new State(s.rows(), s.leases(), in.readLong(), in.readLong());
             }
-            case LEASE -> {
+            case LEASE_KIND -> {
                 Lease l = new Lease(in.readLong(), in.readLong());
-                return new State(s.rows(), s.leases().plus(l.id(), l), s.revision(), s.nextLease());
+                return new State(s.rows(), s.leases().plus(l.id(), l), s.revision(), s.nextLeaseId());
             }
-            case ROW -> {
+            case ROW_KIND -> {
                 String key = in.readUTF();
-                return s.restored(key, new Row(value(in), in.readLong(), in.readLong()));
+                return s.withRestoredRow(key, new Row(value(in), in.readLong(), in.readLong()));
             }
-            default -> throw unknown(kind);
+            default -> throw unknownKind(kind);
         }
     }
 }
--- a/src/main/java/birchusher/kv/Engine.java
+++ b/src/main/java/birchusher/kv/Engine.java
@@ -31,343 +31,357 @@
  * <p>Source: the answer after the log's sync is group commit (Gray and Reuter, Transaction Processing, 1992).
  */
 public final class Engine {
-    private static final long TRY_AGAIN_MS = 1_000;
+    private static final long DISK_RETRY_DELAY_MS = 1_000;
     /** An entry that changes nothing: no lease has this number. */
-    private static final Entry NOTHING = new Entry.Ended(0);
+    private static final Entry PROBE_ENTRY = new Entry.LeaseEnded(0);
 
     /** What the edge has to do. */
     public sealed interface Output {}
 
     /** The reply to the request with this ticket. */
-    public record Answer(long ticket, Reply reply) implements Output {}
+    public record Answer(long requestId, Reply reply) implements Output {}
 
     /** Make it durable as this record, in this order. */
     public record Append(long sequence, Entry entry) implements Output {}
 
     /** An entry not durable yet, and how to take it back. */
-    private record Step(long sequence, State before, int events) {}
+    private record PendingEntry(long sequence, State stateBefore, int eventCount) {}
 
-    private record Held(long sequence, long ticket, Reply reply, boolean wrote) {}
+    private record PendingAnswer(long sequence, long requestId, Reply reply, boolean appendedEntry) {}
 
     private static final class Watcher {
         final String prefix;
-        final long until;
-        long since;
+        final long deadlineMs;
+        long afterRevision;
 
         Watcher(String prefix, long since, long until) {
             this.prefix = prefix;
-            this.since = since;
-            this.until = until;
+            this.afterRevision = since;
+            this.deadlineMs = until;
         }
     }
 
     private final Limits limits;
-    private final TokenBucket requests;
-    private final TokenBucket writes;
-    private State head;
-    private long appended;
-    private final ArrayDeque<Step> steps = new ArrayDeque<>();
-    private final ArrayDeque<Held> held = new ArrayDeque<>();
+    private final TokenBucket requestRateLimiter;
+    private final TokenBucket writeRateLimiter;
+    private State newestState;
+    private long appendedSequence;
+    private final ArrayDeque<PendingEntry> pendingEntries = new ArrayDeque<>();
+    private final ArrayDeque<PendingAnswer> pendingAnswers = new ArrayDeque<>();
     private final ArrayDeque<Event> history;
     /** Up to this revision, changes are not remembered. */
-    private long forgotten;
+    private long compactedRevision;
 
-    private final Map<Long, Long> leaseEnds = new HashMap<>();
+    private final Map<Long, Long> leaseExpiresAtMs = new HashMap<>();
     private final Map<Long, Watcher> watchers = new LinkedHashMap<>();
-    private boolean stalled;
-    private boolean trying;
-    private long tryAt;
-    private List<Output> out = new ArrayList<>();
+    private boolean readOnly;
+    private boolean probing;
+    private long nextProbeMs;
+    private List<Output> outputs = new ArrayList<>();
 
     /** @param sequence the last record kept; the next entry is one more */
-    public Engine(Restore kept, long sequence, Limits limits, long now) {
+    public Engine(StateRestorer kept, long sequence, Limits limits, long now) {
         this.limits = limits;
-        this.requests = new TokenBucket(limits.requestsPerS(), limits.requestsPerS());
-        this.writes = new TokenBucket(limits.writesPerS(), limits.writesPerS());
-        this.head = kept.state();
-        this.appended = sequence;
+        this.requestRateLimiter = new TokenBucket(limits.maxRequestsPerS(), limits.maxRequestsPerS());
+        this.writeRateLimiter = new TokenBucket(limits.maxWritesPerS(), limits.maxWritesPerS());
+        this.newestState = kept.state();
+        this.appendedSequence = sequence;
         this.history = kept.history();
-        this.forgotten = kept.forgotten();
-        fullTime(now);
+        this.compactedRevision = kept.compactedRevision();
+        restartLeaseTimers(now);
     }
 
     /** All that is durable, for a snapshot; never changes. */
     public State durableState() {
-        return steps.isEmpty() ? head : steps.getFirst().before();
+        return pendingEntries.isEmpty()
+                ? newestState
+                : pendingEntries.getFirst().stateBefore();
     }
 
     /** The last record that is durable. */
     public long durableSequence() {
-        return steps.isEmpty() ? appended : steps.getFirst().sequence() - 1;
+        return pendingEntries.isEmpty()
+                ? appendedSequence
+                : pendingEntries.getFirst().sequence() - 1;
     }
 
     /** Whether changes are refused as they can't be made durable. */
-    public boolean stalled() {
-        return stalled;
+    public boolean readOnly() {
+        return readOnly;
     }
 
     /** One request; its answer comes now or later, always exactly one. Tickets are never used twice. */
     public List<Output> handle(long now, long ticket, Request r) {
-        if (!requests.tryTake(now, 1)) {
-            out.add(new Answer(ticket, new Reply.TooMany(1)));
+        if (!requestRateLimiter.tryTake(now, 1)) {
+            outputs.add(new Answer(ticket, new Reply.LimitExceeded(1)));
         } else if (r instanceof Request.Watch w) {
-            watch(now, ticket, w);
+            startWatch(now, ticket, w);
         } else {
-            long before = appended;
-            Reply reply = reply(now, r);
-            answer(ticket, reply, appended != before);
+            long before = appendedSequence;
+            Reply reply = execute(now, r);
+            answerWhenDurable(ticket, reply, appendedSequence != before);
         }
-        return taken();
+        return drainOutputs();
     }
 
     /** Ends leases and watches whose time is over, and tries the disk again after a failure. */
     public List<Output> tick(long now) {
-        if (stalled) {
-            if (!trying && now >= tryAt) {
-                trying = true;
-                append(NOTHING);
+        if (readOnly) {
+            if (!probing && now >= nextProbeMs) {
+                probing = true;
+                append(PROBE_ENTRY);
             }
         } else {
-            for (Lease l : List.copyOf(head.leases().values())) {
-                if (now > leaseEnds.get(l.id())) {
-                    end(l.id());
+            for (Lease l : List.copyOf(newestState.leases().values())) {
+                if (now > leaseExpiresAtMs.get(l.id())) {
+                    endLease(l.id());
                 }
             }
         }
         for (Map.Entry<Long, Watcher> e : List.copyOf(watchers.entrySet())) {
-            if (now >= e.getValue().until) {
+            if (now >= e.getValue().deadlineMs) {
                 watchers.remove(e.getKey());
-                out.add(new Answer(
+                outputs.add(new Answer(
                         e.getKey(), new Reply.Events(List.of(), durableState().revision())));
             }
         }
-        return taken();
+        return drainOutputs();
     }
 
     /** All entries up to that record are durable. */
-    public List<Output> durable(long now, long sequence) {
-        while (!steps.isEmpty() && steps.getFirst().sequence() <= sequence) {
-            steps.removeFirst();
+    public List<Output> onDurable(long now, long sequence) {
+        while (!pendingEntries.isEmpty() && pendingEntries.getFirst().sequence() <= sequence) {
+            pendingEntries.removeFirst();
         }
-        if (stalled) {
-            stalled = false;
-            trying = false;
-            fullTime(now);
+        if (readOnly) {
+            readOnly = false;
+            probing = false;
+            restartLeaseTimers(now);
         }
-        while (!held.isEmpty() && held.getFirst().sequence() <= sequence) {
-            Held h = held.removeFirst();
-            out.add(new Answer(h.ticket(), h.reply()));
+        while (!pendingAnswers.isEmpty() && pendingAnswers.getFirst().sequence() <= sequence) {
+            PendingAnswer h = pendingAnswers.removeFirst();
+            outputs.add(new Answer(h.requestId(), h.reply()));
         }
         for (Map.Entry<Long, Watcher> e : List.copyOf(watchers.entrySet())) {
-            tell(e.getKey(), e.getValue());
+            answerWatch(e.getKey(), e.getValue());
         }
-        return taken();
+        return drainOutputs();
     }
 
     /**
      * No entry that is not durable counts. Those who wrote are told so, or, if the entries may come back after a restart,
      * are told nothing; those who read what is taken back may ask again.
      */
-    public List<Output> failed(long now, boolean unclear) {
-        if (!steps.isEmpty()) {
-            head = steps.getFirst().before();
-            appended = steps.getFirst().sequence() - 1;
-            steps.forEach(s -> {
-                for (int i = 0; i < s.events(); i++) {
+    public List<Output> onWriteFailed(long now, boolean unclear) {
+        if (!pendingEntries.isEmpty()) {
+            newestState = pendingEntries.getFirst().stateBefore();
+            appendedSequence = pendingEntries.getFirst().sequence() - 1;
+            pendingEntries.forEach(s -> {
+                for (int i = 0; i < s.eventCount(); i++) {
                     history.pollLast();
                 }
             });
-            steps.clear();
-        }
-        stalled = true;
-        trying = false;
-        tryAt = now + TRY_AGAIN_MS;
-        fullTime(now);
-        for (Held h : held) {
-            out.add(new Answer(h.ticket(), unclear && h.wrote() ? new Reply.Unclear() : new Reply.Unavailable(1)));
-        }
-        held.clear();
-        return taken();
+            pendingEntries.clear();
+        }
+        readOnly = true;
+        probing = false;
+        nextProbeMs = now + DISK_RETRY_DELAY_MS;
+        restartLeaseTimers(now);
+        for (PendingAnswer h : pendingAnswers) {
+            outputs.add(new Answer(
+                    h.requestId(),
+                    unclear && h.appendedEntry() ? new Reply.OutcomeUnknown() : new Reply.Unavailable(1)));
+        }
+        pendingAnswers.clear();
+        return drainOutputs();
     }
 
-    private List<Output> taken() {
-        List<Output> o = out;
-        out = new ArrayList<>();
+    private List<Output> drainOutputs() {
+        List<Output> o = outputs;
+        outputs = new ArrayList<>();
         return o;
     }
 
-    private void answer(long ticket, Reply reply, boolean wrote) {
+    private void answerWhenDurable(long ticket, Reply reply, boolean wrote) {
         // While stalled, all that can be under way is the empty entry, and nothing rests on that: reads go on
         // meanwhile.
-        if (steps.isEmpty() || stalled) {
-            out.add(new Answer(ticket, reply));
+        if (pendingEntries.isEmpty() || readOnly) {
+            outputs.add(new Answer(ticket, reply));
         } else {
-            held.add(new Held(appended, ticket, reply, wrote));
+            pendingAnswers.add(new PendingAnswer(appendedSequence, ticket, reply, wrote));
         }
     }
 
     private void append(Entry e) {
-        State before = head;
+        State before = newestState;
         int[] events = {0};
-        head = head.apply(e, event -> {
+        newestState = newestState.apply(e, event -> {
             history.add(event);
             events[0]++;
         });
-        steps.add(new Step(++appended, before, events[0]));
-        forgotten = Restore.trim(history, forgotten);
-        out.add(new Append(appended, e));
+        pendingEntries.add(new PendingEntry(++appendedSequence, before, events[0]));
+        compactedRevision = StateRestorer.trimHistory(history, compactedRevision);
+        outputs.add(new Append(appendedSequence, e));
     }
 
-    private void fullTime(long now) {
-        leaseEnds.clear();
-        head.leases().values().forEach(l -> leaseEnds.put(l.id(), now + l.lifeMs()));
+    private void restartLeaseTimers(long now) {
+        leaseExpiresAtMs.clear();
+        newestState.leases().values().forEach(l -> leaseExpiresAtMs.put(l.id(), now + l.ttlMs()));
     }
 
-    private void end(long lease) {
-        append(new Entry.Ended(lease));
-        leaseEnds.remove(lease);
+    private void endLease(long lease) {
+        append(new Entry.LeaseEnded(lease));
+        leaseExpiresAtMs.remove(lease);
     }
 
-    private Reply reply(long now, Request r) {
+    private Reply execute(long now, Request r) {
         if (r instanceof Request.Get g) {
-            Row row = head.rows().get(g.key());
-            return row == null ? new Reply.Missing(head.revision()) : new Reply.Found(g.key(), row);
+            Row row = newestState.rows().get(g.key());
+            return row == null ? new Reply.NotFound(newestState.revision()) : new Reply.Found(g.key(), row);
         }
         if (r instanceof Request.Page p) {
-            return page(p);
+            return readPage(p);
         }
-        if (r instanceof Request.Extend e) {
-            if (!head.leases().containsKey(e.lease())) {
-                return new Reply.NoLease();
+        if (r instanceof Request.RenewLease e) {
+            if (!newestState.leases().containsKey(e.leaseId())) {
+                return new Reply.LeaseNotFound();
             }
-            leaseEnds.put(e.lease(), now + head.leases().get(e.lease()).lifeMs());
+            leaseExpiresAtMs.put(
+                    e.leaseId(), now + newestState.leases().get(e.leaseId()).ttlMs());
             return new Reply.Done();
         }
-        if (r instanceof Request.Txn t) {
-            return txn(now, t);
+        if (r instanceof Request.Transaction t) {
+            return executeTransaction(now, t);
         }
-        if (stalled) {
+        if (readOnly) {
             return new Reply.Unavailable(1);
         }
-        if (r instanceof Request.Grant g) {
-            if (g.lifeMs() < Limits.LEAST_LIFE_MS || g.lifeMs() > Limits.MOST_LIFE_MS) {
-                return new Reply.Bad("life_ms: " + Limits.LEAST_LIFE_MS + " to " + Limits.MOST_LIFE_MS);
+        if (r instanceof Request.GrantLease g) {
+            if (g.ttlMs() < Limits.MIN_TTL_MS || g.ttlMs() > Limits.MAX_TTL_MS) {
+                return new Reply.InvalidRequest("life_ms: " + Limits.MIN_TTL_MS + " to " + Limits.MAX_TTL_MS);
             }
-            if (head.leases().size() >= Limits.MAX_LEASES) {
-                return new Reply.TooMany(1);
+            if (newestState.leases().size() >= Limits.MAX_LEASES) {
+                return new Reply.LimitExceeded(1);
             }
-            long id = head.nextLease();
-            append(new Entry.Granted(id, g.lifeMs()));
-            leaseEnds.put(id, now + g.lifeMs());
-            return new Reply.Leased(id);
+            long id = newestState.nextLeaseId();
+            append(new Entry.LeaseGranted(id, g.ttlMs()));
+            leaseExpiresAtMs.put(id, now + g.ttlMs());
+            return new Reply.LeaseGranted(id);
         }
-        long lease = ((Request.End) r).lease();
-        if (!head.leases().containsKey(lease)) {
-            return new Reply.NoLease();
+        long lease = ((Request.EndLease) r).leaseId();
+        if (!newestState.leases().containsKey(lease)) {
+            return new Reply.LeaseNotFound();
         }
-        end(lease);
+        endLease(lease);
         return new Reply.Done();
     }
 
-    private Reply page(Request.Page p) {
-        int most = Math.max(1, Math.min(p.most(), Limits.PAGE));
+    private Reply readPage(Request.Page p) {
+        int most = Math.max(1, Math.min(p.maxRows(), Limits.MAX_PAGE_ROWS));
         boolean within = p.after() != null && p.after().compareTo(p.prefix()) >= 0;
         List<Map.Entry<String, Row>> rows = new ArrayList<>();
         int bytes = 0;
-        for (Map.Entry<String, Row> e :
-                head.rows().tailMap(within ? p.after() : p.prefix(), !within).entrySet()) {
+        for (Map.Entry<String, Row> e : newestState
+                .rows()
+                .tailMap(within ? p.after() : p.prefix(), !within)
+                .entrySet()) {
             if (!e.getKey().startsWith(p.prefix())) {
                 break;
             }
             bytes += e.getKey().length() + e.getValue().value().length + 32;
-            if (rows.size() == most || !rows.isEmpty() && bytes > Limits.PAGE_BYTES) {
-                return new Reply.Rows(rows, true, head.revision());
+            if (rows.size() == most || !rows.isEmpty() && bytes > Limits.MAX_PAGE_BYTES) {
+                return new Reply.Rows(rows, true, newestState.revision());
             }
             rows.add(e);
         }
-        return new Reply.Rows(rows, false, head.revision());
+        return new Reply.Rows(rows, false, newestState.revision());
     }
 
     /** What is wrong with a transaction by itself, null if nothing. */
-    private String wrong(Request.Txn t) {
-        if (t.writes().size() > limits.writes()) {
-            return "writes: " + t.writes().size() + ", " + limits.writes() + " are the most";
+    private String validationError(Request.Transaction t) {
+        if (t.writes().size() > limits.maxWritesPerTransaction()) {
+            return "writes: " + t.writes().size() + ", " + limits.maxWritesPerTransaction() + " are the most";
         }
-        if (t.conditions().size() > 4 * limits.writes()) {
-            return "if: " + t.conditions().size() + " conditions, " + 4 * limits.writes() + " are the most";
+        if (t.conditions().size() > 4 * limits.maxWritesPerTransaction()) {
+            return "if: " + t.conditions().size() + " conditions, " + 4 * limits.maxWritesPerTransaction()
+                    + " are the most";
         }
-        if (t.bytes() > Limits.TXN_BYTES) {
-            return "body: over " + Limits.TXN_BYTES + " bytes";
+        if (t.sizeBytes() > Limits.MAX_TRANSACTION_BYTES) {
+            return "body: over " + Limits.MAX_TRANSACTION_BYTES + " bytes";
         }
-        if (t.largest() > limits.valueBytes()) {
-            return "value: over " + limits.valueBytes() + " bytes";
+        if (t.largestValueBytes() > limits.maxValueBytes()) {
+            return "value: over " + limits.maxValueBytes() + " bytes";
         }
         Set<String> written = new HashSet<>();
         for (Write w : t.writes()) {
             if (!written.add(w.key())) {
                 return "writes: " + w.key() + " twice";
             }
-            if (!key(w.key())) {
-                return "writes: a key has 1 to " + Limits.KEY_BYTES + " bytes and no spaces";
+            if (!isValidKey(w.key())) {
+                return "writes: a key has 1 to " + Limits.MAX_KEY_BYTES + " bytes and no spaces";
             }
         }
         return null;
     }
 
     /** Whether it may be a key. */
-    public static boolean key(String key) {
+    public static boolean isValidKey(String key) {
         return !key.isEmpty()
-                && key.getBytes(StandardCharsets.UTF_8).length <= Limits.KEY_BYTES
+                && key.getBytes(StandardCharsets.UTF_8).length <= Limits.MAX_KEY_BYTES
                 && key.chars().noneMatch(c -> c <= ' ');
     }
 
-    private Reply txn(long now, Request.Txn t) {
-        String wrong = wrong(t);
+    private Reply executeTransaction(long now, Request.Transaction t) {
+        String wrong = validationError(t);
         if (wrong != null) {
-            return new Reply.Bad(wrong);
+            return new Reply.InvalidRequest(wrong);
         }
-        if (!t.writes().isEmpty() && stalled) {
+        if (!t.writes().isEmpty() && readOnly) {
             return new Reply.Unavailable(1);
         }
-        if (!t.writes().isEmpty() && !writes.tryTake(now, t.writes().size())) {
-            return new Reply.TooMany(1);
+        if (!t.writes().isEmpty() && !writeRateLimiter.tryTake(now, t.writes().size())) {
+            return new Reply.LimitExceeded(1);
         }
         for (Write w : t.writes()) {
-            if (w instanceof Write.Set s && s.lease() != 0 && !head.leases().containsKey(s.lease())) {
-                return new Reply.NoLease();
+            if (w instanceof Write.Set s
+                    && s.leaseId() != 0
+                    && !newestState.leases().containsKey(s.leaseId())) {
+                return new Reply.LeaseNotFound();
             }
         }
         List<String> failed = new ArrayList<>();
         for (Request.Condition c : t.conditions()) {
-            Row row = head.rows().get(c.key());
-            if ((row == null ? 0 : row.stamp()) != c.stamp()) {
+            Row row = newestState.rows().get(c.key());
+            if ((row == null ? 0 : row.modRevision()) != c.modRevision()) {
                 failed.add(c.key());
             }
         }
         if (!failed.isEmpty()) {
-            return new Reply.Failed(failed, head.revision());
+            return new Reply.ConditionsFailed(failed, newestState.revision());
         }
         if (t.writes().stream()
-                .anyMatch(w -> w instanceof Write.Set || head.rows().containsKey(w.key()))) {
-            append(new Entry.Changed(t.writes()));
+                .anyMatch(w -> w instanceof Write.Set || newestState.rows().containsKey(w.key()))) {
+            append(new Entry.RowsChanged(t.writes()));
         }
-        return new Reply.Committed(head.revision());
+        return new Reply.Committed(newestState.revision());
     }
 
-    private void watch(long now, long ticket, Request.Watch w) {
+    private void startWatch(long now, long ticket, Request.Watch w) {
         // A revision that is not known here comes from a state that this one does not go back to, as after an old
         // backup.
-        if (w.since() < forgotten || w.since() > durableState().revision()) {
-            out.add(new Answer(ticket, new Reply.TooOld()));
+        if (w.afterRevision() < compactedRevision
+                || w.afterRevision() > durableState().revision()) {
+            outputs.add(new Answer(ticket, new Reply.RevisionCompacted()));
             return;
         }
-        Watcher watcher = new Watcher(w.prefix(), w.since(), now + Math.min(w.waitMs(), Limits.MOST_WAIT_MS));
-        if (!tell(ticket, watcher)) {
+        Watcher watcher =
+                new Watcher(w.prefix(), w.afterRevision(), now + Math.min(w.waitMs(), Limits.MAX_WATCH_WAIT_MS));
+        if (!answerWatch(ticket, watcher)) {
             if (w.waitMs() <= 0) {
-                out.add(new Answer(
+                outputs.add(new Answer(
                         ticket, new Reply.Events(List.of(), durableState().revision())));
             } else if (watchers.size() >= Limits.MAX_WATCHES) {
-                out.add(new Answer(ticket, new Reply.TooMany(1)));
+                outputs.add(new Answer(ticket, new Reply.LimitExceeded(1)));
             } else {
                 watchers.put(ticket, watcher);
             }
@@ -375,30 +389,30 @@
     }
 
     /** Answers a watch if there is something durable to tell. */
-    private boolean tell(long ticket, Watcher w) {
+    private boolean answerWatch(long ticket, Watcher w) {
         long upTo = durableState().revision();
-        if (w.since < forgotten) {
+        if (w.afterRevision < compactedRevision) {
             watchers.remove(ticket);
-            out.add(new Answer(ticket, new Reply.TooOld()));
+            outputs.add(new Answer(ticket, new Reply.RevisionCompacted()));
             return true;
         }
         List<Event> events = new ArrayList<>();
         for (Iterator<Event> i = history.descendingIterator(); i.hasNext(); ) {
             Event e = i.next();
-            if (e.stamp() <= w.since) {
+            if (e.revision() <= w.afterRevision) {
                 break;
             }
-            if (e.stamp() <= upTo && e.key().startsWith(w.prefix)) {
+            if (e.revision() <= upTo && e.key().startsWith(w.prefix)) {
                 events.add(e);
             }
         }
-        w.since = upTo;
+        w.afterRevision = upTo;
         if (events.isEmpty()) {
             return false;
         }
         Collections.reverse(events);
         watchers.remove(ticket);
-        out.add(new Answer(ticket, new Reply.Events(events, upTo)));
+        outputs.add(new Answer(ticket, new Reply.Events(events, upTo)));
         return true;
     }
 }
--- a/src/main/java/birchusher/kv/Reply.java
+++ b/src/main/java/birchusher/kv/Reply.java
@@ -9,19 +9,19 @@
     record Found(String key, Row row) implements Reply {}
 
     /** There is no such key; the present revision. */
-    record Missing(long revision) implements Reply {}
+    record NotFound(long revision) implements Reply {}
 
     /** A page of rows in the order of their keys, and whether more follow. */
-    record Rows(List<Map.Entry<String, Row>> rows, boolean more, long revision) implements Reply {}
+    record Rows(List<Map.Entry<String, Row>> rows, boolean hasMore, long revision) implements Reply {}
 
     /** A transaction was applied as this revision. */
     record Committed(long revision) implements Reply {}
 
     /** Conditions that do not hold; nothing was changed. */
-    record Failed(List<String> keys, long revision) implements Reply {}
+    record ConditionsFailed(List<String> keys, long revision) implements Reply {}
 
     /** A lease was granted under this number. */
-    record Leased(long lease) implements Reply {}
+    record LeaseGranted(long leaseId) implements Reply {}
 
     /** Carried out; there is nothing more to say. */
     record Done() implements Reply {}
@@ -30,20 +30,20 @@
     record Events(List<State.Event> events, long revision) implements Reply {}
 
     /** The lease has ended or never was: 404, and 400 for a write that names it. */
-    record NoLease() implements Reply {}
+    record LeaseNotFound() implements Reply {}
 
     /** Older than what is remembered: the keys must be read again. */
-    record TooOld() implements Reply {}
+    record RevisionCompacted() implements Reply {}
 
     /** Refused as over the limit; to be tried again after so many seconds. */
-    record TooMany(int retryAfterS) implements Reply {}
+    record LimitExceeded(int retryAfterS) implements Reply {}
 
     /** Not executed, and can't be at present. */
     record Unavailable(int retryAfterS) implements Reply {}
 
     /** Neither done nor not done: no answer may be given, the connection ends. */
-    record Unclear() implements Reply {}
+    record OutcomeUnknown() implements Reply {}
 
     /** Malformed or beyond a limit; the text names the field. */
-    record Bad(String why) implements Reply {}
+    record InvalidRequest(String message) implements Reply {}
 }
--- a/src/main/java/birchusher/kv/Row.java
+++ b/src/main/java/birchusher/kv/Row.java
@@ -6,9 +6,9 @@
  * @param stamp the revision of its last change
  * @param lease the lease it goes with, 0 for none
  */
-public record Row(byte[] value, long stamp, long lease) {
+public record Row(byte[] value, long modRevision, long leaseId) {
     public Row {
-        if (value == null || stamp < 1 || lease < 0) {
+        if (value == null || modRevision < 1 || leaseId < 0) {
             throw new IllegalArgumentException("a row has a value, a stamp from 1 on and a lease or 0");
         }
     }
--- a/src/main/java/birchusher/kv/State.java
+++ b/src/main/java/birchusher/kv/State.java
@@ -13,47 +13,48 @@
  * @param revision counts changes; every row's stamp is at most this
  * @param nextLease above every lease ever granted
  */
-public record State(TreePMap<String, Row> rows, PMap<Long, Lease> leases, long revision, long nextLease) {
+public record State(TreePMap<String, Row> rows, PMap<Long, Lease> leases, long revision, long nextLeaseId) {
     public static final State EMPTY = new State(TreePMap.empty(), HashTreePMap.empty(), 0, 1);
 
     /** One key's change, for those who watch: no value means removed. */
-    public record Event(String key, byte[] value, long stamp) {}
+    public record Event(String key, byte[] value, long revision) {}
 
     /** The state after an entry. Never fails on an entry that {@link Engine} made from this state. */
     public State apply(Entry e, Consumer<Event> events) {
-        if (e instanceof Entry.Changed c) {
-            return write(c.writes(), events);
+        if (e instanceof Entry.RowsChanged c) {
+            return applyWrites(c.writes(), events);
         }
-        if (e instanceof Entry.Granted g) {
+        if (e instanceof Entry.LeaseGranted g) {
             return new State(
                     rows,
-                    leases.plus(g.lease(), new Lease(g.lease(), g.lifeMs())),
+                    leases.plus(g.leaseId(), new Lease(g.leaseId(), g.ttlMs())),
                     revision,
-                    Math.max(nextLease, g.lease() + 1));
+                    Math.max(nextLeaseId, g.leaseId() + 1));
         }
-        Lease l = leases.get(((Entry.Ended) e).lease());
+        Lease l = leases.get(((Entry.LeaseEnded) e).leaseId());
         if (l == null) {
             return this;
         }
         State s = l.keys().isEmpty()
                 ? this
-                : write(l.keys().stream().sorted().<Write>map(Write.Remove::new).toList(), events);
-        return new State(s.rows, s.leases.minus(l.id()), s.revision, s.nextLease);
+                : applyWrites(
+                        l.keys().stream().sorted().<Write>map(Write.Remove::new).toList(), events);
+        return new State(s.rows, s.leases.minus(l.id()), s.revision, s.nextLeaseId);
     }
 
-    private State write(List<Write> writes, Consumer<Event> events) {
+    private State applyWrites(List<Write> writes, Consumer<Event> events) {
         TreePMap<String, Row> r = rows;
         PMap<Long, Lease> l = leases;
         long at = revision + 1;
         for (Write w : writes) {
             Row old = r.get(w.key());
-            if (old != null && old.lease() != 0) {
-                l = l.plus(old.lease(), l.get(old.lease()).minus(w.key()));
+            if (old != null && old.leaseId() != 0) {
+                l = l.plus(old.leaseId(), l.get(old.leaseId()).withoutKey(w.key()));
             }
             if (w instanceof Write.Set s) {
-                r = r.plus(s.key(), new Row(s.value(), at, s.lease()));
-                if (s.lease() != 0) {
-                    l = l.plus(s.lease(), l.get(s.lease()).plus(s.key()));
+                r = r.plus(s.key(), new Row(s.value(), at, s.leaseId()));
+                if (s.leaseId() != 0) {
+                    l = l.plus(s.leaseId(), l.get(s.leaseId()).withKey(s.key()));
                 }
                 events.accept(new Event(s.key(), s.value(), at));
             } else if (old != null) {
@@ -61,14 +62,14 @@
                 events.accept(new Event(w.key(), null, at));
             }
         }
-        return new State(r, l, at, nextLease);
+        return new State(r, l, at, nextLeaseId);
     }
 
     /** The row itself as kept in a snapshot: no event, no new revision. */
-    State restored(String key, Row row) {
-        PMap<Long, Lease> l = row.lease() == 0
+    State withRestoredRow(String key, Row row) {
+        PMap<Long, Lease> l = row.leaseId() == 0
                 ? leases
-                : leases.plus(row.lease(), leases.get(row.lease()).plus(key));
-        return new State(rows.plus(key, row), l, revision, nextLease);
+                : leases.plus(row.leaseId(), leases.get(row.leaseId()).withKey(key));
+        return new State(rows.plus(key, row), l, revision, nextLeaseId);
     }
 }
--- a/src/main/java/birchusher/kv/Restore.java
+++ b/src/main/java/birchusher/kv/StateRestorer.java
@@ -5,27 +5,27 @@
 import java.util.ArrayDeque;
 
 /** Makes a state again from what was kept: the records of a whole one, then entries. */
-public final class Restore {
+public final class StateRestorer {
     private State state = State.EMPTY;
     private final ArrayDeque<Event> history = new ArrayDeque<>();
-    private long forgotten;
+    private long compactedRevision;
 
     /** From nothing. */
-    public void begin() {
+    public void reset() {
         state = State.EMPTY;
         history.clear();
-        forgotten = 0;
+        compactedRevision = 0;
     }
 
     /** One record of a whole state. */
-    public void row(byte[] bytes) throws IOException {
-        state = Codec.restored(state, bytes);
-        forgotten = state.revision();
+    public void addSnapshotRecord(byte[] bytes) throws IOException {
+        state = Codec.withRestoredRecord(state, bytes);
+        compactedRevision = state.revision();
     }
 
-    public void entry(byte[] bytes) throws IOException {
+    public void applyLogRecord(byte[] bytes) throws IOException {
         state = state.apply(Codec.decode(bytes), history::add);
-        forgotten = trim(history, forgotten);
+        compactedRevision = trimHistory(history, compactedRevision);
     }
 
     public State state() {
@@ -38,18 +38,18 @@
     }
 
     /** Watches must ask from this revision on. */
-    long forgotten() {
-        return forgotten;
+    long compactedRevision() {
+        return compactedRevision;
     }
 
     /** Drops the oldest changes beyond what is kept; returns up to which revision nothing is remembered. */
-    static long trim(ArrayDeque<Event> history, long forgotten) {
+    static long trimHistory(ArrayDeque<Event> history, long forgotten) {
         long f = forgotten;
-        while (history.size() > Limits.HISTORY) {
-            f = history.removeFirst().stamp();
+        while (history.size() > Limits.MAX_HISTORY_EVENTS) {
+            f = history.removeFirst().revision();
         }
         // A revision is remembered in whole or not at all: half of a transaction would be told as all of it.
-        while (!history.isEmpty() && history.getFirst().stamp() <= f) {
+        while (!history.isEmpty() && history.getFirst().revision() <= f) {
             history.removeFirst();
         }
         return f;
--- a/src/main/java/birchusher/statehost/Host.java
+++ b/src/main/java/birchusher/statehost/DurableStoreRunner.java
@@ -22,25 +22,25 @@
  *
  * <p>All methods are for the loop's thread, but {@link #close}, which is for after the loop has ended.
  */
-public final class Host {
-    private static final Logger LOG = LoggerFactory.getLogger(Host.class);
-    private static final long CLOSE_S = 30;
+public final class DurableStoreRunner {
+    private static final Logger LOG = LoggerFactory.getLogger(DurableStoreRunner.class);
+    private static final long CLOSE_TIMEOUT_S = 30;
 
     private final EventLoop loop;
-    private final Keeper keeper;
-    private final ExecutorService syncs = thread("sync");
-    private final ExecutorService snapshots = thread("snapshot");
-    private final Map<Long, Consumer<Reply>> waiting = new HashMap<>();
-    private long nextTicket = 1;
-    private boolean wasStalled;
+    private final DurableStore store;
+    private final ExecutorService syncExecutor = newSingleThreadExecutor("sync");
+    private final ExecutorService snapshotExecutor = newSingleThreadExecutor("snapshot");
+    private final Map<Long, Consumer<Reply>> pendingReplies = new HashMap<>();
+    private long nextRequestId = 1;
+    private boolean wasReadOnly;
 
-    public Host(EventLoop loop, Keeper keeper) {
+    public DurableStoreRunner(EventLoop loop, DurableStore keeper) {
         this.loop = loop;
-        this.keeper = keeper;
-        keeper.notes().forEach(n -> LOG.info("found at the start: {}", n));
+        this.store = keeper;
+        keeper.recoveryNotes().forEach(n -> LOG.info("found at the start: {}", n));
     }
 
-    private static ExecutorService thread(String name) {
+    private static ExecutorService newSingleThreadExecutor(String name) {
         return Executors.newSingleThreadExecutor(r -> {
             Thread t = new Thread(r, name);
             t.setDaemon(true);
@@ -49,37 +49,37 @@
     }
 
     /** Exactly one reply comes, now or later, on the loop's thread. */
-    public void ask(Request r, Consumer<Reply> reply) {
-        long ticket = nextTicket++;
-        waiting.put(ticket, reply);
-        give(keeper.handle(EventLoop.now(), ticket, r));
-        kick();
+    public void submit(Request r, Consumer<Reply> reply) {
+        long ticket = nextRequestId++;
+        pendingReplies.put(ticket, reply);
+        deliver(store.handle(EventLoop.now(), ticket, r));
+        startNextBatch();
     }
 
     /** Whether changes can't be made durable at present. */
-    public boolean stalled() {
-        return keeper.stalled();
+    public boolean readOnly() {
+        return store.readOnly();
     }
 
     /** Everything durable; never changes. */
-    public State state() {
-        return keeper.state();
+    public State durableState() {
+        return store.durableState();
     }
 
     public void tick() {
-        give(keeper.tick(EventLoop.now()));
-        kick();
-        Keeper.MachineStatus p = keeper.picture(EventLoop.now());
+        deliver(store.tick(EventLoop.now()));
+        startNextBatch();
+        DurableStore.PendingSnapshot p = store.takeDueSnapshot(EventLoop.now());
         if (p != null) {
-            snapshots.execute(() -> picture(p));
+            snapshotExecutor.execute(() -> writeSnapshot(p));
         }
-        if (wasStalled != keeper.stalled()) {
-            wasStalled = keeper.stalled();
-            LOG.error(wasStalled ? "changes are refused: the log can't be written" : "the log can be written again");
+        if (wasReadOnly != store.readOnly()) {
+            wasReadOnly = store.readOnly();
+            LOG.error(wasReadOnly ? "changes are refused: the log can't be written" : "the log can be written again");
         }
     }
 
-    private void picture(Keeper.MachineStatus p) {
+    private void writeSnapshot(DurableStore.PendingSnapshot p) {
         boolean written = false;
         try {
             p.write();
@@ -89,20 +89,20 @@
         }
         boolean ok = written;
         loop.post(() -> {
-            keeper.pictured(EventLoop.now(), p, ok);
-            kick();
+            store.onSnapshotWritten(EventLoop.now(), p, ok);
+            startNextBatch();
         });
     }
 
     /** Hands the next batch to the syncing thread, unless it has one. */
-    private void kick() {
-        Keeper.Batch b = keeper.take();
+    private void startNextBatch() {
+        DurableStore.Batch b = store.takeBatch();
         if (b != null) {
-            syncs.execute(() -> write(b));
+            syncExecutor.execute(() -> writeBatch(b));
         }
     }
 
-    private void write(Keeper.Batch b) {
+    private void writeBatch(DurableStore.Batch b) {
         try {
             b.write();
         } catch (RuntimeException | Error e) {
@@ -112,17 +112,17 @@
             return;
         }
         loop.post(() -> {
-            if (b.trouble() != null) {
-                LOG.error("log: {}", b.trouble());
+            if (b.failureMessage() != null) {
+                LOG.error("log: {}", b.failureMessage());
             }
-            give(keeper.written(EventLoop.now(), b));
-            kick();
+            deliver(store.onBatchWritten(EventLoop.now(), b));
+            startNextBatch();
         });
     }
 
-    private void give(List<Answer> answers) {
+    private void deliver(List<Answer> answers) {
         for (Answer a : answers) {
-            Consumer<Reply> to = waiting.remove(a.ticket());
+            Consumer<Reply> to = pendingReplies.remove(a.requestId());
             if (to != null) {
                 to.accept(a.reply());
             }
@@ -131,12 +131,12 @@
 
     /** After the loop has ended: lets the sync under way end, and gives the directory free. What was not answered may count or not. */
     public void close() throws IOException, InterruptedException {
-        syncs.shutdown();
-        snapshots.shutdown();
-        if (!syncs.awaitTermination(CLOSE_S, TimeUnit.SECONDS)
-                || !snapshots.awaitTermination(CLOSE_S, TimeUnit.SECONDS)) {
-            throw new IOException("the disk has not answered for " + CLOSE_S + " s");
+        syncExecutor.shutdown();
+        snapshotExecutor.shutdown();
+        if (!syncExecutor.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)
+                || !snapshotExecutor.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)) {
+            throw new IOException("the disk has not answered for " + CLOSE_TIMEOUT_S + " s");
         }
-        keeper.close();
+        store.close();
     }
 }
--- a/src/main/java/birchusher/statehost/StateServer.java
+++ b/src/main/java/birchusher/statehost/StateServer.java
@@ -12,14 +12,14 @@
 /** Serves a {@link Host} on the published protocol of the state service, and {@code GET /ready}. */
 public final class StateServer {
     /** A body within the protocol's 64 KiB, counted as JSON, may be larger as MessagePack: "1.0" has nine bytes there. */
-    private static final int MAX_BODY = 256 * 1024;
+    private static final int MAX_BODY_BYTES = 256 * 1024;
 
-    private final Host host;
+    private final DurableStoreRunner store;
     private final HttpServer server;
 
-    public StateServer(EventLoop loop, String address, int port, int maxConnections, Host host) {
-        this.host = host;
-        this.server = new HttpServer(loop, address, port, maxConnections, MAX_BODY, this::request);
+    public StateServer(EventLoop loop, String address, int port, int maxConnections, DurableStoreRunner host) {
+        this.store = host;
+        this.server = new HttpServer(loop, address, port, maxConnections, MAX_BODY_BYTES, this::handleRequest);
     }
 
     public void open() throws IOException {
@@ -31,28 +31,30 @@
     }
 
     public void tick() {
-        host.tick();
+        store.tick();
         server.tick();
     }
 
-    private void request(long exchange, String method, String target, byte[] body) {
+    private void handleRequest(long exchange, String method, String target, byte[] body) {
         if (target.equals(Wire.READY)) {
             answer(
                     exchange,
-                    host.stalled() ? Edge.error(503, "the log can't be written", 1) : new Edge.Out(200, Map.of(), 0));
+                    store.readOnly()
+                            ? ProtocolCodec.errorResponse(503, "the log can't be written", 1)
+                            : new ProtocolCodec.HttpResponse(200, Map.of(), 0));
             return;
         }
         try {
-            Request r = Edge.read(method, target, body);
-            host.ask(r, reply -> answer(exchange, Edge.write(r, reply)));
+            Request r = ProtocolCodec.parseRequest(method, target, body);
+            store.submit(r, reply -> answer(exchange, ProtocolCodec.encodeReply(r, reply)));
         } catch (InvalidInputException e) {
-            answer(exchange, Edge.error(400, e.getMessage(), 0));
-        } catch (Edge.NotThere e) {
-            answer(exchange, Edge.error(e.status, e.getMessage(), 0));
+            answer(exchange, ProtocolCodec.errorResponse(400, e.getMessage(), 0));
+        } catch (ProtocolCodec.HttpStatusException e) {
+            answer(exchange, ProtocolCodec.errorResponse(e.status, e.getMessage(), 0));
         }
     }
 
-    private void answer(long exchange, Edge.Out out) {
+    private void answer(long exchange, ProtocolCodec.HttpResponse out) {
         if (out.status() == 0) {
             server.drop(exchange);
         } else {
--- a/src/main/java/birchusher/wal/HostDisk.java
+++ b/src/main/java/birchusher/wal/LockedDirectory.java
@@ -15,87 +15,88 @@
 import java.util.stream.Stream;
 
 /** A directory of this host, held by a lock on its file {@code lock} so that no second daemon writes there. */
-public final class HostDisk implements Disk {
-    private static final String LOCK = "lock";
+public final class LockedDirectory implements StorageDirectory {
+    private static final String LOCK_FILE_NAME = "lock";
 
-    private final Path dir;
-    private final FileChannel lockFile;
+    private final Path path;
+    private final FileChannel lockChannel;
 
     /** @throws IOException also if another process, or this one, holds the directory; the message says so */
-    public HostDisk(Path dir) throws IOException {
-        this.dir = dir;
+    public LockedDirectory(Path dir) throws IOException {
+        this.path = dir;
         Files.createDirectories(dir);
-        lockFile = FileChannel.open(dir.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lockChannel =
+                FileChannel.open(dir.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock;
         try {
-            lock = lockFile.tryLock();
+            lock = lockChannel.tryLock();
         } catch (OverlappingFileLockException e) {
             lock = null;
         }
         if (lock == null) {
-            lockFile.close();
+            lockChannel.close();
             throw new IOException(dir + ": in use by another process");
         }
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> fileNames() throws IOException {
         List<String> names = new ArrayList<>();
-        try (Stream<Path> files = Files.list(dir)) {
+        try (Stream<Path> files = Files.list(path)) {
             files.filter(Files::isRegularFile)
                     .map(p -> p.getFileName().toString())
-                    .filter(n -> !n.equals(LOCK))
+                    .filter(n -> !n.equals(LOCK_FILE_NAME))
                     .forEach(names::add);
         }
         return names;
     }
 
     @Override
-    public InputStream read(String name) throws IOException {
-        return Files.newInputStream(dir.resolve(name));
+    public InputStream openForRead(String name) throws IOException {
+        return Files.newInputStream(path.resolve(name));
     }
 
     @Override
-    public Out create(String name) throws IOException {
-        return new File(FileChannel.open(
-                dir.resolve(name),
+    public OutputFile create(String name) throws IOException {
+        return new LocalFile(FileChannel.open(
+                path.resolve(name),
                 StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING));
     }
 
     @Override
-    public Out append(String name) throws IOException {
-        return new File(FileChannel.open(dir.resolve(name), StandardOpenOption.WRITE));
+    public OutputFile openForAppend(String name) throws IOException {
+        return new LocalFile(FileChannel.open(path.resolve(name), StandardOpenOption.WRITE));
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(dir.resolve(from), dir.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(path.resolve(from), path.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(dir.resolve(name));
+        Files.deleteIfExists(path.resolve(name));
     }
 
     @Override
-    public void syncNames() throws IOException {
-        try (FileChannel c = FileChannel.open(dir, StandardOpenOption.READ)) {
+    public void syncDirectory() throws IOException {
+        try (FileChannel c = FileChannel.open(path, StandardOpenOption.READ)) {
             c.force(true);
         }
     }
 
     @Override
     public void close() throws IOException {
-        lockFile.close();
+        lockChannel.close();
     }
 
-    private static final class File implements Out {
+    private static final class LocalFile implements OutputFile {
         private final FileChannel channel;
         private long length;
 
-        File(FileChannel channel) throws IOException {
+        LocalFile(FileChannel channel) throws IOException {
             this.channel = channel;
             this.length = channel.size();
         }
@@ -113,7 +114,7 @@
         }
 
         @Override
-        public void cut(long to) throws IOException {
+        public void truncate(long to) throws IOException {
             channel.truncate(to);
             length = to;
         }
--- a/src/main/java/birchusher/wal/Recovery.java
+++ b/src/main/java/birchusher/wal/Recovery.java
@@ -12,31 +12,31 @@
  */
 final class Recovery {
     /** Where the log goes on: its last file, null if none can be written on, and how much of it is good. */
-    record Tail(String file, int good, boolean torn) {}
+    record AppendPosition(String segmentName, int validBytes, boolean torn) {}
 
-    private final Disk disk;
-    private final Log.Reader to;
+    private final StorageDirectory disk;
+    private final WriteAheadLog.RecoveryHandler handler;
     private final List<String> segments;
     private final List<String> snapshots;
     /** What an operator should know, one line each. */
     final List<String> notes = new ArrayList<>();
     /** Files that are left over and hold nothing that counts. */
-    final List<String> leftOver;
+    final List<String> removableFiles;
 
-    long base;
-    long last;
+    long snapshotSequence;
+    long lastSequence;
     /** Bytes of log read, about what was written since the snapshot. */
     long logBytes;
 
-    Tail tail;
+    AppendPosition appendPosition;
 
-    Recovery(Disk disk, Log.Reader to) throws IOException {
+    Recovery(StorageDirectory disk, WriteAheadLog.RecoveryHandler to) throws IOException {
         this.disk = disk;
-        this.to = to;
-        Listing kept = Listing.of(disk);
+        this.handler = to;
+        DirectoryListing kept = DirectoryListing.of(disk);
         segments = kept.segments();
         snapshots = kept.snapshots();
-        leftOver = kept.leftOver();
+        removableFiles = kept.temporaryFiles();
     }
 
     List<String> segments() {
@@ -45,17 +45,17 @@
 
     void run() throws IOException {
         readSnapshot();
-        last = base;
+        lastSequence = snapshotSequence;
         int from = -1;
-        for (int i = 0; i < segments.size() && Segment.first(segments.get(i)) <= base + 1; i++) {
+        for (int i = 0; i < segments.size() && Segment.firstSequence(segments.get(i)) <= snapshotSequence + 1; i++) {
             from = i;
         }
         if (from < 0 && !segments.isEmpty()) {
-            throw new Damaged(
+            throw new CorruptedDataException(
                     segments.get(0),
                     0,
-                    "begins with record " + Segment.first(segments.get(0)) + ", but what is kept before it ends with "
-                            + base);
+                    "begins with record " + Segment.firstSequence(segments.get(0))
+                            + ", but what is kept before it ends with " + snapshotSequence);
         }
         for (int i = from; i >= 0 && i < segments.size(); i++) {
             readSegment(segments.get(i), i == from, i == segments.size() - 1);
@@ -64,52 +64,55 @@
 
     /** Gives the reader the newest snapshot that can be read, and sets {@code base} to its sequence, 0 without one. */
     void readSnapshot() throws IOException {
-        Damaged first = null;
+        CorruptedDataException first = null;
         for (int i = snapshots.size() - 1; i >= 0; i--) {
-            to.begin();
+            handler.reset();
             try {
-                Snapshot.read(disk, snapshots.get(i), to::row);
-                base = Snapshot.sequence(snapshots.get(i));
+                Snapshot.read(disk, snapshots.get(i), handler::snapshotRecord);
+                snapshotSequence = Snapshot.sequenceOf(snapshots.get(i));
                 return;
-            } catch (Damaged e) {
+            } catch (CorruptedDataException e) {
                 first = first == null ? e : first;
                 notes.add("snapshot passed over, " + e.getMessage());
             }
         }
-        to.begin();
+        handler.reset();
         // Without any snapshot the log must reach back to the first record; with nothing at all, this is a new
         // directory.
-        if (first != null && (segments.isEmpty() || Segment.first(segments.get(0)) != 1)) {
+        if (first != null && (segments.isEmpty() || Segment.firstSequence(segments.get(0)) != 1)) {
             throw first;
         }
     }
 
     private void readSegment(String name, boolean firstRead, boolean lastOne) throws IOException {
-        long first = Segment.first(name);
-        if (!firstRead && first != last + 1) {
-            throw new Damaged(name, 0, "begins with record " + first + " where " + (last + 1) + " should be");
+        long first = Segment.firstSequence(name);
+        if (!firstRead && first != lastSequence + 1) {
+            throw new CorruptedDataException(
+                    name, 0, "begins with record " + first + " where " + (lastSequence + 1) + " should be");
         }
         Segment.Scan s = Segment.scan(disk, name, (sequence, payload) -> {
-            if (sequence > base) {
-                to.record(sequence, payload);
+            if (sequence > snapshotSequence) {
+                handler.logRecord(sequence, payload);
             }
         });
-        if (!s.whole() && (!lastOne || s.durable())) {
-            throw new Damaged(name, s.good(), "can't be read from there on, though it had been durable");
+        if (!s.isComplete() && (!lastOne || s.remainderWasDurable())) {
+            throw new CorruptedDataException(
+                    name, s.validBytes(), "can't be read from there on, though it had been durable");
         }
-        if (s.good() < Segment.HEADER) {
+        if (s.validBytes() < Segment.HEADER_BYTES) {
             notes.add(name + ": never finished, dropped");
-            leftOver.add(name);
+            removableFiles.add(name);
             return;
         }
-        if (!s.whole()) {
-            notes.add(name + ": torn tail of " + (s.size() - s.good()) + " bytes cut off, nothing of it was answered");
+        if (!s.isComplete()) {
+            notes.add(name + ": torn tail of " + (s.sizeBytes() - s.validBytes())
+                    + " bytes cut off, nothing of it was answered");
         }
-        logBytes += s.good();
+        logBytes += s.validBytes();
         // An older log beside a newer snapshot: all of it is in the snapshot, and the log goes on in a new file.
-        if (s.last() >= last) {
-            last = s.last();
-            tail = lastOne ? new Tail(name, s.good(), !s.whole()) : null;
+        if (s.lastSequence() >= lastSequence) {
+            lastSequence = s.lastSequence();
+            appendPosition = lastOne ? new AppendPosition(name, s.validBytes(), !s.isComplete()) : null;
         }
     }
 }
--- a/src/main/java/birchusher/wal/Repair.java
+++ b/src/main/java/birchusher/wal/Repair.java
@@ -14,51 +14,59 @@
  * {@link #apply} leaves a copy of each file of the log beside it, named {@code .damaged1} and so on.
  */
 public final class Repair {
-    private static final String COPY = ".damaged";
+    private static final String COPY_SUFFIX = ".damaged";
 
     /**
      * @param kept the last record that stays
      * @param lost records that can be read but stand behind a gap; those in the gap are lost as well
      */
-    public record Plan(Damaged why, long snapshot, long kept, int lost, List<String> files) {
+    public record Plan(
+            CorruptedDataException corruption,
+            long snapshotSequence,
+            long lastKeptSequence,
+            int readableRecordsLost,
+            List<String> segmentNames) {
         /** For the operator. */
-        public List<String> lines() {
+        public List<String> summaryLines() {
             return List.of(
-                    "damaged: " + why.getMessage(),
-                    "kept: all up to record " + kept,
-                    lost == 0
-                            ? "lost: what came after record " + kept + ", if anything; none of it can be read"
-                            : "lost: what came after record " + kept + ", of which " + lost + " could still be read",
-                    "copied beside themselves with " + COPY + " in their names: " + String.join(", ", files));
+                    "damaged: " + corruption.getMessage(),
+                    "kept: all up to record " + lastKeptSequence,
+                    readableRecordsLost == 0
+                            ? "lost: what came after record " + lastKeptSequence
+                                    + ", if anything; none of it can be read"
+                            : "lost: what came after record " + lastKeptSequence + ", of which " + readableRecordsLost
+                                    + " could still be read",
+                    "copied beside themselves with " + COPY_SUFFIX + " in their names: "
+                            + String.join(", ", segmentNames));
         }
     }
 
-    private final Disk disk;
-    private final Recovery found;
-    private final TreeMap<Long, byte[]> readable = new TreeMap<>();
+    private final StorageDirectory disk;
+    private final Recovery recovery;
+    private final TreeMap<Long, byte[]> readableRecords = new TreeMap<>();
 
-    private Repair(Disk disk) throws IOException {
+    private Repair(StorageDirectory disk) throws IOException {
         this.disk = disk;
-        this.found = new Recovery(disk, NOTHING);
-        found.readSnapshot();
-        for (String name : found.segments()) {
+        this.recovery = new Recovery(disk, IGNORE_RECORDS);
+        recovery.readSnapshot();
+        for (String name : recovery.segments()) {
             Segment.salvage(disk, name, (sequence, payload) -> {
-                if (sequence > found.base) {
-                    readable.putIfAbsent(sequence, payload);
+                if (sequence > recovery.snapshotSequence) {
+                    readableRecords.putIfAbsent(sequence, payload);
                 }
             });
         }
     }
 
-    private static final Log.Reader NOTHING = new Log.Reader() {
+    private static final WriteAheadLog.RecoveryHandler IGNORE_RECORDS = new WriteAheadLog.RecoveryHandler() {
         @Override
-        public void begin() {}
+        public void reset() {}
 
         @Override
-        public void row(byte[] payload) {}
+        public void snapshotRecord(byte[] payload) {}
 
         @Override
-        public void record(long sequence, byte[] payload) {}
+        public void logRecord(long sequence, byte[] payload) {}
     };
 
     /**
@@ -66,64 +74,70 @@
      *
      * @throws Damaged if no snapshot can be read and the log does not reach back to the first record: only a backup helps
      */
-    public static Plan plan(Disk disk) throws IOException {
+    public static Plan plan(StorageDirectory disk) throws IOException {
         try {
-            new Recovery(disk, NOTHING).run();
+            new Recovery(disk, IGNORE_RECORDS).run();
             return null;
-        } catch (Damaged e) {
+        } catch (CorruptedDataException e) {
             Repair r = new Repair(disk);
-            long kept = r.kept();
+            long kept = r.lastContiguousSequence();
             return new Plan(
-                    e, r.found.base, kept, r.readable.tailMap(kept, false).size(), r.found.segments());
+                    e,
+                    r.recovery.snapshotSequence,
+                    kept,
+                    r.readableRecords.tailMap(kept, false).size(),
+                    r.recovery.segments());
         }
     }
 
-    private long kept() {
-        long at = found.base;
-        while (readable.containsKey(at + 1)) {
+    private long lastContiguousSequence() {
+        long at = recovery.snapshotSequence;
+        while (readableRecords.containsKey(at + 1)) {
             at++;
         }
         return at;
     }
 
     /** Does what the plan says. May be ended at any moment and begun again. */
-    public static void apply(Disk disk, Plan plan) throws IOException {
+    public static void apply(StorageDirectory disk, Plan plan) throws IOException {
         Repair r = new Repair(disk);
-        if (r.kept() != plan.kept() || r.found.base != plan.snapshot()) {
+        if (r.lastContiguousSequence() != plan.lastKeptSequence()
+                || r.recovery.snapshotSequence != plan.snapshotSequence()) {
             throw new IOException("the directory has changed since the repair was planned");
         }
-        Set<String> taken = new HashSet<>(disk.names());
-        for (String name : plan.files()) {
+        Set<String> taken = new HashSet<>(disk.fileNames());
+        for (String name : plan.segmentNames()) {
             // A repair that was ended and begun again must not put its own work over the copy of the original.
             int n = 1;
-            while (!taken.add(name + COPY + n)) {
+            while (!taken.add(name + COPY_SUFFIX + n)) {
                 n++;
             }
-            try (InputStream in = disk.read(name);
-                    Disk.Out out = disk.create(name + COPY + n)) {
+            try (InputStream in = disk.openForRead(name);
+                    StorageDirectory.OutputFile out = disk.create(name + COPY_SUFFIX + n)) {
                 out.write(ByteBuffer.wrap(in.readAllBytes()));
                 out.sync();
             }
         }
-        String whole = Segment.name(plan.snapshot() + 1);
-        try (Disk.Out out = disk.create(whole + Snapshot.ASIDE)) {
-            out.write(Segment.header(plan.snapshot() + 1));
-            for (var e : r.readable.headMap(plan.kept(), true).entrySet()) {
-                ByteBuffer b = ByteBuffer.allocate(Segment.FRAME + e.getValue().length);
-                Segment.frame(b, e.getKey(), out.length(), e.getValue());
+        String whole = Segment.fileName(plan.snapshotSequence() + 1);
+        try (StorageDirectory.OutputFile out = disk.create(whole + Snapshot.TEMPORARY_SUFFIX)) {
+            out.write(Segment.encodeHeader(plan.snapshotSequence() + 1));
+            for (var e :
+                    r.readableRecords.headMap(plan.lastKeptSequence(), true).entrySet()) {
+                ByteBuffer b = ByteBuffer.allocate(Segment.FRAME_BYTES + e.getValue().length);
+                Segment.encodeRecord(b, e.getKey(), out.length(), e.getValue());
                 out.write(b.flip());
             }
             out.sync();
         }
         // The copies and the new file are durable under their names before any old one goes: whatever is left by an
         // end in between still reads as damaged, or as repaired, and never as an empty log.
-        disk.rename(whole + Snapshot.ASIDE, whole);
-        disk.syncNames();
-        for (String name : plan.files()) {
+        disk.rename(whole + Snapshot.TEMPORARY_SUFFIX, whole);
+        disk.syncDirectory();
+        for (String name : plan.segmentNames()) {
             if (!name.equals(whole)) {
                 disk.delete(name);
             }
         }
-        disk.syncNames();
+        disk.syncDirectory();
     }
 }
--- a/src/main/java/birchusher/wal/Names.java
+++ b/src/main/java/birchusher/wal/SequencedFileNames.java
@@ -1,11 +1,11 @@
 package birchusher.wal;
 
 /** File names that carry a sequence in 16 hexadecimal digits, so that they sort by it. */
-final class Names {
-    private Names() {}
+final class SequencedFileNames {
+    private SequencedFileNames() {}
 
     /** The number after the prefix, -1 if the name is of another form. */
-    static long number(String name, String prefix) {
+    static long parseSequence(String name, String prefix) {
         if (!name.startsWith(prefix) || name.length() != prefix.length() + 16) {
             return -1;
         }
--- a/src/main/java/birchusher/wal/Snapshot.java
+++ b/src/main/java/birchusher/wal/Snapshot.java
@@ -23,50 +23,50 @@
  * It is written aside, synced, renamed, and the directory synced. May run on any thread beside the log's.
  */
 public final class Snapshot {
-    static final int VERSION = 1;
-    static final String PREFIX = "snap-";
-    static final String ASIDE = ".aside";
+    static final int FORMAT_VERSION = 1;
+    static final String FILE_PREFIX = "snap-";
+    static final String TEMPORARY_SUFFIX = ".aside";
     private static final int MAGIC = 0x42534E50;
-    private static final int HEADER = 16;
+    private static final int HEADER_BYTES = 16;
 
     /** Takes the rows of a snapshot being written. */
-    public interface Sink {
-        void row(byte[] payload) throws IOException;
+    public interface RecordSink {
+        void accept(byte[] payload) throws IOException;
     }
 
     /** Gives all rows. */
-    public interface Body {
-        void write(Sink to) throws IOException;
+    public interface RecordSource {
+        void writeTo(RecordSink to) throws IOException;
     }
 
     private Snapshot() {}
 
-    static String name(long sequence) {
-        return String.format("%s%016x", PREFIX, sequence);
+    static String fileName(long sequence) {
+        return String.format("%s%016x", FILE_PREFIX, sequence);
     }
 
-    static long sequence(String name) {
-        return Names.number(name, PREFIX);
+    static long sequenceOf(String name) {
+        return SequencedFileNames.parseSequence(name, FILE_PREFIX);
     }
 
     /**
      * Writes the snapshot of all records up to {@code sequence}, every one of which must be durable.
      * A failure leaves at most a file aside, which the next start deletes.
      */
-    public static void write(Disk disk, long sequence, Body body) throws IOException {
-        String name = name(sequence);
-        try (Disk.Out out = disk.create(name + ASIDE)) {
-            out.write(ByteBuffer.allocate(HEADER)
+    public static void write(StorageDirectory disk, long sequence, RecordSource body) throws IOException {
+        String name = fileName(sequence);
+        try (StorageDirectory.OutputFile out = disk.create(name + TEMPORARY_SUFFIX)) {
+            out.write(ByteBuffer.allocate(HEADER_BYTES)
                     .putInt(MAGIC)
-                    .putInt(VERSION)
+                    .putInt(FORMAT_VERSION)
                     .putLong(sequence)
                     .flip());
             try (DataOutputStream rows = new DataOutputStream(new LZ4FrameOutputStream(
-                    new Bytes(out), BLOCKSIZE.SIZE_256KB, Bits.BLOCK_INDEPENDENCE, Bits.CONTENT_CHECKSUM))) {
+                    new OutputFileStream(out), BLOCKSIZE.SIZE_256KB, Bits.BLOCK_INDEPENDENCE, Bits.CONTENT_CHECKSUM))) {
                 rows.writeLong(sequence);
                 long[] count = {0};
-                body.write(p -> {
-                    if (p.length > Segment.MAX_RECORD) {
+                body.writeTo(p -> {
+                    if (p.length > Segment.MAX_RECORD_BYTES) {
                         throw new IOException("a row of " + p.length + " bytes");
                     }
                     rows.writeInt(p.length);
@@ -78,62 +78,62 @@
             }
             out.sync();
         }
-        disk.rename(name + ASIDE, name);
-        disk.syncNames();
+        disk.rename(name + TEMPORARY_SUFFIX, name);
+        disk.syncDirectory();
     }
 
     /** Reads a snapshot to its end; rows are given out before it is known to be whole. */
-    static void read(Disk disk, String name, Sink to) throws IOException {
-        try (InputStream in = new BufferedInputStream(disk.read(name))) {
-            ByteBuffer head = ByteBuffer.wrap(in.readNBytes(HEADER));
-            if (head.limit() < HEADER || head.getInt() != MAGIC) {
-                throw new Damaged(name, 0, "is no snapshot");
+    static void read(StorageDirectory disk, String name, RecordSink to) throws IOException {
+        try (InputStream in = new BufferedInputStream(disk.openForRead(name))) {
+            ByteBuffer head = ByteBuffer.wrap(in.readNBytes(HEADER_BYTES));
+            if (head.limit() < HEADER_BYTES || head.getInt() != MAGIC) {
+                throw new CorruptedDataException(name, 0, "is no snapshot");
             }
             int version = head.getInt();
-            if (version != VERSION) {
-                throw new IOException(
-                        name + ": version " + version + " of the snapshot is not known here, " + VERSION + " is");
+            if (version != FORMAT_VERSION) {
+                throw new IOException(name + ": version " + version + " of the snapshot is not known here, "
+                        + FORMAT_VERSION + " is");
             }
             try {
-                rows(
+                readRecords(
                         name,
                         head.getLong(),
                         new DataInputStream(new BufferedInputStream(new LZ4FrameInputStream(in))),
                         to);
-            } catch (Damaged e) {
+            } catch (CorruptedDataException e) {
                 throw e;
             } catch (IOException | RuntimeException e) {
                 // Whatever the decompressor finds wrong, and a device that can't read: an older snapshot may still do.
-                throw new Damaged(name, HEADER, "can't be read: " + e);
+                throw new CorruptedDataException(name, HEADER_BYTES, "can't be read: " + e);
             }
         }
     }
 
-    private static void rows(String name, long said, DataInputStream in, Sink to) throws IOException {
-        if (said != sequence(name) || in.readLong() != said) {
-            throw new Damaged(name, 8, "says that it is of record " + said);
+    private static void readRecords(String name, long said, DataInputStream in, RecordSink to) throws IOException {
+        if (said != sequenceOf(name) || in.readLong() != said) {
+            throw new CorruptedDataException(name, 8, "says that it is of record " + said);
         }
         long count = 0;
         for (int length = in.readInt(); length != -1; length = in.readInt()) {
-            if (length < 0 || length > Segment.MAX_RECORD) {
-                throw new Damaged(name, HEADER, "a row of " + length + " bytes");
+            if (length < 0 || length > Segment.MAX_RECORD_BYTES) {
+                throw new CorruptedDataException(name, HEADER_BYTES, "a row of " + length + " bytes");
             }
             byte[] payload = new byte[length];
             in.readFully(payload);
-            to.row(payload);
+            to.accept(payload);
             count++;
         }
         // Reading on to the end is what checks the content's checksum.
         if (in.readLong() != count || in.read() != -1) {
-            throw new Damaged(name, HEADER, "does not end as it should");
+            throw new CorruptedDataException(name, HEADER_BYTES, "does not end as it should");
         }
     }
 
     /** Whole writes to the file, as the compressor makes them. */
-    private static final class Bytes extends OutputStream {
-        private final Disk.Out out;
+    private static final class OutputFileStream extends OutputStream {
+        private final StorageDirectory.OutputFile out;
 
-        Bytes(Disk.Out out) {
+        OutputFileStream(StorageDirectory.OutputFile out) {
             this.out = out;
         }
 
--- a/src/main/java/birchusher/wal/Disk.java
+++ b/src/main/java/birchusher/wal/StorageDirectory.java
@@ -13,30 +13,30 @@
  * {@link #syncNames} has returned. Anything else may be lost by a power cut in any order and any part, each write
  * on its own. A call that throws may have been done in whole, in part or not at all.
  */
-public interface Disk extends Closeable {
+public interface StorageDirectory extends Closeable {
     /** One file being written at its end. */
-    interface Out extends Closeable {
+    interface OutputFile extends Closeable {
         /** Writes all remaining bytes at the end. */
         void write(ByteBuffer bytes) throws IOException;
 
         void sync() throws IOException;
 
         /** Drops all bytes from {@code length} on. */
-        void cut(long length) throws IOException;
+        void truncate(long length) throws IOException;
 
         long length();
     }
 
     /** The names of all files, in no order. */
-    List<String> names() throws IOException;
+    List<String> fileNames() throws IOException;
 
-    InputStream read(String name) throws IOException;
+    InputStream openForRead(String name) throws IOException;
 
     /** A new empty file; one of that name is emptied. */
-    Out create(String name) throws IOException;
+    OutputFile create(String name) throws IOException;
 
     /** Goes on with a file that exists. */
-    Out append(String name) throws IOException;
+    OutputFile openForAppend(String name) throws IOException;
 
     /** Replaces {@code to} at one stroke. */
     void rename(String from, String to) throws IOException;
@@ -44,5 +44,5 @@
     /** No failure if there is no such file. */
     void delete(String name) throws IOException;
 
-    void syncNames() throws IOException;
+    void syncDirectory() throws IOException;
 }
--- a/src/test/java/birchusher/cli/DaemonMeasure.java
+++ b/src/test/java/birchusher/cli/DaemonMeasure.java
@@ -3,11 +3,11 @@
 import birchusher.kv.Limits;
 import birchusher.kv.Request;
 import birchusher.kv.Write;
-import birchusher.statehost.Keeper;
+import birchusher.statehost.DurableStore;
 import birchusher.store.Keys;
 import birchusher.store.StoreView;
-import birchusher.wal.HostDisk;
-import birchusher.wal.Log;
+import birchusher.wal.LockedDirectory;
+import birchusher.wal.WriteAheadLog;
 import birchusher.wire.Pack;
 import birchusher.wire.Wire;
 import java.io.IOException;
@@ -36,13 +36,17 @@
 
     private static void fill(Path dir, int jobs) throws IOException {
         byte[] ended = Pack.encode(StoreView.endedJobRow(true, 1));
-        try (Keeper k = Keeper.open(
-                new HostDisk(dir.resolve("state")), Log.Options.USUAL, 64 << 20, new Limits(1e9, 1e9, 16, 8192), 0)) {
+        try (DurableStore k = DurableStore.open(
+                new LockedDirectory(dir.resolve("state")),
+                WriteAheadLog.Options.DEFAULT,
+                64 << 20,
+                new Limits(1e9, 1e9, 16, 8192),
+                0)) {
             for (int i = 1; i <= jobs; i++) {
                 k.handle(
                         i,
                         i,
-                        new Request.Txn(
+                        new Request.Transaction(
                                 List.of(), List.of(new Write.Set(Keys.ENDED_JOB + "wk-old-" + i, ended, 0)), 100, 100));
                 if (i % 1000 == 0 || i == jobs) {
                     k.flush(i);
--- a/src/test/java/birchusher/kv/LinearizabilityTest.java
+++ b/src/test/java/birchusher/kv/LinearizabilityTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import birchusher.statehost.Keeper;
-import birchusher.wal.FaultDisk;
-import birchusher.wal.Log;
+import birchusher.statehost.DurableStore;
+import birchusher.wal.FaultDirectory;
+import birchusher.wal.WriteAheadLog;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -26,60 +26,61 @@
  */
 class LinearizabilityTest {
     private static final Limits LIMITS = new Limits(1e6, 1e6, 8, 100);
-    private static final int NEVER = Integer.MAX_VALUE;
-    private static final long UNTOLD = -1;
+    private static final int NOT_ANSWERED = Integer.MAX_VALUE;
+    private static final long UNKNOWN_REVISION = -1;
 
     /** A read, or a write of one key that holds only if the key's stamp is the given one; stamps come from answers. */
-    private static final class Op {
+    private static final class Operation {
         final boolean write;
-        final long condition;
+        final long conditionRevision;
         final String value;
-        final int from;
-        int until = NEVER;
+        final int startTime;
+        int answerTime = NOT_ANSWERED;
         /** What was answered: a value and its stamp, or whether the condition held and at which revision. */
-        String read;
+        String valueRead;
 
-        long stamp;
-        Boolean held;
+        long modRevision;
+        Boolean conditionHeld;
 
-        Op(boolean write, long condition, String value, int from) {
+        Operation(boolean write, long condition, String value, int from) {
             this.write = write;
-            this.condition = condition;
+            this.conditionRevision = condition;
             this.value = value;
-            this.from = from;
+            this.startTime = from;
         }
     }
 
     /** The key's value and stamp, with what is done of the history; revisions of other keys only have to grow. */
-    private record Point(Set<Integer> done, String value, long stamp) {}
+    private record SearchState(Set<Integer> done, String value, long modRevision) {}
 
-    static boolean explained(List<Op> ops) {
-        return explained(ops, new HashSet<>(), null, 0, new HashSet<>());
+    static boolean isLinearizable(List<Operation> ops) {
+        return isLinearizable(ops, new HashSet<>(), null, 0, new HashSet<>());
     }
 
-    private static boolean explained(List<Op> ops, Set<Integer> done, String value, long stamp, Set<Point> seen) {
-        if (!seen.add(new Point(Set.copyOf(done), value, stamp))) {
+    private static boolean isLinearizable(
+            List<Operation> ops, Set<Integer> done, String value, long stamp, Set<SearchState> seen) {
+        if (!seen.add(new SearchState(Set.copyOf(done), value, stamp))) {
             return false;
         }
-        int first = NEVER;
+        int first = NOT_ANSWERED;
         boolean open = false;
         for (int i = 0; i < ops.size(); i++) {
             if (!done.contains(i)) {
-                open |= ops.get(i).until != NEVER;
-                first = Math.min(first, ops.get(i).until);
+                open |= ops.get(i).answerTime != NOT_ANSWERED;
+                first = Math.min(first, ops.get(i).answerTime);
             }
         }
         if (!open) {
             return true;
         }
         for (int i = 0; i < ops.size(); i++) {
-            Op o = ops.get(i);
-            if (done.contains(i) || o.from > first) {
+            Operation o = ops.get(i);
+            if (done.contains(i) || o.startTime > first) {
                 continue;
             }
             done.add(i);
-            for (Point next : after(o, value, stamp)) {
-                if (explained(ops, done, next.value(), next.stamp(), seen)) {
+            for (SearchState next : possibleStatesAfter(o, value, stamp)) {
+                if (isLinearizable(ops, done, next.value(), next.modRevision(), seen)) {
                     return true;
                 }
             }
@@ -89,48 +90,49 @@
     }
 
     /** What the key may be after this request, if it comes now and its answer is right; -1 is a stamp that nobody was told. */
-    private static List<Point> after(Op o, String value, long stamp) {
-        Point same = new Point(Set.of(), value, stamp);
-        boolean may = stamp == UNTOLD || stamp == o.condition;
-        boolean mayNot = stamp == UNTOLD || stamp != o.condition;
-        if (o.until == NEVER) {
-            Point changed = new Point(Set.of(), o.value, UNTOLD);
+    private static List<SearchState> possibleStatesAfter(Operation o, String value, long stamp) {
+        SearchState same = new SearchState(Set.of(), value, stamp);
+        boolean may = stamp == UNKNOWN_REVISION || stamp == o.conditionRevision;
+        boolean mayNot = stamp == UNKNOWN_REVISION || stamp != o.conditionRevision;
+        if (o.answerTime == NOT_ANSWERED) {
+            SearchState changed = new SearchState(Set.of(), o.value, UNKNOWN_REVISION);
             return !o.write || !may ? List.of(same) : mayNot ? List.of(changed, same) : List.of(changed);
         }
         if (!o.write) {
-            boolean right = java.util.Objects.equals(o.read, value) && (stamp == UNTOLD || o.stamp == stamp);
-            return right ? List.of(new Point(Set.of(), value, o.stamp)) : List.of();
+            boolean right = java.util.Objects.equals(o.valueRead, value)
+                    && (stamp == UNKNOWN_REVISION || o.modRevision == stamp);
+            return right ? List.of(new SearchState(Set.of(), value, o.modRevision)) : List.of();
         }
-        return o.held
-                ? may ? List.of(new Point(Set.of(), o.value, o.stamp)) : List.of()
+        return o.conditionHeld
+                ? may ? List.of(new SearchState(Set.of(), o.value, o.modRevision)) : List.of()
                 : mayNot ? List.of(same) : List.of();
     }
 
     private static final class History {
         final SplittableRandom random;
-        final Map<String, List<Op>> ops = new HashMap<>();
-        final Map<String, Long> lastStamp = new HashMap<>();
-        final Map<Long, Op> open = new HashMap<>();
+        final Map<String, List<Operation>> operationsByKey = new HashMap<>();
+        final Map<String, Long> lastModRevision = new HashMap<>();
+        final Map<Long, Operation> openOperations = new HashMap<>();
         int clock;
-        long tickets;
-        int answered;
+        long lastRequestId;
+        int answeredCount;
 
         History(long seed) {
             random = new SplittableRandom(seed);
         }
 
-        void ask(Keeper k) {
+        void submit(DurableStore k) {
             String key = "k" + random.nextInt(2);
             boolean write = random.nextInt(3) > 0;
-            long condition = random.nextInt(4) == 0 ? random.nextInt(4) : lastStamp.getOrDefault(key, 0L);
-            Op o = new Op(write, condition, "v" + tickets, clock++);
-            ops.computeIfAbsent(key, x -> new ArrayList<>()).add(o);
-            open.put(++tickets, o);
-            told(k.handle(
+            long condition = random.nextInt(4) == 0 ? random.nextInt(4) : lastModRevision.getOrDefault(key, 0L);
+            Operation o = new Operation(write, condition, "v" + lastRequestId, clock++);
+            operationsByKey.computeIfAbsent(key, x -> new ArrayList<>()).add(o);
+            openOperations.put(++lastRequestId, o);
+            recordAnswers(k.handle(
                     clock,
-                    tickets,
+                    lastRequestId,
                     write
-                            ? new Request.Txn(
+                            ? new Request.Transaction(
                                     List.of(new Request.Condition(key, condition)),
                                     List.of(new Write.Set(key, o.value.getBytes(StandardCharsets.UTF_8), 0)),
                                     100,
@@ -138,116 +140,116 @@
                             : new Request.Get(key)));
         }
 
-        void told(List<Engine.Answer> answers) {
+        void recordAnswers(List<Engine.Answer> answers) {
             for (Engine.Answer a : answers) {
-                Op o = open.remove(a.ticket());
-                String key = ops.entrySet().stream()
+                Operation o = openOperations.remove(a.requestId());
+                String key = operationsByKey.entrySet().stream()
                         .filter(e -> e.getValue().contains(o))
                         .findFirst()
                         .orElseThrow()
                         .getKey();
                 if (a.reply() instanceof Reply.Unavailable) {
-                    ops.get(key).remove(o);
+                    operationsByKey.get(key).remove(o);
                     continue;
                 }
-                if (a.reply() instanceof Reply.Unclear) {
+                if (a.reply() instanceof Reply.OutcomeUnknown) {
                     continue;
                 }
-                answered++;
-                o.until = clock++;
+                answeredCount++;
+                o.answerTime = clock++;
                 if (a.reply() instanceof Reply.Found f) {
-                    o.read = new String(f.row().value(), StandardCharsets.UTF_8);
-                    o.stamp = f.row().stamp();
+                    o.valueRead = new String(f.row().value(), StandardCharsets.UTF_8);
+                    o.modRevision = f.row().modRevision();
                 } else if (a.reply() instanceof Reply.Committed c) {
-                    o.held = true;
-                    o.stamp = c.revision();
-                } else if (a.reply() instanceof Reply.Failed) {
-                    o.held = false;
+                    o.conditionHeld = true;
+                    o.modRevision = c.revision();
+                } else if (a.reply() instanceof Reply.ConditionsFailed) {
+                    o.conditionHeld = false;
                 } else {
-                    assertThat(a.reply()).isInstanceOf(Reply.Missing.class);
+                    assertThat(a.reply()).isInstanceOf(Reply.NotFound.class);
                 }
-                if (o.stamp > 0) {
-                    lastStamp.merge(key, o.stamp, Math::max);
+                if (o.modRevision > 0) {
+                    lastModRevision.merge(key, o.modRevision, Math::max);
                 }
             }
         }
 
         /** One life: requests come at any moment, also while a batch is being written. */
-        void live(Keeper k) {
+        void runIncarnation(DurableStore k) {
             for (int i = 0; i < 12; i++) {
                 int n = random.nextInt(3);
                 for (int j = 0; j < n; j++) {
-                    ask(k);
+                    submit(k);
                 }
-                Keeper.Batch b = k.take();
+                DurableStore.Batch b = k.takeBatch();
                 if (b != null) {
                     if (random.nextBoolean()) {
-                        ask(k);
+                        submit(k);
                     }
                     b.write();
                     if (random.nextBoolean()) {
-                        ask(k);
+                        submit(k);
                     }
-                    told(k.written(clock, b));
+                    recordAnswers(k.onBatchWritten(clock, b));
                 }
-                told(k.tick(clock + 2_000L * i));
+                recordAnswers(k.tick(clock + 2_000L * i));
             }
         }
     }
 
     @Test
-    void everyHistoryHasAnOrderThatExplainsIt() throws IOException {
+    void everyHistoryIsLinearizable() throws IOException {
         int answered = 0;
         int ends = 0;
         for (long seed = 0; seed < 500; seed++) {
             History h = new History(seed);
-            FaultDisk disk = new FaultDisk(FaultDisk.Lie.NONE);
+            FaultDirectory disk = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
             for (int life = 0; life < 3; life++) {
                 if (h.random.nextInt(3) == 0) {
                     disk.failAt(h.random.nextInt(25), h.random.nextInt(40), 1 + h.random.nextInt(3));
                 } else {
-                    disk.endAt(h.random.nextInt(25), h.random.nextInt(120));
+                    disk.crashAt(h.random.nextInt(25), h.random.nextInt(120));
                 }
                 try {
-                    h.live(Keeper.open(disk, new Log.Options(700, 2), 500, LIMITS, h.clock));
-                } catch (FaultDisk.Ended e) {
+                    h.runIncarnation(DurableStore.open(disk, new WriteAheadLog.Options(700, 2), 500, LIMITS, h.clock));
+                } catch (FaultDirectory.SimulatedCrash e) {
                     ends++;
                 } catch (IOException e) {
                     // The fault fell on the start.
                 }
-                h.open.clear();
-                disk = h.random.nextBoolean() ? disk.killed() : disk.powerCut(h.random);
+                h.openOperations.clear();
+                disk = h.random.nextBoolean() ? disk.afterKill() : disk.afterPowerCut(h.random);
             }
-            for (Map.Entry<String, List<Op>> e : h.ops.entrySet()) {
-                assertThat(explained(e.getValue()))
+            for (Map.Entry<String, List<Operation>> e : h.operationsByKey.entrySet()) {
+                assertThat(isLinearizable(e.getValue()))
                         .as("seed " + seed + ", " + e.getKey())
                         .isTrue();
             }
-            answered += h.answered;
+            answered += h.answeredCount;
         }
         assertThat(answered).isGreaterThan(5_000);
         assertThat(ends).isGreaterThan(400);
     }
 
     @Test
-    void aHistoryThatHasNoneIsFound() {
-        Op write = new Op(true, 0, "a", 0);
-        write.until = 1;
-        write.held = true;
-        write.stamp = 1;
-        Op old = new Op(false, 0, null, 2);
-        old.until = 3;
-        assertThat(explained(List.of(write, old)))
+    void historiesThatAreNotLinearizableAreRejected() {
+        Operation write = new Operation(true, 0, "a", 0);
+        write.answerTime = 1;
+        write.conditionHeld = true;
+        write.modRevision = 1;
+        Operation old = new Operation(false, 0, null, 2);
+        old.answerTime = 3;
+        assertThat(isLinearizable(List.of(write, old)))
                 .as("a read that has not seen a write before it")
                 .isFalse();
-        Op beside = new Op(false, 0, null, 0);
-        beside.until = 3;
-        assertThat(explained(List.of(write, beside))).isTrue();
-        Op twice = new Op(true, 0, "b", 2);
-        twice.until = 3;
-        twice.held = true;
-        twice.stamp = 2;
-        assertThat(explained(List.of(write, twice)))
+        Operation beside = new Operation(false, 0, null, 0);
+        beside.answerTime = 3;
+        assertThat(isLinearizable(List.of(write, beside))).isTrue();
+        Operation twice = new Operation(true, 0, "b", 2);
+        twice.answerTime = 3;
+        twice.conditionHeld = true;
+        twice.modRevision = 2;
+        assertThat(isLinearizable(List.of(write, twice)))
                 .as("two writes on the same condition")
                 .isFalse();
     }
--- a/src/test/java/birchusher/statehost/KeeperMeasure.java
+++ b/src/test/java/birchusher/statehost/DurableStoreMeasure.java
@@ -5,8 +5,8 @@
 import birchusher.kv.Reply;
 import birchusher.kv.Request;
 import birchusher.kv.Write;
-import birchusher.wal.HostDisk;
-import birchusher.wal.Log;
+import birchusher.wal.LockedDirectory;
+import birchusher.wal.WriteAheadLog;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,20 +16,20 @@
  * By hand, not by the tests: changes a second with so many clients to one sync, then the time and memory of a start with so
  * many ended jobs. Arguments: an empty directory, and numbers of ended jobs.
  */
-final class KeeperMeasure {
+final class DurableStoreMeasure {
     private static final Limits LIMITS = new Limits(1e9, 1e9, 16, 8192);
     private static final byte[] JOB = new byte[400];
     private static final byte[] ENDED = new byte[60];
 
-    private KeeperMeasure() {}
+    private DurableStoreMeasure() {}
 
-    private static Keeper open(Path dir) throws IOException {
-        return Keeper.open(new HostDisk(dir), Log.Options.USUAL, 64 << 20, LIMITS, 0);
+    private static DurableStore open(Path dir) throws IOException {
+        return DurableStore.open(new LockedDirectory(dir), WriteAheadLog.Options.DEFAULT, 64 << 20, LIMITS, 0);
     }
 
-    private static void change(Keeper k, long ticket, String key, byte[] value) {
-        List<Answer> early =
-                k.handle(ticket, ticket, new Request.Txn(List.of(), List.of(new Write.Set(key, value, 0)), 500, 500));
+    private static void change(DurableStore k, long ticket, String key, byte[] value) {
+        List<Answer> early = k.handle(
+                ticket, ticket, new Request.Transaction(List.of(), List.of(new Write.Set(key, value, 0)), 500, 500));
         if (!early.isEmpty()) {
             throw new IllegalStateException("answered before it was durable: " + early);
         }
@@ -38,7 +38,7 @@
     public static void main(String[] args) throws IOException {
         Path root = Path.of(args[0]);
         for (int clients : new int[] {1, 16, 256}) {
-            try (Keeper k = open(root.resolve("rate-" + clients))) {
+            try (DurableStore k = open(root.resolve("rate-" + clients))) {
                 long ticket = 0;
                 int done = 0;
                 long from = System.nanoTime();
@@ -56,7 +56,7 @@
         for (int n = 1; n < args.length; n++) {
             int jobs = Integer.parseInt(args[n]);
             Path dir = root.resolve("jobs-" + jobs);
-            try (Keeper k = open(dir)) {
+            try (DurableStore k = open(dir)) {
                 for (int i = 1; i <= jobs; i++) {
                     change(k, i, "b/end/wk-" + i, ENDED);
                     if (i % 1000 == 0 || i == jobs) {
@@ -65,11 +65,12 @@
                 }
             }
             report(dir, jobs, "log");
-            try (Keeper k = Keeper.open(new HostDisk(dir), Log.Options.USUAL, 1, LIMITS, 0)) {
+            try (DurableStore k =
+                    DurableStore.open(new LockedDirectory(dir), WriteAheadLog.Options.DEFAULT, 1, LIMITS, 0)) {
                 long from = System.nanoTime();
-                Keeper.MachineStatus p = k.picture(0);
+                DurableStore.PendingSnapshot p = k.takeDueSnapshot(0);
                 p.write();
-                k.pictured(0, p, true);
+                k.onSnapshotWritten(0, p, true);
                 k.flush(0);
                 System.out.printf(
                         "%d ended jobs: snapshot written in %.2f s%n", jobs, (System.nanoTime() - from) / 1e9);
@@ -86,7 +87,7 @@
             }
         }
         long start = System.nanoTime();
-        try (Keeper k = open(dir)) {
+        try (DurableStore k = open(dir)) {
             double s = (System.nanoTime() - start) / 1e9;
             System.gc();
             long used =
@@ -94,7 +95,7 @@
             System.out.printf(
                     "%d ended jobs, %s: start %.2f s, heap %d MB, %d bytes a job on disk%n",
                     jobs, from, s, used >> 20, bytes / jobs);
-            if (k.state().rows().size() != jobs) {
+            if (k.durableState().rows().size() != jobs) {
                 throw new IllegalStateException("rows lost");
             }
         }
--- a/src/test/java/birchusher/statehost/EdgeTest.java
+++ b/src/test/java/birchusher/statehost/ProtocolCodecTest.java
@@ -8,8 +8,8 @@
 import birchusher.kv.Limits;
 import birchusher.kv.Request;
 import birchusher.settings.SettingsReader;
-import birchusher.wal.FaultDisk;
-import birchusher.wal.Log;
+import birchusher.wal.FaultDirectory;
+import birchusher.wal.WriteAheadLog;
 import birchusher.wire.Json;
 import birchusher.wire.Pack;
 import java.io.IOException;
@@ -20,27 +20,33 @@
 import org.junit.jupiter.api.Test;
 
 /** The state service as its protocol page shows it, message by message. */
-class EdgeTest {
-    private final Keeper keeper;
-    private long ticket;
+class ProtocolCodecTest {
+    private final DurableStore store;
+    private long lastRequestId;
 
-    EdgeTest() throws IOException {
-        keeper = Keeper.open(
-                new FaultDisk(FaultDisk.Lie.NONE), Log.Options.USUAL, 1 << 20, new Limits(1_000, 1_000, 4, 64), 0);
+    ProtocolCodecTest() throws IOException {
+        store = DurableStore.open(
+                new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE),
+                WriteAheadLog.Options.DEFAULT,
+                1 << 20,
+                new Limits(1_000, 1_000, 4, 64),
+                0);
     }
 
-    private String ask(String method, String target, String json) {
+    private String exchange(String method, String target, String json) {
         byte[] body =
                 json.isEmpty() ? new byte[0] : Pack.encode(SettingsReader.tree(json.getBytes(StandardCharsets.UTF_8)));
         try {
-            Request r = Edge.read(method, target, body);
-            Edge.Out[] out = new Edge.Out[1];
-            long mine = ++ticket;
-            List<Engine.Answer> answers = new ArrayList<>(keeper.handle(0, mine, r));
-            answers.addAll(keeper.flush(0));
-            answers.stream().filter(a -> a.ticket() == mine).forEach(a -> out[0] = Edge.write(r, a.reply()));
+            Request r = ProtocolCodec.parseRequest(method, target, body);
+            ProtocolCodec.HttpResponse[] out = new ProtocolCodec.HttpResponse[1];
+            long mine = ++lastRequestId;
+            List<Engine.Answer> answers = new ArrayList<>(store.handle(0, mine, r));
+            answers.addAll(store.flush(0));
+            answers.stream()
+                    .filter(a -> a.requestId() == mine)
+                    .forEach(a -> out[0] = ProtocolCodec.encodeReply(r, a.reply()));
             return out[0] == null ? "waits" : out[0].status() + " " + Json.text(out[0].body(), false);
-        } catch (Edge.NotThere e) {
+        } catch (ProtocolCodec.HttpStatusException e) {
             return e.status + "";
         } catch (InvalidInputException e) {
             return "400 " + e.getMessage();
@@ -48,43 +54,43 @@
     }
 
     @Test
-    void theMessagesOfThePage() {
-        assertThat(ask("GET", "/store/a/b", "")).isEqualTo("404 {\"epoch\":0}");
-        assertThat(ask("POST", "/leases", "{\"life_ms\":5000}")).isEqualTo("200 {\"hold\":1}");
-        assertThat(ask(
+    void requestsAndRepliesMatchThePublishedProtocol() {
+        assertThat(exchange("GET", "/store/a/b", "")).isEqualTo("404 {\"epoch\":0}");
+        assertThat(exchange("POST", "/leases", "{\"life_ms\":5000}")).isEqualTo("200 {\"hold\":1}");
+        assertThat(exchange(
                         "POST",
                         "/multi",
                         "{\"if\":[{\"path\":\"a/b\",\"stamp\":0}],\"writes\":[{\"set\":\"a/b\",\"value\":{\"x\":1.5},"
                                 + "\"hold\":1},{\"remove\":\"c/d\"}]}"))
                 .isEqualTo("200 {\"epoch\":1}");
-        assertThat(ask(
+        assertThat(exchange(
                         "POST",
                         "/multi",
                         "{\"if\":[{\"path\":\"a/b\",\"stamp\":0}],\"writes\":[{\"set\":\"a/b\",\"value\":null}]}"))
                 .isEqualTo("409 {\"epoch\":1,\"failed\":[\"a/b\"]}");
-        assertThat(ask("GET", "/store/a/b", ""))
+        assertThat(exchange("GET", "/store/a/b", ""))
                 .isEqualTo("200 {\"hold\":1,\"path\":\"a/b\",\"stamp\":1,\"value\":{\"x\":1.5}}");
-        assertThat(ask("POST", "/multi", "{\"writes\":[{\"set\":\"a/c\",\"value\":[true,null,\"ü\"]}]}"))
+        assertThat(exchange("POST", "/multi", "{\"writes\":[{\"set\":\"a/c\",\"value\":[true,null,\"ü\"]}]}"))
                 .isEqualTo("200 {\"epoch\":2}");
-        assertThat(ask("GET", "/store?under=a/&since=a/b&page=200", ""))
+        assertThat(exchange("GET", "/store?under=a/&since=a/b&page=200", ""))
                 .isEqualTo("200 {\"epoch\":2,\"has_next\":false,"
                         + "\"rows\":[{\"path\":\"a/c\",\"stamp\":2,\"value\":[true,null,\"ü\"]}]}");
-        assertThat(ask("GET", "/store?under=a/&page=1", "")).contains("\"has_next\":true");
-        assertThat(ask("GET", "/watch?under=a/&since=1&wait_ms=0", ""))
+        assertThat(exchange("GET", "/store?under=a/&page=1", "")).contains("\"has_next\":true");
+        assertThat(exchange("GET", "/watch?under=a/&since=1&wait_ms=0", ""))
                 .isEqualTo("200 {\"epoch\":2,\"events\":[{\"set\":\"a/c\",\"stamp\":2,\"value\":[true,null,\"ü\"]}]}");
-        assertThat(ask("GET", "/watch?under=a/&since=2&wait_ms=10000", "")).isEqualTo("waits");
-        assertThat(ask("GET", "/watch?under=a/&since=99", "")).startsWith("410 ");
-        assertThat(ask("POST", "/leases/1/extend", "")).isEqualTo("200 {}");
-        assertThat(ask("DELETE", "/leases/1", "")).isEqualTo("200 {}");
-        assertThat(ask("GET", "/watch?under=a/&since=2", ""))
+        assertThat(exchange("GET", "/watch?under=a/&since=2&wait_ms=10000", "")).isEqualTo("waits");
+        assertThat(exchange("GET", "/watch?under=a/&since=99", "")).startsWith("410 ");
+        assertThat(exchange("POST", "/leases/1/extend", "")).isEqualTo("200 {}");
+        assertThat(exchange("DELETE", "/leases/1", "")).isEqualTo("200 {}");
+        assertThat(exchange("GET", "/watch?under=a/&since=2", ""))
                 .isEqualTo("200 {\"epoch\":3,\"events\":[{\"remove\":\"a/b\",\"stamp\":3}]}");
-        assertThat(ask("POST", "/leases/1/extend", "")).startsWith("404 ");
-        assertThat(ask("POST", "/multi", "{\"writes\":[{\"set\":\"a/b\",\"value\":1,\"hold\":1}]}"))
+        assertThat(exchange("POST", "/leases/1/extend", "")).startsWith("404 ");
+        assertThat(exchange("POST", "/multi", "{\"writes\":[{\"set\":\"a/b\",\"value\":1,\"hold\":1}]}"))
                 .isEqualTo("400 {\"error\":\"no such lease\"}");
     }
 
     @Test
-    void whatIsWrongIsNamed() {
+    void errorsNameTheInvalidField() {
         Map<String, String> bad = Map.ofEntries(
                 Map.entry("{\"writes\":[{\"set\":\"a b\",\"value\":1}]}", "spaces"),
                 Map.entry("{\"writes\":[{\"set\":\"a\"}]}", "value"),
@@ -98,14 +104,14 @@
                         "4"),
                 Map.entry("{\"writes\":[{\"set\":\"a\",\"value\":1},{\"remove\":\"a\"}]}", "twice"));
         bad.forEach((json, word) ->
-                assertThat(ask("POST", "/multi", json)).startsWith("400 ").contains(word));
-        assertThat(ask("GET", "/watch?under=a", "")).startsWith("400 since");
-        assertThat(ask("GET", "/watch?since=1&wait_ms=60001", "")).startsWith("400 wait_ms");
-        assertThat(ask("GET", "/store?page=1001", "")).startsWith("400 page");
-        assertThat(ask("GET", "/store?under=%zz", "")).startsWith("400 under");
-        assertThat(ask("GET", "/multi", "")).isEqualTo("405");
-        assertThat(ask("GET", "/nowhere", "")).isEqualTo("404");
-        assertThat(ask("DELETE", "/leases/x", "")).isEqualTo("404");
+                assertThat(exchange("POST", "/multi", json)).startsWith("400 ").contains(word));
+        assertThat(exchange("GET", "/watch?under=a", "")).startsWith("400 since");
+        assertThat(exchange("GET", "/watch?since=1&wait_ms=60001", "")).startsWith("400 wait_ms");
+        assertThat(exchange("GET", "/store?page=1001", "")).startsWith("400 page");
+        assertThat(exchange("GET", "/store?under=%zz", "")).startsWith("400 under");
+        assertThat(exchange("GET", "/multi", "")).isEqualTo("405");
+        assertThat(exchange("GET", "/nowhere", "")).isEqualTo("404");
+        assertThat(exchange("DELETE", "/leases/x", "")).isEqualTo("404");
         assertThat(Json.size(Map.of("a", 1.0))).isEqualTo("{\"a\":1.0}".length());
         assertThatThrownBy(() -> Json.size(new Object())).isInstanceOf(IllegalArgumentException.class);
     }
