--- a/src/main/java/birchusher/agent/Agent.java
+++ b/src/main/java/birchusher/agent/Agent.java
@@ -5,9 +5,9 @@
 import birchusher.http.EventLoop;
 import birchusher.http.HttpClient;
 import birchusher.http.HttpServer;
-import birchusher.http.Target;
+import birchusher.http.RequestTarget;
 import birchusher.wal.LockedDirectory;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import birchusher.wire.Wire;
 import java.io.Closeable;
 import java.io.IOException;
@@ -86,7 +86,7 @@
                 o.dir(),
                 o.checkpoints(),
                 logs,
-                (key, code) -> loop.post(() -> act(worker.exited(EventLoop.now(), key, code))));
+                (key, code) -> loop.post(() -> act(worker.exited(EventLoop.nowMs(), key, code))));
         runner.forgetAll();
         httpServer = new HttpServer(loop, o.address(), o.port(), MAX_CONNECTIONS, MAX_BODY, this::request);
         client = new HttpClient(loop, MAX_CALLS);
@@ -143,7 +143,7 @@
     }
 
     private void tick(long late) {
-        long now = EventLoop.now();
+        long now = EventLoop.nowMs();
         act(worker.tick(now));
         if (!polling && now >= nextPoll) {
             poll(now);
@@ -178,12 +178,12 @@
         body.put("boot", boot);
         body.put("before", before.isEmpty() ? null : before);
         body.put(Wire.MACHINE, worker.runs());
-        body.put(Wire.ADDR, options.listens());
-        body.put(Wire.SEQ, ++polls);
+        body.put(Wire.ADDRESS, options.listens());
+        body.put(Wire.SEQUENCE, ++polls);
         ask("POST", Wire.AGENTS, body, POLL_TIMEOUT_MS, (status, m) -> {
             polling = false;
             if (status == 200) {
-                act(worker.assigned(EventLoop.now(), now, Assignment.read(m)));
+                act(worker.assigned(EventLoop.nowMs(), now, Assignment.read(m)));
             } else if (status != lastPoll) {
                 LOG.info(
                         "daemon {}: {} {}",
@@ -208,11 +208,13 @@
                 address,
                 method,
                 path,
-                body == null ? HttpClient.NOTHING : Pack.encode(body),
+                body == null ? HttpClient.EMPTY_BODY : MessagePackCodec.encode(body),
                 timeoutMs,
                 (status, bytes) -> {
                     try {
-                        reply.got(status, bytes.length == 0 ? Map.of() : Fields.map(Pack.decode(bytes), "answer"));
+                        reply.got(
+                                status,
+                                bytes.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(bytes), "answer"));
                     } catch (InvalidInputException e) {
                         LOG.error("{} of {} not as agreed: {}", path, address, e.getMessage());
                         reply.got(0, Map.of());
@@ -231,16 +233,16 @@
             call(
                     r.address(),
                     "POST",
-                    Wire.HELLO,
+                    Wire.WORKER_REPORTS,
                     r.body(),
                     REPORT_TIMEOUT_MS,
-                    (status, m) -> act(worker.answered(EventLoop.now(), r.id(), status, m)));
+                    (status, m) -> act(worker.answered(EventLoop.nowMs(), r.id(), status, m)));
         } else if (a instanceof Action.Answer x) {
-            httpServer.answer(x.exchange(), x.status(), Pack.encode(x.body()), x.retryAfterS());
+            httpServer.answer(x.exchange(), x.status(), MessagePackCodec.encode(x.body()), x.retryAfterS());
         } else if (a instanceof Action.Fetch f) {
             ask("GET", Wire.DESCRIPTIONS + f.job(), null, POLL_TIMEOUT_MS, (status, m) -> {
                 if (status == 200 || status == 404) {
-                    act(worker.described(EventLoop.now(), f.job(), status == 404 ? null : Description.read(m)));
+                    act(worker.described(EventLoop.nowMs(), f.job(), status == 404 ? null : Description.read(m)));
                 }
             });
         } else if (a instanceof Action.Run r) {
@@ -250,7 +252,7 @@
         } else if (a instanceof Action.Kill k) {
             runner.kill(k.key());
         } else if (a instanceof Action.KillAll) {
-            runner.killAll(() -> loop.post(() -> act(worker.cleared(EventLoop.now()))));
+            runner.killAll(() -> loop.post(() -> act(worker.cleared(EventLoop.nowMs()))));
         } else if (a instanceof Action.Forget f) {
             runner.forget(f.key());
         } else if (a instanceof Action.Say s) {
@@ -277,14 +279,14 @@
                 s.tasks(),
                 "phase",
                 s.phase(),
-                Wire.ADDR,
+                Wire.ADDRESS,
                 options.listens());
         ask("POST", Wire.GANGS, body, POLL_TIMEOUT_MS, (status, m) -> {
             if (status == 200) {
                 List<String> hosts = m.get("hosts") == null
                         ? List.of()
                         : Fields.list(m, "hosts").stream().map(String::valueOf).toList();
-                act(worker.gangSaid(EventLoop.now(), s.key(), Fields.text(m, "say"), hosts));
+                act(worker.gangSaid(EventLoop.nowMs(), s.key(), Fields.text(m, "say"), hosts));
             }
         });
     }
@@ -292,22 +294,26 @@
     private void request(long exchange, String method, String target, byte[] body) {
         try {
             if (target.startsWith("/logs/")) {
-                httpServer.answer(exchange, 200, Pack.encode(log(Target.parse(target))), 0);
+                httpServer.answer(exchange, 200, MessagePackCodec.encode(log(RequestTarget.parse(target))), 0);
             } else {
                 act(worker.direct(
-                        EventLoop.now(), exchange, method, target, body.length == 0 ? null : Pack.decode(body)));
+                        EventLoop.nowMs(),
+                        exchange,
+                        method,
+                        target,
+                        body.length == 0 ? null : MessagePackCodec.decode(body)));
             }
-        } catch (InvalidInputException | Target.Bad e) {
-            httpServer.answer(exchange, 400, Pack.encode(Map.of("error", e.getMessage())), 0);
+        } catch (InvalidInputException | RequestTarget.InvalidTargetException e) {
+            httpServer.answer(exchange, 400, MessagePackCodec.encode(Map.of("error", e.getMessage())), 0);
         } catch (IOException e) {
             LOG.error("log can't be read: {}", e.getMessage());
-            httpServer.answer(exchange, 503, Pack.encode(Map.of("error", "can't be read")), 5);
+            httpServer.answer(exchange, 503, MessagePackCodec.encode(Map.of("error", "can't be read")), 5);
         }
     }
 
-    private Map<String, Object> log(Target t) throws IOException, Target.Bad {
+    private Map<String, Object> log(RequestTarget t) throws IOException, RequestTarget.InvalidTargetException {
         Action.Key key = Order.key(t.path().substring("/logs/".length()), t.count("try", 0));
-        return t.params().containsKey("try")
+        return t.parameters().containsKey("try")
                 ? logs.read(key, t.count("from", 0))
                 : Map.of("logs", logs.list(key.job(), key.index()));
     }
--- a/src/main/java/birchusher/agent/Assignment.java
+++ b/src/main/java/birchusher/agent/Assignment.java
@@ -29,7 +29,7 @@
         List<Controller> controllers = new ArrayList<>();
         for (Object o : Fields.list(m, "controllers")) {
             Map<String, Object> c = Fields.map(o, "controllers");
-            controllers.add(new Controller(Fields.text(c, "member"), Fields.text(c, Wire.ADDR)));
+            controllers.add(new Controller(Fields.text(c, "member"), Fields.text(c, Wire.ADDRESS)));
         }
         return new Assignment(
                 Fields.textOrNull(m, Wire.MACHINE),
@@ -37,7 +37,7 @@
                 Fields.text(m, Wire.ZONE),
                 Fields.amount(m, Wire.CPUS),
                 Fields.amount(m, Wire.GPUS),
-                Fields.amount(m, Wire.MEM),
+                Fields.amount(m, Wire.MEMORY_GB),
                 ms(m, "report_s"),
                 ms(m, "lease_s"),
                 ms(m, "gang_wait_s"),
--- a/src/main/java/birchusher/agent/Description.java
+++ b/src/main/java/birchusher/agent/Description.java
@@ -40,9 +40,9 @@
                 shape.equals("standing"),
                 Fields.amount(job, Wire.CPUS),
                 Fields.amount(job, Wire.GPUS),
-                Fields.amount(job, Wire.MEM),
-                Fields.amount(job, Wire.CHECKPOINT) > 0,
-                Math.round(Fields.amount(job, Wire.SAVE) * 1000),
+                Fields.amount(job, Wire.MEMORY_GB),
+                Fields.amount(job, Wire.CHECKPOINT_INTERVAL_S) > 0,
+                Math.round(Fields.amount(job, Wire.CHECKPOINT_WRITE_S) * 1000),
                 command,
                 env,
                 signal == null ? "TERM" : signal);
--- a/src/main/java/birchusher/agent/Order.java
+++ b/src/main/java/birchusher/agent/Order.java
@@ -30,16 +30,16 @@
         for (Object o : l) {
             Map<String, Object> x = Fields.map(o, Wire.COMMANDS);
             Verb verb =
-                    switch (Fields.text(x, Wire.OP)) {
+                    switch (Fields.text(x, Wire.COMMAND_TYPE)) {
                         case Wire.START -> Verb.START;
                         case Wire.STOP -> Verb.STOP;
-                        case Wire.FORGET -> Verb.REAP;
-                        default -> throw new InvalidInputException(Wire.OP + ": unknown");
+                        case Wire.REAP -> Verb.REAP;
+                        default -> throw new InvalidInputException(Wire.COMMAND_TYPE + ": unknown");
                     };
             orders.add(new Order(
                     verb,
                     key(Fields.text(x, Wire.TASK), Fields.count(x, Wire.ATTEMPT)),
-                    Math.round(1000 * Fields.amountOr(x, Wire.GRACE, 0))));
+                    Math.round(1000 * Fields.amountOr(x, Wire.GRACE_S, 0))));
         }
         return orders;
     }
--- a/src/main/java/birchusher/agent/Worker.java
+++ b/src/main/java/birchusher/agent/Worker.java
@@ -246,23 +246,23 @@
             m.put(Wire.ATTEMPT, t.key.attempt());
             m.put(Wire.STATE, t.stage);
             if (t.cause != null) {
-                m.put(Wire.WHY, t.cause);
+                m.put(Wire.EXIT_REASON, t.cause);
                 if (t.kept) {
-                    m.put(Wire.SAVED, true);
+                    m.put(Wire.CHECKPOINT_SAVED, true);
                 }
             }
             pieces.add(m);
         }
         Map<String, Object> r = new LinkedHashMap<>();
         r.put(Wire.MACHINE, machine);
-        r.put(Wire.ADDR, address);
+        r.put(Wire.ADDRESS, address);
         r.put(Wire.TYPE, now.type());
         r.put(Wire.ZONE, now.zone());
         r.put(Wire.SPOT, false);
         r.put(Wire.SESSION, session);
-        r.put(Wire.SEQ, ++seq);
-        r.put(Wire.TOKEN, token);
-        r.put(Wire.NOTICE, null);
+        r.put(Wire.SEQUENCE, ++seq);
+        r.put(Wire.FENCING_TOKEN, token);
+        r.put(Wire.RECLAIM_NOTICE_S, null);
         r.put("pieces", pieces);
         return r;
     }
@@ -309,11 +309,11 @@
     }
 
     private void obey(long at, Map<String, Object> m) {
-        if (m.get(Wire.TOKEN) == null || Fields.count(m, Wire.TOKEN) < token) {
+        if (m.get(Wire.FENCING_TOKEN) == null || Fields.count(m, Wire.FENCING_TOKEN) < token) {
             return;
         }
         List<Order> orders = Order.read(m);
-        token(at, Fields.count(m, Wire.TOKEN));
+        token(at, Fields.count(m, Wire.FENCING_TOKEN));
         leaseFrom = sentAt;
         lease(at);
         orders.forEach(o -> execute(at, o));
@@ -346,9 +346,9 @@
             out.add(new Action.Answer(exchange, 503, Map.of("error", "no machine at present"), 1));
         } else if (path.equals("/show") && method.equals("GET")) {
             out.add(new Action.Answer(exchange, 200, body(), 0));
-        } else if (path.equals(Wire.DO) && method.equals("POST")) {
+        } else if (path.equals(Wire.WORKER_COMMANDS) && method.equals("POST")) {
             Map<String, Object> m = Fields.map(body, "body");
-            long t = Fields.count(m, Wire.TOKEN);
+            long t = Fields.count(m, Wire.FENCING_TOKEN);
             long s = Fields.count(m, Wire.SESSION);
             List<Order> orders = Order.read(m);
             boolean entitled = t >= token && s == session;
--- a/src/main/java/birchusher/cli/Caller.java
+++ b/src/main/java/birchusher/cli/Caller.java
@@ -6,7 +6,7 @@
 import birchusher.http.HttpWriter;
 import birchusher.settings.Settings.Address;
 import birchusher.settings.SettingsReader;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -54,12 +54,12 @@
     /** @param deadlineS for each call, its repetitions included */
     Caller(String server, double deadlineS) {
         this.server = server;
-        this.to = SettingsReader.parse(server, "--server");
+        this.to = SettingsReader.parseAddress(server, "--server");
         this.deadlineMs = Math.round(deadlineS * 1000);
     }
 
     Got call(String method, String path, Object body) throws IOException, InterruptedException {
-        byte[] bytes = body == null ? new byte[0] : Pack.encode(body);
+        byte[] bytes = body == null ? new byte[0] : MessagePackCodec.encode(body);
         long end = System.nanoTime() / 1_000_000 + deadlineMs;
         long pause = LEAST_PAUSE_MS;
         while (true) {
@@ -99,10 +99,11 @@
                 HttpParser.Message m = parser.feed(ByteBuffer.wrap(buffer, 0, n));
                 if (m != null) {
                     return new Got(
-                            m.status(), m.body().length == 0 ? Map.of() : Fields.map(Pack.decode(m.body()), "answer"));
+                            m.status(),
+                            m.body().length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(m.body()), "answer"));
                 }
             }
-        } catch (HttpParser.Malformed | InvalidInputException e) {
+        } catch (HttpParser.MalformedMessageException | InvalidInputException e) {
             throw new IOException("answer is not as agreed: " + e.getMessage());
         }
     }
--- a/src/main/java/birchusher/cli/Inspect.java
+++ b/src/main/java/birchusher/cli/Inspect.java
@@ -29,7 +29,7 @@
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> state(talk, talk.call("GET", Wire.RUNS + "/" + Talk.checked(id), null)));
+            return Main.guarded(() -> state(talk, talk.call("GET", Wire.JOBS + "/" + Talk.checked(id), null)));
         }
     }
 
@@ -44,7 +44,7 @@
         @Override
         public Integer call() {
             return Main.guarded(
-                    () -> state(talk, talk.call("POST", Wire.RUNS + "/" + Talk.checked(id) + Wire.WITHDRAW, null)));
+                    () -> state(talk, talk.call("POST", Wire.JOBS + "/" + Talk.checked(id) + Wire.CANCEL, null)));
         }
     }
 
@@ -89,24 +89,24 @@
                 while (more && runs.size() < limit) {
                     Caller.Got g = talk.call(
                             "GET",
-                            Wire.RUNS + "?" + Wire.AFTER + "=" + from + param("--state", Wire.STATE, state)
-                                    + param("--team", Wire.TEAM, team) + param("--class", Wire.CLASS, cls),
+                            Wire.JOBS + "?" + Wire.AFTER + "=" + from + param("--state", Wire.STATE, state)
+                                    + param("--team", Wire.TEAM, team) + param("--class", Wire.JOB_CLASS, cls),
                             null);
                     if (!g.fine()) {
                         return Talk.refused(g);
                     }
                     runs.addAll(Fields.list(g.body(), "runs"));
-                    more = Boolean.TRUE.equals(g.body().get(Wire.MORE));
+                    more = Boolean.TRUE.equals(g.body().get(Wire.HAS_MORE));
                     from = String.valueOf(g.body().get("last"));
                 }
                 more |= runs.size() > limit;
                 List<Object> shown = runs.subList(0, Math.min(limit, runs.size()));
                 if (talk.json()) {
-                    System.out.println(Json.text(Map.of("runs", shown, Wire.MORE, more), false));
+                    System.out.println(Json.toText(Map.of("runs", shown, Wire.HAS_MORE, more), false));
                 } else {
                     Talk.table(
                             shown,
-                            new String[] {Wire.ID, Wire.STATE, Wire.DONE, Wire.RUNNING, Wire.TEAM, Wire.CLASS},
+                            new String[] {Wire.ID, Wire.STATE, Wire.DONE, Wire.RUNNING, Wire.TEAM, Wire.JOB_CLASS},
                             new String[] {"ID", "STATE", "DONE", "RUNNING", "TEAM", "CLASS"});
                     if (more) {
                         System.err.println("more: --after "
@@ -136,7 +136,7 @@
         @Override
         public Integer call() {
             return Main.guarded(() -> {
-                Caller.Got g = talk.call("GET", Wire.RUNS + "/" + Talk.checked(id) + Wire.DESCRIBE, null);
+                Caller.Got g = talk.call("GET", Wire.JOBS + "/" + Talk.checked(id) + Wire.DESCRIBE, null);
                 if (!g.fine()) {
                     return Talk.refused(g);
                 }
@@ -146,7 +146,7 @@
                     m.put("program", program.body());
                 }
                 if (talk.json()) {
-                    System.out.println(Json.text(m, true));
+                    System.out.println(Json.toText(m, true));
                     return 0;
                 }
                 talk.state(m);
@@ -161,7 +161,7 @@
                     Talk.table(l, new String[] {"index", Wire.ATTEMPT, Wire.MACHINE, "held_s"}, new String[] {
                         "TASK", "ATTEMPT", "MACHINE", "SINCE S"
                     });
-                    if (Boolean.TRUE.equals(m.get(Wire.MORE))) {
+                    if (Boolean.TRUE.equals(m.get(Wire.HAS_MORE))) {
                         System.out.println("more tasks behind " + m.get("next"));
                     }
                 }
@@ -184,7 +184,7 @@
         public Integer call() {
             return Main.guarded(() -> rows(
                     talk,
-                    Wire.HOSTS,
+                    Wire.POOL_MACHINES,
                     "machines",
                     new String[] {"agent", Wire.STATE, Wire.MACHINE, Wire.TYPE, Wire.ZONE, "heard_s"},
                     new String[] {"HOST", "STATE", "MACHINE", "TYPE", "ZONE", "HEARD S"}));
@@ -213,7 +213,7 @@
             return Talk.refused(g);
         }
         if (talk.json()) {
-            System.out.println(Json.text(g.body(), false));
+            System.out.println(Json.toText(g.body(), false));
         } else {
             Talk.table(Fields.list(g.body(), field), fields, names);
         }
@@ -277,7 +277,7 @@
         }
 
         private boolean over() throws Exception {
-            Caller.Got g = talk.call("GET", Wire.RUNS + "/" + id, null);
+            Caller.Got g = talk.call("GET", Wire.JOBS + "/" + id, null);
             Object stage = g.body().get(Wire.STATE);
             return !g.fine() || Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage);
         }
--- a/src/main/java/birchusher/cli/Journal.java
+++ b/src/main/java/birchusher/cli/Journal.java
@@ -34,7 +34,7 @@
         Path aside = dir.resolve(id + ".aside");
         try (FileChannel c = FileChannel.open(
                 aside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer b = ByteBuffer.wrap(Json.text(submission, true).getBytes(StandardCharsets.UTF_8));
+            ByteBuffer b = ByteBuffer.wrap(Json.toText(submission, true).getBytes(StandardCharsets.UTF_8));
             while (b.hasRemaining()) {
                 c.write(b);
             }
@@ -64,7 +64,7 @@
 
     Map<String, Object> read(String id) throws IOException {
         try {
-            return Fields.map(SettingsReader.tree(Files.readAllBytes(dir.resolve(id + END))), id);
+            return Fields.map(SettingsReader.parseJson(Files.readAllBytes(dir.resolve(id + END))), id);
         } catch (InvalidInputException e) {
             throw new IOException(dir.resolve(id + END) + ": " + e.getMessage());
         }
--- a/src/main/java/birchusher/cli/Main.java
+++ b/src/main/java/birchusher/cli/Main.java
@@ -1,7 +1,7 @@
 package birchusher.cli;
 
 import birchusher.core.Fields.InvalidInputException;
-import birchusher.server.Loop;
+import birchusher.server.ControllerServer;
 import birchusher.settings.Settings;
 import birchusher.settings.SettingsReader;
 import birchusher.settings.Tuning;
@@ -89,7 +89,7 @@
             Tuning t = new Tuning();
             if (properties != null) {
                 try (Reader r = Files.newBufferedReader(properties)) {
-                    t.with(r);
+                    t.withOverrides(r);
                 }
             }
             return t;
@@ -126,7 +126,7 @@
         @Override
         public Integer call() {
             return guarded(() -> {
-                new Loop(files.settings(), files.tuning()).run();
+                new ControllerServer(files.settings(), files.tuning()).run();
                 return 0;
             });
         }
--- a/src/main/java/birchusher/cli/Serving.java
+++ b/src/main/java/birchusher/cli/Serving.java
@@ -114,13 +114,13 @@
                     Main.class.getName(),
                     "agent",
                     "--server",
-                    d.listen().toString(),
+                    d.listenAddress().toString(),
                     "--host",
                     host,
                     "--listen",
                     localListen,
                     "--dir",
-                    d.data().resolve("agent-" + host).toString()));
+                    d.dataDir().resolve("agent-" + host).toString()));
             Process p = new ProcessBuilder(command).inheritIO().start();
             // Such as one that still runs since an earlier daemon, which is as good, or an address that is taken, which
             // is not.
@@ -167,8 +167,8 @@
         @Override
         public Integer call() {
             return Main.guarded(() -> {
-                Address a = SettingsReader.parse(listen, "--listen");
-                SettingsReader.parse(server, "--server");
+                Address a = SettingsReader.parseAddress(listen, "--listen");
+                SettingsReader.parseAddress(server, "--server");
                 Agent agent = new Agent(new Agent.Options(
                         server,
                         host,
--- a/src/main/java/birchusher/cli/Submit.java
+++ b/src/main/java/birchusher/cli/Submit.java
@@ -135,7 +135,7 @@
             g = talk.call("POST", Wire.PROGRAMS + made, submission.get("program"));
         }
         if (g == null || g.fine()) {
-            g = talk.call("POST", Wire.RUNS, submission.get("job"));
+            g = talk.call("POST", Wire.JOBS, submission.get("job"));
         }
         journal.settled(made);
         if (!g.fine()) {
@@ -149,29 +149,30 @@
         Map<String, Object> job = defaults();
         Map<String, Object> program = null;
         if (file != null) {
-            Map<String, Object> read = new HashMap<>(Fields.map(SettingsReader.tree(Files.readAllBytes(file)), "job"));
+            Map<String, Object> read =
+                    new HashMap<>(Fields.map(SettingsReader.parseJson(Files.readAllBytes(file)), "job"));
             Object p = read.remove("program");
             program = p == null ? null : new HashMap<>(Fields.map(p, "program"));
             job.putAll(read);
         }
         set(job, Wire.ID, id);
         set(job, Wire.TEAM, team);
-        set(job, Wire.CLASS, cls);
+        set(job, Wire.JOB_CLASS, cls);
         set(job, Wire.SHAPE, shape);
         set(job, Wire.PRIORITY, priority);
         set(job, Wire.TASKS, tasks);
         set(job, Wire.CPUS, cpus);
         set(job, Wire.GPUS, gpus);
-        set(job, Wire.MEM, memory);
+        set(job, Wire.MEMORY_GB, memory);
         set(job, Wire.ZONE, zone);
-        set(job, Wire.ESTIMATE, expectS);
-        set(job, Wire.CHECKPOINT, saveEveryS);
-        set(job, Wire.SAVE, saveTakeS);
+        set(job, Wire.ESTIMATE_S, expectS);
+        set(job, Wire.CHECKPOINT_INTERVAL_S, saveEveryS);
+        set(job, Wire.CHECKPOINT_WRITE_S, saveTakeS);
         if (job.get(Wire.TEAM) == null) {
             throw new InvalidInputException("--team: missing, and BIRCHUSHER_TEAM is not set");
         }
         if (job.get(Wire.ID) == null) {
-            job.put(Wire.ID, Wire.ID_PREFIX + UUID.randomUUID());
+            job.put(Wire.ID, Wire.JOB_ID_PREFIX + UUID.randomUUID());
         }
         Talk.checked(Fields.text(job, Wire.ID));
         if (!command.isEmpty()) {
@@ -195,21 +196,21 @@
 
     private static Map<String, Object> defaults() {
         Map<String, Object> m = new HashMap<>();
-        m.put(Wire.CLASS, "batch");
+        m.put(Wire.JOB_CLASS, "batch");
         m.put(Wire.SHAPE, "sweep");
         m.put(Wire.PRIORITY, "standard");
         m.put(Wire.TASKS, 1L);
         m.put(Wire.CPUS, 1.0);
         m.put(Wire.GPUS, 0.0);
-        m.put(Wire.MEM, 0.5);
+        m.put(Wire.MEMORY_GB, 0.5);
         m.put(Wire.IMAGE, "none");
         m.put(Wire.IMAGE_GB, 0.0);
         m.put(Wire.ONE_ZONE, false);
         m.put(Wire.SPREAD, false);
         m.put(Wire.SPOT, false);
-        m.put(Wire.ESTIMATE, 60.0);
-        m.put(Wire.CHECKPOINT, 0.0);
-        m.put(Wire.SAVE, 0.0);
+        m.put(Wire.ESTIMATE_S, 60.0);
+        m.put(Wire.CHECKPOINT_INTERVAL_S, 0.0);
+        m.put(Wire.CHECKPOINT_WRITE_S, 0.0);
         return m;
     }
 
--- a/src/main/java/birchusher/cli/Talk.java
+++ b/src/main/java/birchusher/cli/Talk.java
@@ -58,8 +58,8 @@
     }
 
     static String checked(String id) {
-        if (!JobCodec.isId(id)) {
-            throw new InvalidInputException("ID: not a job id, expected " + Wire.ID_PREFIX + "...");
+        if (!JobCodec.isJobId(id)) {
+            throw new InvalidInputException("ID: not a job id, expected " + Wire.JOB_ID_PREFIX + "...");
         }
         return id;
     }
@@ -73,7 +73,7 @@
     /** A job's state, as a script or a person reads it. */
     void state(Map<String, Object> m) {
         if (json()) {
-            System.out.println(Json.text(m, false));
+            System.out.println(Json.toText(m, false));
         } else {
             System.out.println(m.get(Wire.ID) + " " + m.get(Wire.STATE)
                     + (Wire.RUNNING.equals(m.get(Wire.STATE)) || Wire.QUEUED.equals(m.get(Wire.STATE))
--- a/src/main/java/birchusher/cli/Wait.java
+++ b/src/main/java/birchusher/cli/Wait.java
@@ -53,7 +53,7 @@
         long pause = LEAST_MS;
         while (true) {
             for (String id : List.copyOf(open)) {
-                Caller.Got g = talk.call("GET", Wire.RUNS + "/" + id, null);
+                Caller.Got g = talk.call("GET", Wire.JOBS + "/" + id, null);
                 if (!g.fine()) {
                     return Talk.refused(g);
                 }
--- a/src/main/java/birchusher/cloud/CloudClient.java
+++ b/src/main/java/birchusher/cloud/CloudClient.java
@@ -15,8 +15,8 @@
     /** Creates a client with the cloud's address and request limit from the settings. */
     public CloudClient(Effects effects, Settings settings) {
         this.effects = effects;
-        address = settings.cloud().toString();
-        rateLimit = new TokenBucket(settings.cloudRps() * 0.6, settings.cloudRps());
+        address = settings.cloudAddress().toString();
+        rateLimit = new TokenBucket(settings.cloudRequestsPerS() * 0.6, settings.cloudRequestsPerS());
     }
 
     /**
--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -6,7 +6,7 @@
 import birchusher.core.Fields;
 import birchusher.core.Fields.InvalidInputException;
 import birchusher.fleet.Autoscaler;
-import birchusher.http.Target;
+import birchusher.http.RequestTarget;
 import birchusher.jobs.JobApi;
 import birchusher.jobs.QueryApi;
 import birchusher.jobs.TaskEvents;
@@ -29,7 +29,7 @@
 import birchusher.store.StoreClient;
 import birchusher.store.StoreView;
 import birchusher.wire.JobCodec;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import birchusher.wire.Wire;
 import birchusher.workers.Counters;
 import birchusher.workers.MachineStatus;
@@ -94,7 +94,8 @@
         statusExchange = new MachineStatusExchange(effects, catalog, membership);
         membership.reachesWorkers(statusExchange::ownerReachesZone);
         long reconnectTimeMs = Inventory.reconnectTimeMs(
-                Math.round(settings.reportS() * 1000), 1 + settings.peers().size());
+                Math.round(settings.reportIntervalS() * 1000),
+                1 + settings.peers().size());
         lostTasks = new LostTasks(reconnectTimeMs, 1 + settings.peers().size());
         outcomeRecorder = new OutcomeRecorder(effects, view, store, membership, counters, lostTasks, this::send);
         workerRegistry = new WorkerRegistry(
@@ -138,7 +139,7 @@
                 lostTasks,
                 LeaseSettings.from(tuning),
                 settings.objectives(),
-                tuning.num("placement.begin-by-s"));
+                tuning.value("placement.begin-by-s"));
         inventory = new Inventory(view, reconnectTimeMs);
         jobScheduler = new JobScheduler(
                 effects,
@@ -187,7 +188,7 @@
         effects.setTime(now, wall);
         try {
             route(exchange, method, target, body);
-        } catch (InvalidInputException | Target.Bad e) {
+        } catch (InvalidInputException | RequestTarget.InvalidTargetException e) {
             if (now - rejectionLoggedMs > 1_000) {
                 rejectionLoggedMs = now;
                 LOG.info("{} {} rejected: {}", method, target, e.getMessage());
@@ -209,7 +210,7 @@
         int effectiveStatus = status;
         if (body.length > 0) {
             try {
-                fields = Fields.map(Pack.decode(body), "answer");
+                fields = Fields.map(MessagePackCodec.decode(body), "answer");
             } catch (InvalidInputException e) {
                 LOG.info("reply with an unreadable body, treated as no reply: {}", e.getMessage());
                 effectiveStatus = 0;
@@ -300,12 +301,13 @@
 
     // ---- requests of users, workers and health probes
 
-    private void route(long exchange, String method, String target, byte[] body) throws Target.Bad {
+    private void route(long exchange, String method, String target, byte[] body)
+            throws RequestTarget.InvalidTargetException {
         int queryStart = target.indexOf('?');
         String path = queryStart < 0 ? target : target.substring(0, queryStart);
-        if (path.equals(Wire.HELLO)) {
+        if (path.equals(Wire.WORKER_REPORTS)) {
             if (requireMethod(exchange, method, "POST")) {
-                workerRegistry.onReport(exchange, Fields.map(Pack.decode(body), "body"));
+                workerRegistry.onReport(exchange, Fields.map(MessagePackCodec.decode(body), "body"));
             }
         } else if (path.equals(Wire.READY)) {
             if (requireMethod(exchange, method, "GET")) {
@@ -315,9 +317,9 @@
                     effects.refuseWithRetry(exchange, 503, 1);
                 }
             }
-        } else if (path.equals(Wire.RUNS) && method.equals("GET")) {
-            queryApi.list(exchange, Target.parse(target));
-        } else if (path.equals(Wire.RUNS)) {
+        } else if (path.equals(Wire.JOBS) && method.equals("GET")) {
+            queryApi.list(exchange, RequestTarget.parse(target));
+        } else if (path.equals(Wire.JOBS)) {
             if (requireMethod(exchange, method, "POST")) {
                 jobApi.submit(exchange, body);
             }
@@ -325,16 +327,18 @@
             if (requireMethod(exchange, method, "GET")) {
                 queryApi.teams(exchange, settings.teams());
             }
-        } else if (path.startsWith(Wire.RUNS + "/")) {
-            String id = path.substring(Wire.RUNS.length() + 1);
-            if (id.endsWith(Wire.WITHDRAW)) {
+        } else if (path.startsWith(Wire.JOBS + "/")) {
+            String id = path.substring(Wire.JOBS.length() + 1);
+            if (id.endsWith(Wire.CANCEL)) {
                 if (requireMethod(exchange, method, "POST")) {
-                    jobApi.cancel(exchange, id.substring(0, id.length() - Wire.WITHDRAW.length()));
+                    jobApi.cancel(exchange, id.substring(0, id.length() - Wire.CANCEL.length()));
                 }
             } else if (id.endsWith(Wire.DESCRIBE)) {
                 if (requireMethod(exchange, method, "GET")) {
                     queryApi.describe(
-                            exchange, id.substring(0, id.length() - Wire.DESCRIBE.length()), Target.parse(target));
+                            exchange,
+                            id.substring(0, id.length() - Wire.DESCRIBE.length()),
+                            RequestTarget.parse(target));
                 }
             } else if (requireMethod(exchange, method, "GET")) {
                 jobApi.poll(exchange, id);
--- a/src/main/java/birchusher/daemon/Daemon.java
+++ b/src/main/java/birchusher/daemon/Daemon.java
@@ -2,7 +2,7 @@
 
 import birchusher.http.EventLoop;
 import birchusher.kv.Limits;
-import birchusher.server.Loop;
+import birchusher.server.ControllerServer;
 import birchusher.statehost.DurableStore;
 import birchusher.statehost.DurableStoreRunner;
 import birchusher.statehost.StateServer;
@@ -24,22 +24,22 @@
 public final class Daemon implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
     /** The pool's own store has no clients to be protected from. */
-    private static final Limits HOME = new Limits(1e6, 1e6, 128, Limits.MAX_TRANSACTION_BYTES);
+    private static final Limits POOL_STORE_LIMITS = new Limits(1e6, 1e6, 128, Limits.MAX_TRANSACTION_BYTES);
 
-    private interface Body {
+    private interface ThreadBody {
         void run() throws Exception;
     }
 
     private final EventLoop stateLoop = new EventLoop();
-    private final EventLoop frontLoop = new EventLoop();
-    private final DurableStoreRunner state;
-    private final DurableStoreRunner home;
+    private final EventLoop frontEndLoop = new EventLoop();
+    private final DurableStoreRunner stateRunner;
+    private final DurableStoreRunner poolRunner;
     private final StateServer stateServer;
-    private final Front front;
-    private final Loop controller;
+    private final ApiFrontEnd frontEnd;
+    private final ControllerServer controller;
     private final List<Thread> threads = new ArrayList<>();
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private volatile boolean asked;
+    private final CountDownLatch anyThreadEnded = new CountDownLatch(1);
+    private volatile boolean closeRequested;
     private volatile boolean failed;
 
     /**
@@ -49,17 +49,21 @@
      * @throws IOException also if another daemon holds the directory
      */
     public Daemon(DaemonSettings d) throws IOException {
-        state = host(stateLoop, stateDir(d.data()), d, d.limits());
+        stateRunner = openStore(stateLoop, stateDir(d.dataDir()), d, d.limits());
         try {
-            home = host(frontLoop, poolDir(d.data()), d, HOME);
+            poolRunner = openStore(frontEndLoop, poolDir(d.dataDir()), d, POOL_STORE_LIMITS);
         } catch (IOException | RuntimeException e) {
-            closeQuietly(state);
+            closeQuietly(stateRunner);
             throw e;
         }
         stateServer = new StateServer(
-                stateLoop, d.settings().store().host(), d.settings().store().port(), 1_000, state);
-        front = new Front(frontLoop, d, home);
-        controller = new Loop(d.settings(), d.tuning());
+                stateLoop,
+                d.settings().stateAddress().host(),
+                d.settings().stateAddress().port(),
+                1_000,
+                stateRunner);
+        frontEnd = new ApiFrontEnd(frontEndLoop, d, poolRunner);
+        controller = new ControllerServer(d.settings(), d.tuning());
     }
 
     /** The two directories that a repair may be asked for. */
@@ -71,13 +75,14 @@
         return data.resolve("pool");
     }
 
-    private static DurableStoreRunner host(EventLoop loop, Path dir, DaemonSettings d, Limits limits)
+    private static DurableStoreRunner openStore(EventLoop loop, Path dir, DaemonSettings d, Limits limits)
             throws IOException {
         LockedDirectory disk = new LockedDirectory(dir);
         try {
             return new DurableStoreRunner(
                     loop,
-                    DurableStore.open(disk, WriteAheadLog.Options.DEFAULT, d.snapshotBytes(), limits, EventLoop.now()));
+                    DurableStore.open(
+                            disk, WriteAheadLog.Options.DEFAULT, d.snapshotBytes(), limits, EventLoop.nowMs()));
         } catch (IOException | RuntimeException e) {
             disk.close();
             throw e;
@@ -97,13 +102,13 @@
     /** Opens the sockets and serves until {@link #close}, or until a part of it fails. */
     public void start() throws IOException {
         stateServer.open();
-        thread("state", () -> stateLoop.run(late -> stateServer.tick()));
-        front.open();
-        thread("front", () -> frontLoop.run(front::tick));
-        thread("controller", controller::run);
+        startThread("state", () -> stateLoop.run(late -> stateServer.tick()));
+        frontEnd.open();
+        startThread("front", () -> frontEndLoop.run(frontEnd::tick));
+        startThread("controller", controller::run);
     }
 
-    private void thread(String name, Body body) {
+    private void startThread(String name, ThreadBody body) {
         Thread t = new Thread(
                 () -> {
                     try {
@@ -111,8 +116,8 @@
                     } catch (Exception e) {
                         LOG.error("{} ends", name, e);
                     } finally {
-                        failed |= !asked;
-                        ended.countDown();
+                        failed |= !closeRequested;
+                        anyThreadEnded.countDown();
                     }
                 },
                 name);
@@ -122,7 +127,7 @@
 
     /** Waits until a part has ended; false if it was not asked to. */
     public boolean await() throws InterruptedException {
-        ended.await();
+        anyThreadEnded.await();
         return !failed;
     }
 
@@ -130,23 +135,23 @@
     @Override
     public void close() throws IOException {
         try {
-            asked = true;
-            frontLoop.stop();
+            closeRequested = true;
+            frontEndLoop.stop();
             controller.stop();
-            join("front");
-            join("controller");
+            joinThread("front");
+            joinThread("controller");
             stateLoop.stop();
-            join("state");
-            front.close();
+            joinThread("state");
+            frontEnd.close();
             stateServer.close();
-            home.close();
-            state.close();
+            poolRunner.close();
+            stateRunner.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void join(String name) throws InterruptedException {
+    private void joinThread(String name) throws InterruptedException {
         for (Thread t : threads) {
             if (t.getName().equals(name)) {
                 t.join();
--- a/src/main/java/birchusher/daemon/DaemonSettings.java
+++ b/src/main/java/birchusher/daemon/DaemonSettings.java
@@ -29,15 +29,15 @@
  * @param controllers all of them by their names, where agents reach them
  */
 public record DaemonSettings(
-        Path data,
-        Address listen,
+        Path dataDir,
+        Address listenAddress,
         Settings settings,
         Hosts hosts,
         Limits limits,
         Tuning tuning,
         long snapshotBytes,
         Map<String, Address> controllers) {
-    private static final List<String> KEYS = List.of(
+    private static final List<String> DAEMON_KEYS = List.of(
             "data.dir",
             "listen",
             "controller.listen",
@@ -62,8 +62,8 @@
     private static final List<String> TEAM_KEYS = List.of("cpus", "cpus-max", "gpus", "gpus-max");
     private static final List<String> TYPE_KEYS = List.of("cpus", "gpus", "memory-gb", "price");
     private static final List<String> HOST_KEYS = List.of("type", "zone");
-    private static final int VALUE_KB = 32;
-    private static final int WRITES = 64;
+    private static final int MAX_VALUE_KB = 32;
+    private static final int MAX_TRANSACTION_WRITES = 64;
 
     /** Reads a file as {@code deploy/daemon.properties} shows it. Paths are relative to the working directory. */
     public static DaemonSettings read(Reader file) throws IOException {
@@ -73,62 +73,72 @@
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException("properties: " + e.getMessage());
         }
-        return new Form(p).read();
+        return new PropertiesReader(p).read();
     }
 
-    private static final class Form {
-        private final Properties p;
-        private final Set<String> known = new HashSet<>(KEYS);
+    private static final class PropertiesReader {
+        private final Properties properties;
+        private final Set<String> knownKeys = new HashSet<>(DAEMON_KEYS);
 
-        Form(Properties p) {
-            this.p = p;
+        PropertiesReader(Properties p) {
+            this.properties = p;
         }
 
         DaemonSettings read() throws IOException {
-            List<String> zones = names("zones");
+            List<String> zones = requiredNames("zones");
             List<Settings.Team> teams = new ArrayList<>();
-            for (String t : named("teams", "team", TEAM_KEYS)) {
+            for (String t : declaredNames("teams", "team", TEAM_KEYS)) {
                 String k = "team." + t + ".";
                 teams.add(new Settings.Team(
-                        t, num(k + "cpus", 0), num(k + "cpus-max", 0), num(k + "gpus", 0), num(k + "gpus-max", 0)));
+                        t,
+                        numberOr(k + "cpus", 0),
+                        numberOr(k + "cpus-max", 0),
+                        numberOr(k + "gpus", 0),
+                        numberOr(k + "gpus-max", 0)));
             }
             List<Hosts.Type> types = new ArrayList<>();
-            for (String t : named("types", "type", TYPE_KEYS)) {
+            for (String t : declaredNames("types", "type", TYPE_KEYS)) {
                 String k = "type." + t + ".";
                 types.add(new Hosts.Type(
-                        t, needed(k + "cpus"), num(k + "gpus", 0), needed(k + "memory-gb"), num(k + "price", 1)));
+                        t,
+                        requiredNumber(k + "cpus"),
+                        numberOr(k + "gpus", 0),
+                        requiredNumber(k + "memory-gb"),
+                        numberOr(k + "price", 1)));
             }
             Map<String, Hosts.Host> hosts = new LinkedHashMap<>();
-            for (String h : named("hosts", "host", HOST_KEYS)) {
-                String zone = p.getProperty("host." + h + ".zone", zones.get(0)).trim();
+            for (String h : declaredNames("hosts", "host", HOST_KEYS)) {
+                String zone = properties
+                        .getProperty("host." + h + ".zone", zones.get(0))
+                        .trim();
                 if (!zones.contains(zone)) {
                     throw new InvalidInputException("host." + h + ".zone: " + zone + " is not among the zones");
                 }
-                hosts.put(h, new Hosts.Host(h, text("host." + h + ".type"), zone));
+                hosts.put(h, new Hosts.Host(h, requiredText("host." + h + ".type"), zone));
             }
-            Tuning tuning = tuning();
-            double lease = num("workers.lease-s", 60);
-            double report = num("workers.report-s", 2);
+            Tuning tuning = readTuning();
+            double lease = numberOr("workers.lease-s", 60);
+            double report = numberOr("workers.report-s", 2);
             if (report <= 0 || lease < 4 * report || lease < 10) {
                 throw new InvalidInputException("workers.lease-s: at least 10, and four times workers.report-s");
             }
-            double rps = num("state.requests-per-s", 1000);
-            double changes = num("state.changes-per-s", 1000);
+            double rps = numberOr("state.requests-per-s", 1000);
+            double changes = numberOr("state.changes-per-s", 1000);
             try {
-                return of(
+                return buildSettings(
                         zones,
                         teams,
                         new Hosts(types, hosts, Math.round(lease * 1000)),
                         tuning,
                         report,
                         lease,
-                        new Limits(rps, changes, WRITES, VALUE_KB * 1024));
+                        new Limits(rps, changes, MAX_TRANSACTION_WRITES, MAX_VALUE_KB * 1024));
             } catch (IllegalArgumentException e) {
                 throw new InvalidInputException(e.getMessage());
             }
         }
 
-        private DaemonSettings of(
+        private DaemonSettings buildSettings(
                 List<String> zones,
                 List<Settings.Team> teams,
                 Hosts hosts,
@@ -137,48 +147,48 @@
                 double lease,
                 Limits limits) {
             Map<String, Address> controllers = new LinkedHashMap<>();
-            String member = p.getProperty("member", "daemon").trim();
-            controllers.put(member, address("controller.listen", "127.0.0.1:7071"));
-            List<Settings.Peer> peers = peers(zones, controllers);
+            String member = properties.getProperty("member", "daemon").trim();
+            controllers.put(member, addressOr("controller.listen", "127.0.0.1:7071"));
+            List<Settings.Peer> peers = readPeers(zones, controllers);
             Settings s = new Settings(
                     member,
                     zones.get(0),
-                    address("controller.listen", "127.0.0.1:7071"),
-                    address("controller.mesh", "127.0.0.1:7072"),
+                    addressOr("controller.listen", "127.0.0.1:7071"),
+                    addressOr("controller.mesh", "127.0.0.1:7072"),
                     peers,
-                    address("cloud.listen", "127.0.0.1:7074"),
-                    address("state.listen", "127.0.0.1:7073"),
+                    addressOr("cloud.listen", "127.0.0.1:7074"),
+                    addressOr("state.listen", "127.0.0.1:7073"),
                     zones,
                     List.copyOf(teams),
                     List.of(),
                     report,
                     lease,
-                    num("workers.gang-wait-s", 60),
-                    num("workers.gang-peer-s", 10),
-                    num("workers.cancel-s", 60),
+                    numberOr("workers.gang-wait-s", 60),
+                    numberOr("workers.gang-peer-s", 10),
+                    numberOr("workers.cancel-s", 60),
                     limits.maxRequestsPerS(),
                     limits.maxWritesPerS(),
-                    VALUE_KB,
-                    WRITES,
+                    MAX_VALUE_KB,
+                    MAX_TRANSACTION_WRITES,
                     100,
                     1,
-                    (int) num("connections", 2000),
+                    (int) numberOr("connections", 2000),
                     1000);
             return new DaemonSettings(
-                    Path.of(p.getProperty("data.dir", "data").trim()),
-                    address("listen", "127.0.0.1:7070"),
+                    Path.of(properties.getProperty("data.dir", "data").trim()),
+                    addressOr("listen", "127.0.0.1:7070"),
                     s,
                     hosts,
                     limits,
                     tuning,
-                    Math.round(num("state.snapshot-mb", 64) * (1 << 20)),
+                    Math.round(numberOr("state.snapshot-mb", 64) * (1 << 20)),
                     controllers);
         }
 
         /** Controllers on other hosts that use this daemon's state and pool. */
-        private List<Settings.Peer> peers(List<String> zones, Map<String, Address> controllers) {
+        private List<Settings.Peer> readPeers(List<String> zones, Map<String, Address> controllers) {
             List<Settings.Peer> peers = new ArrayList<>();
-            for (String s : p.getProperty("peers", "").split(",")) {
+            for (String s : properties.getProperty("peers", "").split(",")) {
                 if (s.isBlank()) {
                     continue;
                 }
@@ -187,8 +197,8 @@
                     throw new InvalidInputException(
                             "peers: " + s.trim() + " is not NAME/ZONE/MESH-HOST:PORT/LISTEN-HOST:PORT");
                 }
-                peers.add(new Settings.Peer(f[0], f[1], SettingsReader.parse(f[2], "peers")));
-                if (controllers.put(f[0], SettingsReader.parse(f[3], "peers")) != null) {
+                peers.add(new Settings.Peer(f[0], f[1], SettingsReader.parseAddress(f[2], "peers")));
+                if (controllers.put(f[0], SettingsReader.parseAddress(f[3], "peers")) != null) {
                     throw new InvalidInputException("peers: " + f[0] + " twice");
                 }
             }
@@ -196,22 +206,22 @@
         }
 
         /** What is not the daemon's own must be the controller's: {@link Tuning} names the one that is neither. */
-        private Tuning tuning() throws IOException {
+        private Tuning readTuning() throws IOException {
             Properties rest = new Properties();
-            p.stringPropertyNames().stream()
-                    .filter(k -> !known.contains(k))
-                    .forEach(k -> rest.setProperty(k, p.getProperty(k)));
+            properties.stringPropertyNames().stream()
+                    .filter(k -> !knownKeys.contains(k))
+                    .forEach(k -> rest.setProperty(k, properties.getProperty(k)));
             // Hosts that are there anyhow cost nothing while idle, and with few of them none is spared for long after
             // an error.
             rest.putIfAbsent("fleet.linger-boots", "20");
             rest.putIfAbsent("workers.quarantine-s", "2");
             StringWriter w = new StringWriter();
             rest.store(w, null);
-            return new Tuning().with(new StringReader(w.toString()));
+            return new Tuning().withOverrides(new StringReader(w.toString()));
         }
 
-        private List<String> names(String key) {
-            List<String> l = Arrays.stream(text(key).split(","))
+        private List<String> requiredNames(String key) {
+            List<String> l = Arrays.stream(requiredText(key).split(","))
                     .map(String::trim)
                     .filter(s -> !s.isEmpty())
                     .toList();
@@ -227,32 +237,32 @@
             return l;
         }
 
-        private List<String> named(String list, String prefix, List<String> fields) {
-            List<String> names = names(list);
-            names.forEach(n -> fields.forEach(f -> known.add(prefix + "." + n + "." + f)));
+        private List<String> declaredNames(String list, String prefix, List<String> fields) {
+            List<String> names = requiredNames(list);
+            names.forEach(n -> fields.forEach(f -> knownKeys.add(prefix + "." + n + "." + f)));
             return names;
         }
 
-        private String text(String key) {
-            String s = p.getProperty(key);
+        private String requiredText(String key) {
+            String s = properties.getProperty(key);
             if (s == null || s.isBlank()) {
                 throw new InvalidInputException(key + ": missing");
             }
             return s.trim();
         }
 
-        private double needed(String key) {
-            text(key);
-            return num(key, 0);
+        private double requiredNumber(String key) {
+            requiredText(key);
+            return numberOr(key, 0);
         }
 
-        private double num(String key, double none) {
-            String s = p.getProperty(key);
-            return s == null ? none : Tuning.number(key, s);
+        private double numberOr(String key, double none) {
+            String s = properties.getProperty(key);
+            return s == null ? none : Tuning.parseAmount(key, s);
         }
 
-        private Address address(String key, String none) {
-            return SettingsReader.parse(p.getProperty(key, none).trim(), key);
+        private Address addressOr(String key, String none) {
+            return SettingsReader.parseAddress(properties.getProperty(key, none).trim(), key);
         }
     }
 }
--- a/src/main/java/birchusher/daemon/Home.java
+++ b/src/main/java/birchusher/daemon/PoolStore.java
@@ -8,7 +8,7 @@
 import birchusher.pool.Outbox;
 import birchusher.statehost.DurableStoreRunner;
 import birchusher.wire.Json;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -18,18 +18,18 @@
  * The pool's rows in a store of their own, beside the controllers': a pool that has to wait for the controllers' limits, or
  * that a controller could write to, would be none.
  */
-final class Home {
-    private final DurableStoreRunner host;
+final class PoolStore {
+    private final DurableStoreRunner runner;
 
-    Home(DurableStoreRunner host) {
-        this.host = host;
+    PoolStore(DurableStoreRunner host) {
+        this.runner = host;
     }
 
     /** All rows, as they are at the start. */
-    Map<String, Map<String, Object>> rows() {
+    Map<String, Map<String, Object>> readAll() {
         Map<String, Map<String, Object>> all = new HashMap<>();
-        for (Map.Entry<String, Row> e : host.durableState().rows().entrySet()) {
-            all.put(e.getKey(), Fields.map(Pack.decode(e.getValue().value()), e.getKey()));
+        for (Map.Entry<String, Row> e : runner.durableState().rows().entrySet()) {
+            all.put(e.getKey(), Fields.map(MessagePackCodec.decode(e.getValue().value()), e.getKey()));
         }
         return all;
     }
@@ -43,13 +43,13 @@
             if (e.getValue() == null) {
                 writes.add(new Write.Remove(e.getKey()));
             } else {
-                int size = Json.size(e.getValue());
+                int size = Json.sizeBytes(e.getValue());
                 bytes += size;
                 largest = Math.max(largest, size);
-                writes.add(new Write.Set(e.getKey(), Pack.encode(e.getValue()), 0));
+                writes.add(new Write.Set(e.getKey(), MessagePackCodec.encode(e.getValue()), 0));
             }
         }
-        host.submit(new Request.Transaction(List.of(), writes, bytes, largest), reply -> {
+        runner.submit(new Request.Transaction(List.of(), writes, bytes, largest), reply -> {
             outbox.written(w.id(), reply instanceof Reply.Committed);
             then.run();
         });
--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -162,18 +162,18 @@
         consolidation = new Consolidation(
                 catalog,
                 view,
-                tuning.ms("fleet.move-after-s"),
+                tuning.durationMs("fleet.move-after-s"),
                 requestReturn,
                 freeSlots,
                 runningForMs,
                 this::idleTimeoutMs);
-        lingerBoots = tuning.num("fleet.linger-boots");
-        lingerFetches = tuning.num("fleet.linger-fetches");
-        giveUpBoots = tuning.num("fleet.give-up-boots");
+        lingerBoots = tuning.value("fleet.linger-boots");
+        lingerFetches = tuning.value("fleet.linger-fetches");
+        giveUpBoots = tuning.value("fleet.give-up-boots");
         bootStatistics = new BootStatistics(giveUpBoots);
-        rentalPolicy = new RentalPolicy(catalog, settings.objectives(), tuning.ms("placement.begin-by-s"));
-        silentSpotReports = tuning.num("fleet.silent-spot-reports");
-        silentLeaseShare = tuning.num("fleet.silent-share");
+        rentalPolicy = new RentalPolicy(catalog, settings.objectives(), tuning.durationMs("placement.begin-by-s"));
+        silentSpotReports = tuning.value("fleet.silent-spot-reports");
+        silentLeaseShare = tuning.value("fleet.silent-share");
         machineList = new MachineList(
                 effects, settings, catalog, view, membership, cloud, giveUpBoots, new MachineList.FleetState() {
                     @Override
@@ -549,7 +549,7 @@
 
     private Map<String, Object> requestBody(RentalRequest request) {
         return Map.of(
-                Wire.REQUEST,
+                Wire.RENTAL_REQUEST,
                 request.name(),
                 Wire.TYPE,
                 catalog.typeNames.name(request.type()),
@@ -717,11 +717,11 @@
     private void recordRequests(Map<MachineKind, Integer> wanted) {
         recordingRequests = true;
         long requestedAtMs = effects.wallTime();
-        int maxRequests = Math.max(1, settings.txnOps() - 1);
+        int maxRequests = Math.max(1, settings.maxTransactionOps() - 1);
         long[] firstNumber = {-1};
         store.enqueue(new FunctionChange(
                 3,
-                Math.min(settings.txnOps(), wanted.size() + 1),
+                Math.min(settings.maxTransactionOps(), wanted.size() + 1),
                 tx -> {
                     if (!isActive() || tx.writes(Keys.AUTOSCALER)) {
                         return false;
@@ -831,7 +831,9 @@
      */
     private boolean isSilentTooLong(MachineStatus status) {
         double silentS = status.silentMs() / 1000.0;
-        double limitS = status.spot() ? settings.reportS() * silentSpotReports : settings.leaseS() * silentLeaseShare;
+        double limitS = status.spot()
+                ? settings.reportIntervalS() * silentSpotReports
+                : settings.workerLeaseS() * silentLeaseShare;
         return silentS > limitS && !view.claims(status.machine()).isEmpty();
     }
 
--- a/src/main/java/birchusher/fleet/GangReserve.java
+++ b/src/main/java/birchusher/fleet/GangReserve.java
@@ -42,8 +42,8 @@
         this.catalog = catalog;
         this.view = view;
         for (Settings.Objective objective : objectives) {
-            if (objective.cls() != null && objective.kind().equals("wait")) {
-                startWithinS.mergeDouble(catalog.classes.add(objective.cls()), objective.withinS(), Math::min);
+            if (objective.jobClass() != null && objective.kind().equals("wait")) {
+                startWithinS.mergeDouble(catalog.classes.add(objective.jobClass()), objective.withinS(), Math::min);
             }
         }
     }
--- a/src/main/java/birchusher/fleet/MachineList.java
+++ b/src/main/java/birchusher/fleet/MachineList.java
@@ -81,7 +81,7 @@
             return;
         }
         listInProgress = true;
-        nextListMs = effects.now() + Math.max(4_000, Math.round(settings.listLagS() * 500));
+        nextListMs = effects.now() + Math.max(4_000, Math.round(settings.cloudListLagS() * 500));
         requestPage("", new HashSet<>());
     }
 
@@ -100,9 +100,9 @@
                         Map<String, Object> fields = Fields.map(entry, "machine");
                         last = Fields.text(fields, Wire.ID);
                         seen.add(last);
-                        processListed(last, Fields.text(fields, Wire.STATE), Fields.amountOr(fields, Wire.AGE, 0));
+                        processListed(last, Fields.text(fields, Wire.STATE), Fields.amountOr(fields, Wire.AGE_S, 0));
                     }
-                    if (Boolean.TRUE.equals(reply.get(Wire.MORE)) && !last.equals(after)) {
+                    if (Boolean.TRUE.equals(reply.get(Wire.HAS_MORE)) && !last.equals(after)) {
                         requestPage(last, seen);
                     } else {
                         listInProgress = false;
@@ -149,7 +149,8 @@
         for (Catalog.MachineType type : catalog.types()) {
             bootS = Math.max(bootS, type.bootS());
         }
-        long timeoutMs = Math.round(1000 * (state.equals("running") ? settings.leaseS() + 20 : bootS * giveUpBoots));
+        long timeoutMs =
+                Math.round(1000 * (state.equals("running") ? settings.workerLeaseS() + 20 : bootS * giveUpBoots));
         if (nowMs - sinceMs > timeoutMs && view.claims(machine).isEmpty()) {
             LOG.info("machine {} is listed as {} but reports to no controller, deleting it", machine, state);
             fleet.delete(machine);
--- a/src/main/java/birchusher/fleet/RentalPolicy.java
+++ b/src/main/java/birchusher/fleet/RentalPolicy.java
@@ -28,8 +28,8 @@
         this.catalog = catalog;
         this.startWithinMs = startWithinMs;
         for (Settings.Objective objective : objectives) {
-            if (objective.cls() != null) {
-                classesWithObjective.add(catalog.classes.add(objective.cls()));
+            if (objective.jobClass() != null) {
+                classesWithObjective.add(catalog.classes.add(objective.jobClass()));
             }
         }
     }
--- a/src/main/java/birchusher/http/Acceptor.java
+++ b/src/main/java/birchusher/http/Acceptor.java
@@ -14,13 +14,13 @@
 
     private final EventLoop loop;
     private final AsynchronousServerSocketChannel listener;
-    private final Consumer<AsynchronousSocketChannel> then;
+    private final Consumer<AsynchronousSocketChannel> connectionHandler;
 
     public Acceptor(
             EventLoop loop, AsynchronousServerSocketChannel listener, Consumer<AsynchronousSocketChannel> then) {
         this.loop = loop;
         this.listener = listener;
-        this.then = then;
+        this.connectionHandler = then;
     }
 
     public void accept() {
@@ -29,7 +29,7 @@
 
     @Override
     public void completed(AsynchronousSocketChannel channel, Void a) {
-        loop.post(() -> then.accept(channel));
+        loop.post(() -> connectionHandler.accept(channel));
         accept();
     }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    public static void close(AsynchronousSocketChannel channel) {
+    public static void closeQuietly(AsynchronousSocketChannel channel) {
         try {
             if (channel != null) {
                 channel.close();
--- a/src/main/java/birchusher/http/HttpClient.java
+++ b/src/main/java/birchusher/http/HttpClient.java
@@ -19,53 +19,54 @@
 /** Calls other parties, keeping connections open. A call that gets no whole answer in time is reported as status 0. */
 public final class HttpClient {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
-    private static final int MAX_BODY = 16 * 1024 * 1024;
-    private static final long KEEP_MS = 25_000;
+    private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
+    private static final long IDLE_TIMEOUT_MS = 25_000;
     /** The body of a request or an answer that has none. */
-    public static final byte[] NOTHING = new byte[0];
+    public static final byte[] EMPTY_BODY = new byte[0];
 
     /** One request and who waits for its answer. */
-    private record Call(String address, String method, String path, byte[] body, int timeoutMs, Reply reply) {}
+    private record Call(
+            String address, String method, String path, byte[] body, int timeoutMs, ResponseHandler handler) {}
 
     /** Takes a whole answer, or status 0 with no body. */
-    public interface Reply {
-        void got(int status, byte[] body);
+    public interface ResponseHandler {
+        void handleResponse(int status, byte[] body);
     }
 
     private final EventLoop loop;
     private final Map<String, Deque<Connection>> idle = new HashMap<>();
     private final List<Connection> busy = new ArrayList<>();
     /** Idle connections, longest idle first. */
-    private final LinkedHashSet<Connection> resting = new LinkedHashSet<>();
+    private final LinkedHashSet<Connection> idleByAge = new LinkedHashSet<>();
 
-    private final int maxOpen;
-    private int open;
+    private final int maxConnections;
+    private int openConnections;
 
     public HttpClient(EventLoop loop, int maxOpen) {
         this.loop = loop;
-        this.maxOpen = maxOpen;
+        this.maxConnections = maxOpen;
     }
 
     /** @param address host:port; the reply comes on the loop's thread, within the timeout and a tick */
-    public void call(String address, String method, String path, byte[] body, int timeoutMs, Reply reply) {
+    public void call(String address, String method, String path, byte[] body, int timeoutMs, ResponseHandler reply) {
         Call c = new Call(address, method, path, body, timeoutMs, reply);
         Deque<Connection> pool = idle.get(c.address());
         Connection conn = pool == null ? null : pool.pollLast();
         if (conn != null) {
-            resting.remove(conn);
+            idleByAge.remove(conn);
             if (pool.isEmpty()) {
                 idle.remove(c.address());
             }
         } else {
-            if (open >= maxOpen && !resting.isEmpty()) {
+            if (openConnections >= maxConnections && !idleByAge.isEmpty()) {
                 // With more workers than sockets, those not used for longest make room: a call that can't be sent would
                 // count as one that may still arrive.
-                resting.iterator().next().rest(false);
+                idleByAge.iterator().next().setIdle(false);
             }
-            if (open >= maxOpen) {
+            if (openConnections >= maxConnections) {
                 // Nothing was sent, yet the core can only be told "no answer": it treats that as unclear, which is
                 // safe.
-                loop.post(() -> reply.got(0, NOTHING));
+                loop.post(() -> reply.handleResponse(0, EMPTY_BODY));
                 return;
             }
             conn = new Connection(c.address());
@@ -75,48 +76,48 @@
     }
 
     public void tick() {
-        long now = EventLoop.now();
+        long now = EventLoop.nowMs();
         for (Connection c : List.copyOf(busy)) {
-            if (now > c.deadline) {
+            if (now > c.deadlineMs) {
                 c.fail();
             }
         }
-        while (!resting.isEmpty() && now - resting.iterator().next().idleSince > KEEP_MS) {
-            resting.iterator().next().rest(false);
+        while (!idleByAge.isEmpty() && now - idleByAge.iterator().next().idleSinceMs > IDLE_TIMEOUT_MS) {
+            idleByAge.iterator().next().setIdle(false);
         }
     }
 
     private final class Connection {
         private final String address;
-        private final HttpParser parser = new HttpParser(false, MAX_BODY);
-        private final ByteBuffer in = ByteBuffer.allocate(8 * 1024);
+        private final HttpParser parser = new HttpParser(false, MAX_BODY_BYTES);
+        private final ByteBuffer input = ByteBuffer.allocate(8 * 1024);
         private AsynchronousSocketChannel channel;
         private Call call;
-        private long deadline;
-        private long idleSince;
+        private long deadlineMs;
+        private long idleSinceMs;
         private boolean closed;
         private boolean reused;
 
         Connection(String address) {
             this.address = address;
-            open++;
+            openConnections++;
         }
 
         void start(Call c) {
             call = c;
-            deadline = EventLoop.now() + c.timeoutMs();
+            deadlineMs = EventLoop.nowMs() + c.timeoutMs();
             if (channel != null) {
                 reused = true;
                 send();
                 return;
             }
             try {
-                channel = AsynchronousSocketChannel.open(loop.group());
+                channel = AsynchronousSocketChannel.open(loop.channelGroup());
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
                 int colon = address.lastIndexOf(':');
                 InetSocketAddress to = new InetSocketAddress(
                         address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-                channel.connect(to, null, handler(v -> {
+                channel.connect(to, null, onLoop(v -> {
                     if (call == c) {
                         send();
                     }
@@ -137,7 +138,7 @@
         }
 
         private void write(ByteBuffer out) {
-            channel.write(out, null, handler((Integer n) -> {
+            channel.write(out, null, onLoop((Integer n) -> {
                 if (out.hasRemaining() && !closed) {
                     write(out);
                 }
@@ -145,11 +146,11 @@
         }
 
         private void read() {
-            in.clear();
-            channel.read(in, null, handler((Integer n) -> got(n)));
+            input.clear();
+            channel.read(input, null, onLoop((Integer n) -> handleRead(n)));
         }
 
-        private void got(int n) {
+        private void handleRead(int n) {
             if (closed) {
                 return;
             }
@@ -157,9 +158,9 @@
                 fail();
                 return;
             }
-            in.flip();
+            input.flip();
             try {
-                HttpParser.Message m = parser.feed(in);
+                HttpParser.Message m = parser.feed(input);
                 if (m == null) {
                     read();
                     return;
@@ -167,20 +168,20 @@
                 Call c = call;
                 call = null;
                 busy.remove(this);
-                if (m.close() || in.hasRemaining()) {
+                if (m.closesConnection() || input.hasRemaining()) {
                     close();
                 } else {
-                    idleSince = EventLoop.now();
-                    rest(true);
+                    idleSinceMs = EventLoop.nowMs();
+                    setIdle(true);
                 }
-                c.reply.got(m.status(), m.body());
-            } catch (HttpParser.Malformed e) {
+                c.handler.handleResponse(m.status(), m.body());
+            } catch (HttpParser.MalformedMessageException e) {
                 LOG.info("{} answered what is not HTTP: {}", address, e.getMessage());
                 fail();
             }
         }
 
-        private <T> CompletionHandler<T, Void> handler(java.util.function.Consumer<T> then) {
+        private <T> CompletionHandler<T, Void> onLoop(java.util.function.Consumer<T> then) {
             return new CompletionHandler<>() {
                 @Override
                 public void completed(T t, Void a) {
@@ -201,20 +202,20 @@
             Call c = call;
             call = null;
             busy.remove(this);
-            rest(false);
+            setIdle(false);
             if (c != null) {
-                c.reply.got(0, NOTHING);
+                c.handler.handleResponse(0, EMPTY_BODY);
             }
         }
 
         /** Into the pool of idle connections, or out of it and closed. */
-        private void rest(boolean on) {
+        private void setIdle(boolean on) {
             if (on) {
                 idle.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(this);
-                resting.add(this);
+                idleByAge.add(this);
                 return;
             }
-            if (resting.remove(this)) {
+            if (idleByAge.remove(this)) {
                 Deque<Connection> pool = idle.get(address);
                 pool.remove(this);
                 if (pool.isEmpty()) {
@@ -227,7 +228,7 @@
         void close() {
             if (!closed) {
                 closed = true;
-                open--;
+                openConnections--;
                 try {
                     channel.close();
                 } catch (IOException e) {
--- a/src/main/java/birchusher/http/HttpParser.java
+++ b/src/main/java/birchusher/http/HttpParser.java
@@ -7,18 +7,19 @@
 /** Parses HTTP/1.1 messages from bytes as they come, one at a time; all lengths are bounded. */
 public final class HttpParser {
     /** A message that can't be parsed; {@code status} is what a server answers before closing. */
-    public static final class Malformed extends Exception {
+    public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
         public final int status;
 
-        public Malformed(int status, String message) {
+        public MalformedMessageException(int status, String message) {
             super(message, null, false, false);
             this.status = status;
         }
     }
 
     /** One whole message. For requests {@code first} is the method and {@code second} the target. */
-    public record Message(String first, String second, int status, boolean close, byte[] body) {}
+    public record Message(
+            String methodOrVersion, String targetOrReason, int status, boolean closesConnection, byte[] body) {}
 
     private enum State {
         START,
@@ -30,56 +31,56 @@
         TRAILERS
     }
 
-    private static final int MAX_LINE = 8 * 1024;
+    private static final int MAX_LINE_BYTES = 8 * 1024;
     private static final int MAX_HEADERS = 64;
 
-    private final boolean request;
-    private final int maxBody;
+    private final boolean parsesRequests;
+    private final int maxBodyBytes;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
     private ByteArrayOutputStream body;
     private State state = State.START;
-    private String first;
-    private String second;
+    private String methodOrVersion;
+    private String targetOrReason;
     private int status;
-    private boolean close;
+    private boolean closesConnection;
     private boolean chunked;
-    private long length;
-    private int headers;
+    private long remainingBytes;
+    private int headerCount;
 
     public HttpParser(boolean request, int maxBody) {
-        this.request = request;
-        this.maxBody = maxBody;
+        this.parsesRequests = request;
+        this.maxBodyBytes = maxBody;
         reset();
     }
 
     private void reset() {
         state = State.START;
-        close = false;
+        closesConnection = false;
         chunked = false;
-        length = -1;
-        headers = 0;
+        remainingBytes = -1;
+        headerCount = 0;
         line.reset();
         body = new ByteArrayOutputStream(256);
     }
 
     /** Whether a message has begun and is not complete. */
-    public boolean within() {
+    public boolean isWithinMessage() {
         return state != State.START || line.size() > 0;
     }
 
     /** Takes bytes until one message is complete; null if more bytes are needed. */
-    public Message feed(ByteBuffer in) throws Malformed {
+    public Message feed(ByteBuffer in) throws MalformedMessageException {
         while (in.hasRemaining()) {
             switch (state) {
                 case BODY, CHUNK -> {
-                    int n = (int) Math.min(in.remaining(), length);
+                    int n = (int) Math.min(in.remaining(), remainingBytes);
                     byte[] part = new byte[n];
                     in.get(part);
                     body.write(part, 0, n);
-                    length -= n;
-                    if (length == 0) {
+                    remainingBytes -= n;
+                    if (remainingBytes == 0) {
                         if (state == State.BODY) {
-                            return complete();
+                            return finishMessage();
                         }
                         state = State.CHUNK_END;
                     }
@@ -87,7 +88,7 @@
                 default -> {
                     String l = line(in);
                     if (l != null) {
-                        Message m = onLine(l);
+                        Message m = handleLine(l);
                         if (m != null) {
                             return m;
                         }
@@ -98,7 +99,7 @@
         return null;
     }
 
-    private String line(ByteBuffer in) throws Malformed {
+    private String line(ByteBuffer in) throws MalformedMessageException {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
@@ -106,44 +107,44 @@
                 line.reset();
                 return l.endsWith("\r") ? l.substring(0, l.length() - 1) : l;
             }
-            if (b == 0 || line.size() >= MAX_LINE) {
-                throw new Malformed(400, "line too long or with a zero byte");
+            if (b == 0 || line.size() >= MAX_LINE_BYTES) {
+                throw new MalformedMessageException(400, "line too long or with a zero byte");
             }
             line.write(b);
         }
         return null;
     }
 
-    private Message onLine(String l) throws Malformed {
+    private Message handleLine(String l) throws MalformedMessageException {
         switch (state) {
             case START -> {
                 if (l.isEmpty()) {
                     return null;
                 }
-                start(l);
+                parseStartLine(l);
                 state = State.HEADERS;
             }
             case HEADERS -> {
                 if (!l.isEmpty()) {
-                    header(l);
+                    parseHeader(l);
                     return null;
                 }
                 // Two lengths: whoever stands before us may have gone by the other one (RFC 9112, 6.3), so that what
                 // one
                 // takes for a body is the next request to the other. It must not be waited for either: a body of the
                 // stated length, read as chunks, was never complete, and its sender got no answer.
-                if (request && chunked && length >= 0) {
-                    throw new Malformed(400, "both transfer-encoding and content-length");
+                if (parsesRequests && chunked && remainingBytes >= 0) {
+                    throw new MalformedMessageException(400, "both transfer-encoding and content-length");
                 }
                 if (chunked) {
                     state = State.CHUNK_SIZE;
                     return null;
                 }
-                if (length < 0) {
-                    length = 0;
+                if (remainingBytes < 0) {
+                    remainingBytes = 0;
                 }
-                if (length == 0) {
-                    return complete();
+                if (remainingBytes == 0) {
+                    return finishMessage();
                 }
                 state = State.BODY;
             }
@@ -151,30 +152,30 @@
                 int semi = l.indexOf(';');
                 String size = (semi < 0 ? l : l.substring(0, semi)).trim();
                 if (size.startsWith("+") || size.startsWith("-")) {
-                    throw new Malformed(400, "bad chunk size");
+                    throw new MalformedMessageException(400, "bad chunk size");
                 }
                 try {
-                    length = Long.parseLong(size, 16);
+                    remainingBytes = Long.parseLong(size, 16);
                 } catch (NumberFormatException e) {
-                    throw new Malformed(400, "bad chunk size");
+                    throw new MalformedMessageException(400, "bad chunk size");
                 }
-                if (length > maxBody - body.size()) {
-                    throw new Malformed(413, "body too large");
+                if (remainingBytes > maxBodyBytes - body.size()) {
+                    throw new MalformedMessageException(413, "body too large");
                 }
-                state = length == 0 ? State.TRAILERS : State.CHUNK;
+                state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
             }
             case CHUNK_END -> {
                 if (!l.isEmpty()) {
-                    throw new Malformed(400, "bad chunk end");
+                    throw new MalformedMessageException(400, "bad chunk end");
                 }
                 state = State.CHUNK_SIZE;
             }
             case TRAILERS -> {
                 if (l.isEmpty()) {
-                    return complete();
+                    return finishMessage();
                 }
-                if (++headers > MAX_HEADERS) {
-                    throw new Malformed(400, "too many headers");
+                if (++headerCount > MAX_HEADERS) {
+                    throw new MalformedMessageException(400, "too many headers");
                 }
             }
             default -> throw new IllegalStateException();
@@ -182,38 +183,38 @@
         return null;
     }
 
-    private void start(String l) throws Malformed {
+    private void parseStartLine(String l) throws MalformedMessageException {
         String[] p = l.split(" ", 3);
-        if (request) {
+        if (parsesRequests) {
             if (p.length != 3
                     || !p[2].startsWith("HTTP/1.")
                     || p[0].isEmpty()
                     || !p[1].startsWith("/")
                     || !p[0].chars().allMatch(c -> c >= 'A' && c <= 'Z')) {
-                throw new Malformed(400, "bad request line");
+                throw new MalformedMessageException(400, "bad request line");
             }
-            first = p[0];
-            second = p[1];
-            close = p[2].equals("HTTP/1.0");
+            methodOrVersion = p[0];
+            targetOrReason = p[1];
+            closesConnection = p[2].equals("HTTP/1.0");
         } else {
             try {
                 if (p.length < 2 || !p[0].startsWith("HTTP/1.")) {
-                    throw new Malformed(400, "bad status line");
+                    throw new MalformedMessageException(400, "bad status line");
                 }
                 status = Integer.parseInt(p[1]);
-                first = p[0];
-                second = p.length > 2 ? p[2] : "";
-                close = p[0].equals("HTTP/1.0");
+                methodOrVersion = p[0];
+                targetOrReason = p.length > 2 ? p[2] : "";
+                closesConnection = p[0].equals("HTTP/1.0");
             } catch (NumberFormatException e) {
-                throw new Malformed(400, "bad status line");
+                throw new MalformedMessageException(400, "bad status line");
             }
         }
     }
 
-    private void header(String l) throws Malformed {
+    private void parseHeader(String l) throws MalformedMessageException {
         int colon = l.indexOf(':');
-        if (colon <= 0 || l.charAt(0) == ' ' || l.charAt(0) == '\t' || ++headers > MAX_HEADERS) {
-            throw new Malformed(400, "bad header");
+        if (colon <= 0 || l.charAt(0) == ' ' || l.charAt(0) == '\t' || ++headerCount > MAX_HEADERS) {
+            throw new MalformedMessageException(400, "bad header");
         }
         String name = l.substring(0, colon);
         String value = l.substring(colon + 1).trim();
@@ -222,29 +223,29 @@
             try {
                 n = Long.parseLong(value);
             } catch (NumberFormatException e) {
-                throw new Malformed(400, "bad content-length");
+                throw new MalformedMessageException(400, "bad content-length");
             }
-            if (n < 0 || value.charAt(0) == '+' || length >= 0 && length != n) {
-                throw new Malformed(400, "bad content-length");
+            if (n < 0 || value.charAt(0) == '+' || remainingBytes >= 0 && remainingBytes != n) {
+                throw new MalformedMessageException(400, "bad content-length");
             }
-            if (n > maxBody) {
-                throw new Malformed(413, "body too large");
+            if (n > maxBodyBytes) {
+                throw new MalformedMessageException(413, "body too large");
             }
-            length = n;
+            remainingBytes = n;
         } else if (name.equalsIgnoreCase("transfer-encoding")) {
             if (chunked || !value.equalsIgnoreCase("chunked")) {
-                throw new Malformed(400, "unknown transfer-encoding");
+                throw new MalformedMessageException(400, "unknown transfer-encoding");
             }
             chunked = true;
         } else if (name.equalsIgnoreCase("connection")) {
-            close |= value.equalsIgnoreCase("close");
+            closesConnection |= value.equalsIgnoreCase("close");
         } else if (name.chars().anyMatch(c -> c <= ' ')) {
-            throw new Malformed(400, "bad header");
+            throw new MalformedMessageException(400, "bad header");
         }
     }
 
-    private Message complete() {
-        Message m = new Message(first, second, status, close, body.toByteArray());
+    private Message finishMessage() {
+        Message m = new Message(methodOrVersion, targetOrReason, status, closesConnection, body.toByteArray());
         reset();
         return m;
     }
--- a/src/main/java/birchusher/http/HttpServer.java
+++ b/src/main/java/birchusher/http/HttpServer.java
@@ -17,42 +17,42 @@
 /** Serves one address. Connections, bodies and waiting times are bounded. All but the channels' own work is on one thread. */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-    private static final long IDLE_MS = 60_000;
-    private static final long SLOW_MS = 10_000;
-    private static final long DRAIN_MS = 2_000;
+    private static final long IDLE_TIMEOUT_MS = 60_000;
+    private static final long REQUEST_TIMEOUT_MS = 10_000;
+    private static final long DRAIN_TIMEOUT_MS = 2_000;
 
     /** Takes requests; each gets one {@link #answer} or {@link #drop}, now or later. */
-    public interface Service {
-        void request(long exchange, String method, String target, byte[] body);
+    public interface RequestHandler {
+        void handleRequest(long exchange, String method, String target, byte[] body);
     }
 
     private final EventLoop loop;
     private final String host;
     private final int port;
     private final int maxConnections;
-    private final int maxBody;
-    private final Service service;
-    private final Map<Long, Connection> exchanges = new HashMap<>();
+    private final int maxBodyBytes;
+    private final RequestHandler requestHandler;
+    private final Map<Long, Connection> connectionByExchange = new HashMap<>();
     private final Set<Connection> connections = new HashSet<>();
     private AsynchronousServerSocketChannel listener;
     private long nextExchange = 1;
-    private long nextSweep;
+    private long nextSweepMs;
 
-    public HttpServer(EventLoop loop, String host, int port, int maxConnections, int maxBody, Service service) {
+    public HttpServer(EventLoop loop, String host, int port, int maxConnections, int maxBody, RequestHandler service) {
         this.loop = loop;
         this.host = host;
         this.port = port;
         this.maxConnections = maxConnections;
-        this.maxBody = maxBody;
-        this.service = service;
+        this.maxBodyBytes = maxBody;
+        this.requestHandler = service;
     }
 
     public void open() throws IOException {
-        listener = AsynchronousServerSocketChannel.open(loop.group());
+        listener = AsynchronousServerSocketChannel.open(loop.channelGroup());
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         listener.bind(new InetSocketAddress(host, port), 256);
         LOG.info("serving on {}:{}", host, port);
-        new Acceptor(loop, listener, this::accepted).accept();
+        new Acceptor(loop, listener, this::handleAccepted).accept();
     }
 
     public void close() throws IOException {
@@ -62,9 +62,9 @@
         }
     }
 
-    private void accepted(AsynchronousSocketChannel ch) {
+    private void handleAccepted(AsynchronousSocketChannel ch) {
         if (connections.size() >= maxConnections) {
-            Acceptor.close(ch);
+            Acceptor.closeQuietly(ch);
         } else {
             new Connection(ch).read();
         }
@@ -72,30 +72,31 @@
 
     /** {@code retryAfterS} 0: no such header. An exchange whose connection has ended is passed over. */
     public void answer(long exchange, int status, byte[] body, int retryAfterS) {
-        Connection c = exchanges.remove(exchange);
+        Connection c = connectionByExchange.remove(exchange);
         if (c != null) {
             c.respond(status, body, retryAfterS, false);
         }
     }
 
     /** Ends the connection without an answer, where neither "done" nor "not done" may be told. */
-    public void drop(long exchange) {
-        Connection c = exchanges.remove(exchange);
+    public void abort(long exchange) {
+        Connection c = connectionByExchange.remove(exchange);
         if (c != null) {
             c.close();
         }
     }
 
     public void tick() {
-        long now = EventLoop.now();
-        if (now < nextSweep) {
+        long now = EventLoop.nowMs();
+        if (now < nextSweepMs) {
             return;
         }
-        nextSweep = now + 1_000;
+        nextSweepMs = now + 1_000;
         for (Connection c : Set.copyOf(connections)) {
-            if (c.draining && now - c.activeAt > DRAIN_MS
-                    || c.exchange == 0 && now - c.activeAt > (c.parser.within() ? SLOW_MS : IDLE_MS)
-                    || now - c.activeAt > IDLE_MS * 2) {
+            if (c.draining && now - c.activeAtMs > DRAIN_TIMEOUT_MS
+                    || c.exchange == 0
+                            && now - c.activeAtMs > (c.parser.isWithinMessage() ? REQUEST_TIMEOUT_MS : IDLE_TIMEOUT_MS)
+                    || now - c.activeAtMs > IDLE_TIMEOUT_MS * 2) {
                 c.close();
             }
         }
@@ -103,12 +104,12 @@
 
     private final class Connection {
         private final AsynchronousSocketChannel channel;
-        private final HttpParser parser = new HttpParser(true, maxBody);
-        private final ByteBuffer in = ByteBuffer.allocate(4 * 1024);
+        private final HttpParser parser = new HttpParser(true, maxBodyBytes);
+        private final ByteBuffer input = ByteBuffer.allocate(4 * 1024);
         private long exchange;
-        private boolean closeAfter;
+        private boolean closeAfterResponse;
         private boolean draining;
-        private long activeAt = EventLoop.now();
+        private long activeAtMs = EventLoop.nowMs();
 
         Connection(AsynchronousSocketChannel channel) {
             this.channel = channel;
@@ -121,11 +122,11 @@
         }
 
         void read() {
-            in.clear();
-            channel.read(in, null, new CompletionHandler<Integer, Void>() {
+            input.clear();
+            channel.read(input, null, new CompletionHandler<Integer, Void>() {
                 @Override
                 public void completed(Integer n, Void a) {
-                    loop.post(() -> got(n));
+                    loop.post(() -> handleRead(n));
                 }
 
                 @Override
@@ -135,7 +136,7 @@
             });
         }
 
-        private void got(int n) {
+        private void handleRead(int n) {
             if (n < 0) {
                 close();
                 return;
@@ -144,35 +145,35 @@
                 read();
                 return;
             }
-            if (!parser.within()) {
-                activeAt = EventLoop.now();
+            if (!parser.isWithinMessage()) {
+                activeAtMs = EventLoop.nowMs();
             }
-            in.flip();
-            parse();
+            input.flip();
+            parseInput();
         }
 
-        private void parse() {
+        private void parseInput() {
             try {
-                HttpParser.Message m = parser.feed(in);
+                HttpParser.Message m = parser.feed(input);
                 if (m == null) {
                     read();
                     return;
                 }
-                activeAt = EventLoop.now();
-                closeAfter = m.close();
+                activeAtMs = EventLoop.nowMs();
+                closeAfterResponse = m.closesConnection();
                 exchange = nextExchange++;
-                exchanges.put(exchange, this);
-                service.request(exchange, m.first(), m.second(), m.body());
-            } catch (HttpParser.Malformed e) {
+                connectionByExchange.put(exchange, this);
+                requestHandler.handleRequest(exchange, m.methodOrVersion(), m.targetOrReason(), m.body());
+            } catch (HttpParser.MalformedMessageException e) {
                 draining = true;
-                activeAt = EventLoop.now();
+                activeAtMs = EventLoop.nowMs();
                 respond(e.status, new byte[] {(byte) 0x80}, 0, true);
             }
         }
 
         void respond(int status, byte[] body, int retryAfterS, boolean close) {
             exchange = 0;
-            boolean last = close || closeAfter;
+            boolean last = close || closeAfterResponse;
             write(HttpWriter.response(status, body, retryAfterS, last), last);
         }
 
@@ -188,8 +189,8 @@
                                 drain();
                             } else if (last) {
                                 close();
-                            } else if (in.hasRemaining()) {
-                                parse();
+                            } else if (input.hasRemaining()) {
+                                parseInput();
                             } else {
                                 read();
                             }
@@ -219,8 +220,8 @@
 
         void close() {
             if (connections.remove(this)) {
-                exchanges.remove(exchange);
-                Acceptor.close(channel);
+                connectionByExchange.remove(exchange);
+                Acceptor.closeQuietly(channel);
             }
         }
     }
--- a/src/main/java/birchusher/http/HttpWriter.java
+++ b/src/main/java/birchusher/http/HttpWriter.java
@@ -8,28 +8,28 @@
     private HttpWriter() {}
 
     public static ByteBuffer request(String method, String target, String host, byte[] body) {
-        return join(
+        return toBuffer(
                 method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\nContent-Type: application/msgpack\r\n"
                         + "Content-Length: " + body.length + "\r\n\r\n",
                 body);
     }
 
     public static ByteBuffer response(int status, byte[] body, int retryAfterS, boolean close) {
-        return join(
-                "HTTP/1.1 " + status + " " + reason(status) + "\r\nContent-Type: application/msgpack\r\n"
+        return toBuffer(
+                "HTTP/1.1 " + status + " " + reasonPhrase(status) + "\r\nContent-Type: application/msgpack\r\n"
                         + "Content-Length: " + body.length + "\r\n"
                         + (retryAfterS > 0 ? "Retry-After: " + retryAfterS + "\r\n" : "")
                         + (close ? "Connection: close\r\n" : "") + "\r\n",
                 body);
     }
 
-    private static ByteBuffer join(String head, byte[] body) {
+    private static ByteBuffer toBuffer(String head, byte[] body) {
         byte[] h = head.getBytes(StandardCharsets.ISO_8859_1);
         ByteBuffer b = ByteBuffer.allocate(h.length + body.length);
         return b.put(h).put(body).flip();
     }
 
-    private static String reason(int status) {
+    private static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 201 -> "Created";
--- a/src/main/java/birchusher/http/Target.java
+++ b/src/main/java/birchusher/http/RequestTarget.java
@@ -6,32 +6,32 @@
 import java.util.Map;
 
 /** A request's target: its path as it came, and its parameters decoded. Of a repeated parameter, the last one counts. */
-public record Target(String path, Map<String, String> params) {
-    private static final int MAX_PARAMS = 16;
+public record RequestTarget(String path, Map<String, String> parameters) {
+    private static final int MAX_PARAMETERS = 16;
 
     /** A target that can't be read; the text says what is wrong. */
-    public static final class Bad extends Exception {
+    public static final class InvalidTargetException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Bad(String message) {
+        InvalidTargetException(String message) {
             super(message, null, false, false);
         }
     }
 
-    public static Target parse(String target) throws Bad {
+    public static RequestTarget parse(String target) throws InvalidTargetException {
         int q = target.indexOf('?');
         if (q < 0) {
-            return new Target(target, Map.of());
+            return new RequestTarget(target, Map.of());
         }
         Map<String, String> params = new HashMap<>();
         String[] parts = target.substring(q + 1).split("&");
-        if (parts.length > MAX_PARAMS) {
-            throw new Bad("more than " + MAX_PARAMS + " parameters");
+        if (parts.length > MAX_PARAMETERS) {
+            throw new InvalidTargetException("more than " + MAX_PARAMETERS + " parameters");
         }
         for (String part : parts) {
             int eq = part.indexOf('=');
             if (eq < 0 && !part.isEmpty()) {
-                throw new Bad(part + ": a parameter without a value");
+                throw new InvalidTargetException(part + ": a parameter without a value");
             }
             if (eq >= 0) {
                 try {
@@ -40,21 +40,21 @@
                             part.substring(0, eq),
                             URLDecoder.decode(part.substring(eq + 1).replace("+", "%2B"), StandardCharsets.UTF_8));
                 } catch (IllegalArgumentException e) {
-                    throw new Bad(part.substring(0, eq) + ": not percent-encoded as it should be");
+                    throw new InvalidTargetException(part.substring(0, eq) + ": not percent-encoded as it should be");
                 }
             }
         }
-        return new Target(target.substring(0, q), Map.copyOf(params));
+        return new RequestTarget(target.substring(0, q), Map.copyOf(params));
     }
 
     /** A parameter, or what stands for its absence. */
     public String text(String name, String none) {
-        return params.getOrDefault(name, none);
+        return parameters.getOrDefault(name, none);
     }
 
     /** A parameter that is a whole number of 0 or more. */
-    public long count(String name, long none) throws Bad {
-        String s = params.get(name);
+    public long count(String name, long none) throws InvalidTargetException {
+        String s = parameters.get(name);
         if (s == null) {
             return none;
         }
@@ -66,6 +66,6 @@
         } catch (NumberFormatException e) {
             // falls through to the same complaint
         }
-        throw new Bad(name + ": not a whole number of 0 or more");
+        throw new InvalidTargetException(name + ": not a whole number of 0 or more");
     }
 }
--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -15,7 +15,7 @@
 import birchusher.store.StoreView;
 import birchusher.store.Transaction;
 import birchusher.wire.JobCodec;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import birchusher.wire.Wire;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -62,16 +62,16 @@
         this.view = view;
         this.store = store;
         this.membership = membership;
-        txnOps = settings.txnOps();
-        confirmsCancelWhenStopped = settings.cancelsLate();
+        txnOps = settings.maxTransactionOps();
+        confirmsCancelWhenStopped = settings.confirmsCancelWhenStopped();
         if (confirmsCancelWhenStopped) {
             LOG.warn(
                     "cancel_s {} is too short compared with lease_s {}: cancellations are confirmed only when all tasks of the job are gone",
-                    settings.cancelS(),
-                    settings.leaseS());
+                    settings.cancelLimitS(),
+                    settings.workerLeaseS());
         }
         // A claim row must fit the store's limit on values even when all tasks in it are placed.
-        chunkSize = (int) Math.max(16, Math.min(500, (settings.valueKb() * 1024 - 512) / Chunk.CLAIM_BYTES));
+        chunkSize = (int) Math.max(16, Math.min(500, (settings.maxValueKb() * 1024 - 512) / Chunk.CLAIM_BYTES));
     }
 
     private static Map<String, Object> stateBody(String id, String state, int done, int running) {
@@ -152,7 +152,7 @@
      * first.
      */
     public void poll(long exchange, String id) {
-        if (!JobCodec.isId(id)) {
+        if (!JobCodec.isJobId(id)) {
             effects.answer(exchange, 404, Map.of("error", "no such job"));
             return;
         }
@@ -231,17 +231,17 @@
     public void submit(long exchange, byte[] body) {
         JobSpec spec = null;
         InvalidInputException malformed = null;
-        JobCodec.Never impossible = null;
+        JobCodec.UnrunnableJobException impossible = null;
         String id = null;
         try {
-            Map<String, Object> fields = Fields.map(Pack.decode(body), "body");
-            id = fields.get(Wire.ID) instanceof String text && JobCodec.isId(text) ? text : null;
+            Map<String, Object> fields = Fields.map(MessagePackCodec.decode(body), "body");
+            id = fields.get(Wire.ID) instanceof String text && JobCodec.isJobId(text) ? text : null;
             if (catalog.typesKnown()) {
-                spec = codec.read(fields);
+                spec = codec.decodeSubmission(fields);
             }
         } catch (InvalidInputException failure) {
             malformed = failure;
-        } catch (JobCodec.Never failure) {
+        } catch (JobCodec.UnrunnableJobException failure) {
             impossible = failure;
         }
         Map<String, Object> finalBody = id == null ? null : finalState(id);
@@ -342,7 +342,7 @@
         row.put("s", state.name());
         row.put("k", rowChunkSize);
         row.put("t", acceptedAtMs);
-        row.put("j", codec.write(spec));
+        row.put("j", codec.encode(spec));
         return row;
     }
 
@@ -350,7 +350,7 @@
 
     /** Handles a cancellation: 200 with the final state, 404 for an unknown job, 503 if it is to be repeated. */
     public void cancel(long exchange, String id) {
-        if (!JobCodec.isId(id)) {
+        if (!JobCodec.isJobId(id)) {
             effects.answer(exchange, 404, Map.of("error", "no such job"));
             return;
         }
--- a/src/main/java/birchusher/jobs/QueryApi.java
+++ b/src/main/java/birchusher/jobs/QueryApi.java
@@ -3,7 +3,7 @@
 import birchusher.core.Effects;
 import birchusher.core.Fields;
 import birchusher.core.Fields.InvalidInputException;
-import birchusher.http.Target;
+import birchusher.http.RequestTarget;
 import birchusher.model.Catalog;
 import birchusher.settings.Settings;
 import birchusher.store.Claim;
@@ -72,7 +72,7 @@
         }
     }
 
-    private static int pageLimit(Target target, int maxLimit) throws Target.Bad {
+    private static int pageLimit(RequestTarget target, int maxLimit) throws RequestTarget.InvalidTargetException {
         long limit = target.count(Wire.LIMIT, maxLimit);
         if (limit < 1 || limit > maxLimit) {
             throw new InvalidInputException(Wire.LIMIT + ": 1 to " + maxLimit);
@@ -85,10 +85,10 @@
      * {@code {"runs":[{"name_id","stage","done","running","crew","lane"}],"has_next":true}}. Archived jobs are listed
      * only if their stage is requested, and have neither team nor class.
      */
-    public void list(long exchange, Target target) throws Target.Bad {
+    public void list(long exchange, RequestTarget target) throws RequestTarget.InvalidTargetException {
         String state = target.text(Wire.STATE, null);
         String team = target.text(Wire.TEAM, null);
-        String jobClass = target.text(Wire.CLASS, null);
+        String jobClass = target.text(Wire.JOB_CLASS, null);
         String after = target.text(Wire.AFTER, "");
         int limit = pageLimit(target, MAX_JOBS_PER_PAGE);
         if (state != null
@@ -98,7 +98,7 @@
         }
         boolean ended = Wire.DONE.equals(state) || Wire.CANCELLED.equals(state);
         if (ended && (team != null || jobClass != null)) {
-            throw new InvalidInputException(Wire.TEAM + ", " + Wire.CLASS + ": not kept of ended jobs");
+            throw new InvalidInputException(Wire.TEAM + ", " + Wire.JOB_CLASS + ": not kept of ended jobs");
         }
         Predicate<Job> filter = job -> job.spec.id().compareTo(after) > 0
                 && (team == null || team.equals(catalog.teams.name(job.spec.team())))
@@ -122,7 +122,7 @@
             Map<String, Object> body = new LinkedHashMap<>(jobApi.currentState(job));
             if (state == null || state.equals(body.get(Wire.STATE))) {
                 body.put(Wire.TEAM, catalog.teams.name(job.spec.team()));
-                body.put(Wire.CLASS, catalog.classes.name(job.spec.jobClass()));
+                body.put(Wire.JOB_CLASS, catalog.classes.name(job.spec.jobClass()));
                 rows.put(job.spec.id(), body);
             }
         }
@@ -141,9 +141,9 @@
                         effects.refuseWithRetry(exchange, 503, 2);
                         return;
                     }
-                    boolean hasMore = Boolean.TRUE.equals(reply.get(Wire.MORE));
+                    boolean hasMore = Boolean.TRUE.equals(reply.get(Wire.HAS_MORE));
                     String lastId = "";
-                    for (Object entry : Fields.list(reply, Wire.ITEMS)) {
+                    for (Object entry : Fields.list(reply, Wire.ROWS)) {
                         Map<String, Object> row = Fields.map(entry, "row");
                         lastId = Fields.text(row, Wire.KEY).substring(Keys.ENDED_JOB.length());
                         Map<String, Object> body = JobApi.endedBody(
@@ -179,7 +179,7 @@
         effects.answer(
                 exchange,
                 200,
-                Map.of("runs", page, Wire.MORE, hasMore || rows.higherKey(lastId) != null, "last", lastId));
+                Map.of("runs", page, Wire.HAS_MORE, hasMore || rows.higherKey(lastId) != null, "last", lastId));
     }
 
     /**
@@ -187,7 +187,7 @@
      * ordered by index from {@code since} on, at most 500, and its last 50 events. Of an archived job, only the final
      * state is kept.
      */
-    public void describe(long exchange, String id, Target target) throws Target.Bad {
+    public void describe(long exchange, String id, RequestTarget target) throws RequestTarget.InvalidTargetException {
         long from = target.count(Wire.AFTER, 0);
         int limit = pageLimit(target, MAX_TASKS_PER_PAGE);
         withFreshView(exchange, () -> {
@@ -198,7 +198,7 @@
                 return;
             }
             Map<String, Object> body = new HashMap<>(jobApi.currentState(job));
-            body.put("job", codec.write(job.spec));
+            body.put("job", codec.encode(job.spec));
             body.put("accepted_ms", job.acceptedAtMs);
             body.put("attempts", job.lastAttempt());
             List<Object> tasks = new ArrayList<>();
@@ -220,7 +220,7 @@
             body.put("pieces", tasks);
             body.put("events", events.latestOf(effects.now(), id));
             body.put("next", index);
-            body.put(Wire.MORE, index < job.spec.tasks());
+            body.put(Wire.HAS_MORE, index < job.spec.tasks());
             effects.answer(exchange, 200, body);
         });
     }
--- a/src/main/java/birchusher/lease/LeaseSettings.java
+++ b/src/main/java/birchusher/lease/LeaseSettings.java
@@ -15,10 +15,10 @@
     /** Reads the durations from the operators' settings. */
     public static LeaseSettings from(Tuning tuning) {
         return new LeaseSettings(
-                tuning.ms("lease.base-s"),
-                tuning.ms("lease.renew-s"),
-                tuning.num("lease.cap-factor"),
-                tuning.ms("lease.sweep-s"));
+                tuning.durationMs("lease.base-s"),
+                tuning.durationMs("lease.renew-s"),
+                tuning.value("lease.cap-factor"),
+                tuning.durationMs("lease.sweep-s"));
     }
 
     /** Duration in ms of a new lease for a task whose image takes this long to fetch. */
--- a/src/main/java/birchusher/membership/Membership.java
+++ b/src/main/java/birchusher/membership/Membership.java
@@ -110,11 +110,11 @@
         this.catalog = catalog;
         this.view = view;
         this.store = store;
-        leaseMs = tuning.ms("seats.lease-s");
-        suspicionTimeoutMs = tuning.ms("seats.suspect-s");
-        settleMs = tuning.ms("seats.settle-s");
-        shardsPerZone = chooseShardsPerZone(settings, (int) tuning.num("seats.shards-per-zone"));
-        members.add(new Settings.Peer(settings.member(), settings.zone(), settings.mesh()));
+        leaseMs = tuning.durationMs("seats.lease-s");
+        suspicionTimeoutMs = tuning.durationMs("seats.suspect-s");
+        settleMs = tuning.durationMs("seats.settle-s");
+        shardsPerZone = chooseShardsPerZone(settings, (int) tuning.value("seats.shards-per-zone"));
+        members.add(new Settings.Peer(settings.member(), settings.zone(), settings.meshAddress()));
         members.addAll(settings.peers());
         heartbeatAtMs = new long[members.size()];
         aliveSinceMs = new long[members.size()];
@@ -638,7 +638,7 @@
         raiseIncarnation();
         long sentMs = effects.now();
         nextLeaseCallMs = sentMs + 1_000;
-        store.callLease("POST", Wire.LEASES, Map.of(Wire.TTL, leaseMs), (status, body) -> {
+        store.callLease("POST", Wire.LEASES, Map.of(Wire.TTL_MS, leaseMs), (status, body) -> {
             leaseCallPending = false;
             if (status == 200) {
                 leaseId = Fields.count(body, Wire.LEASE);
@@ -648,7 +648,7 @@
     }
 
     private void leaseRenewed(long sentMs) {
-        leaseValidUntilMs = sentMs + (long) (leaseMs * (1 - 2 * Settings.DRIFT)) - 250;
+        leaseValidUntilMs = sentMs + (long) (leaseMs * (1 - 2 * Settings.MAX_CLOCK_DRIFT)) - 250;
         nextLeaseCallMs = sentMs + Math.max(1_000, leaseMs / 9);
     }
 
@@ -657,7 +657,7 @@
         long sentMs = effects.now();
         nextLeaseCallMs = sentMs + 1_000;
         long id = leaseId;
-        store.callLease("POST", Wire.LEASES + "/" + id + Wire.EXTEND, Map.of(), (status, body) -> {
+        store.callLease("POST", Wire.LEASES + "/" + id + Wire.RENEW, Map.of(), (status, body) -> {
             leaseCallPending = false;
             if (id != leaseId) {
                 return;
@@ -893,7 +893,7 @@
                 tx.requireUnchanged(Keys.MEMBER_LEASE + settings.member());
                 long term = lastTerm();
                 int taken = 0;
-                for (int i = 0; i < versions.length && taken + 2 <= settings.txnOps(); i++) {
+                for (int i = 0; i < versions.length && taken + 2 <= settings.maxTransactionOps(); i++) {
                     int s = shards.get(i);
                     if (view.version(shardKey(s)) != versions[i]) {
                         // Another controller has changed the owner since the takeover was decided.
@@ -930,7 +930,7 @@
 
             @Override
             public int maxWrites() {
-                return Math.min(settings.txnOps(), shards.size() + 1);
+                return Math.min(settings.maxTransactionOps(), shards.size() + 1);
             }
 
             @Override
--- a/src/main/java/birchusher/membership/Staleness.java
+++ b/src/main/java/birchusher/membership/Staleness.java
@@ -44,7 +44,7 @@
         this.effects = effects;
         this.view = view;
         this.store = store;
-        maxAgeMs = settings.staleMs();
+        maxAgeMs = settings.stalenessLimitMs();
         peerCoveredAtMs = new long[1 + settings.peers().size()];
         Arrays.fill(peerCoveredAtMs, Long.MIN_VALUE / 2);
         // All that this controller itself told users is known here.
--- a/src/main/java/birchusher/model/Catalog.java
+++ b/src/main/java/birchusher/model/Catalog.java
@@ -72,8 +72,8 @@
         members.add(settings.member());
         settings.peers().forEach(peer -> members.add(peer.member()));
         settings.objectives().forEach(objective -> {
-            if (objective.cls() != null) {
-                classes.add(objective.cls());
+            if (objective.jobClass() != null) {
+                classes.add(objective.jobClass());
             }
         });
     }
--- a/src/main/java/birchusher/placement/JobScheduler.java
+++ b/src/main/java/birchusher/placement/JobScheduler.java
@@ -185,10 +185,10 @@
         this.fleetKnown = fleetKnown;
         this.tasksToRestore = tasksToRestore;
         nextOfferId = effects.wallTime() << 20;
-        offerTimeoutMs = tuning.ms("placement.offer-s");
-        preemptDelayMs = tuning.num("placement.preempt-delay-s") * 1000;
-        planGapMs = tuning.ms("placement.plan-gap-s");
-        slotsPerMs = tuning.num("placement.slots-per-s") / 1000;
+        offerTimeoutMs = tuning.durationMs("placement.offer-s");
+        preemptDelayMs = tuning.value("placement.preempt-delay-s") * 1000;
+        planGapMs = tuning.durationMs("placement.plan-gap-s");
+        slotsPerMs = tuning.value("placement.slots-per-s") / 1000;
         planner.zoneOfShard(membership::zoneOf);
     }
 
@@ -692,7 +692,9 @@
                 continue;
             }
             int rowIndex = placement.task() / batch.job.chunkSize;
-            if (!spec.isGang() && !rowIndexes.contains(rowIndex) && rowIndexes.size() + 2 > settings.txnOps()) {
+            if (!spec.isGang()
+                    && !rowIndexes.contains(rowIndex)
+                    && rowIndexes.size() + 2 > settings.maxTransactionOps()) {
                 // Lost tasks of a large array may be in more rows than a transaction can write. The rest is planned
                 // again.
                 overflow.add(placement);
--- a/src/main/java/birchusher/placement/Planner.java
+++ b/src/main/java/birchusher/placement/Planner.java
@@ -195,9 +195,9 @@
         this.leaseSettings = leaseSettings;
         for (Settings.Objective objective : objectives) {
             boolean forStart = objective.kind().equals("wait");
-            if (objective.cls() != null && (forStart || objective.kind().equals("finished"))) {
+            if (objective.jobClass() != null && (forStart || objective.kind().equals("finished"))) {
                 objectivesByClass
-                        .computeIfAbsent(catalog.classes.add(objective.cls()), jobClass -> new ArrayList<>())
+                        .computeIfAbsent(catalog.classes.add(objective.jobClass()), jobClass -> new ArrayList<>())
                         .add(new ClassObjective(forStart, objective.withinS()));
             }
         }
--- a/src/main/java/birchusher/pool/Gangs.java
+++ b/src/main/java/birchusher/pool/Gangs.java
@@ -81,7 +81,7 @@
         g.heard = now;
         Task t = g.tasks.computeIfAbsent((int) index, i -> new Task());
         t.phase = phase;
-        t.host = Fields.text(m, Wire.ADDR);
+        t.host = Fields.text(m, Wire.ADDRESS);
         t.heard = now;
         if (phase == Phase.RUNNING || phase == Phase.ENDED) {
             // It was started before this process was.
--- a/src/main/java/birchusher/pool/Pool.java
+++ b/src/main/java/birchusher/pool/Pool.java
@@ -188,7 +188,7 @@
     /** {@code POST /rentals} */
     public void rent(long at, long wall, long exchange, Map<String, Object> body) {
         now = at;
-        String ask = Fields.text(body, Wire.REQUEST);
+        String ask = Fields.text(body, Wire.RENTAL_REQUEST);
         String type = Fields.text(body, Wire.TYPE);
         String zone = Fields.text(body, Wire.ZONE);
         boolean spot = Fields.flag(body, Wire.SPOT);
@@ -361,7 +361,7 @@
             l.add(Map.of(
                     Wire.ID,
                     e.getKey(),
-                    Wire.ADDR,
+                    Wire.ADDRESS,
                     m.address == null ? "unknown:1" : m.address,
                     Wire.TYPE,
                     m.host.type(),
@@ -371,10 +371,10 @@
                     false,
                     Wire.STATE,
                     m.rental.stage() == Stage.FAILED ? "failed" : m.up ? Wire.RUNNING : "starting",
-                    Wire.AGE,
+                    Wire.AGE_S,
                     Math.max(0, wall - m.rental.since()) / 1000.0));
         }
-        return Map.of(Wire.MACHINES, l, Wire.MORE, more);
+        return Map.of(Wire.MACHINES, l, Wire.HAS_MORE, more);
     }
 
     // ---- agents
@@ -388,9 +388,9 @@
         String name = Fields.text(body, "agent");
         String boot = Fields.text(body, "boot");
         String runs = Fields.textOrNull(body, Wire.MACHINE);
-        String address = Fields.text(body, Wire.ADDR);
+        String address = Fields.text(body, Wire.ADDRESS);
         String before = Fields.textOrNull(body, "before");
-        long message = Fields.count(body, Wire.SEQ);
+        long message = Fields.count(body, Wire.SEQUENCE);
         Member m = members.get(name);
         if (m == null) {
             out.refuse(exchange, 404, "no host " + name + " is listed", 0);
@@ -437,7 +437,7 @@
         Hosts.Type t = hosts.type(m.host.type());
         answer.put(Wire.CPUS, t.cpus());
         answer.put(Wire.GPUS, t.gpus());
-        answer.put(Wire.MEM, t.memGb());
+        answer.put(Wire.MEMORY_GB, t.memGb());
         out.answer(exchange, 200, answer);
     }
 
--- a/src/main/java/birchusher/pool/Programs.java
+++ b/src/main/java/birchusher/pool/Programs.java
@@ -61,7 +61,7 @@
         Map<String, Object> program = checked(body);
         Kept k = programs.get(job);
         if (k != null) {
-            if (Json.text(k.program(), false).equals(Json.text(program, false))) {
+            if (Json.toText(k.program(), false).equals(Json.toText(program, false))) {
                 out.answer(exchange, 200, Map.of());
             } else {
                 out.refuse(exchange, 409, "another program was uploaded for " + job, 0);
@@ -121,7 +121,7 @@
             throw new InvalidInputException("save_signal: one of TERM, INT, HUP, USR1, USR2");
         }
         p.put("save_signal", signal);
-        if (Json.size(p) > MAX_BYTES) {
+        if (Json.sizeBytes(p) > MAX_BYTES) {
             throw new InvalidInputException("program: over " + MAX_BYTES + " bytes as JSON");
         }
         return p;
--- a/src/main/java/birchusher/recovery/Inventory.java
+++ b/src/main/java/birchusher/recovery/Inventory.java
@@ -99,7 +99,9 @@
      * @param controllers how many controllers a worker may have to try until it finds its owner
      */
     public static long reconnectTimeMs(long reportMs, int controllers) {
-        return reportMs * 5 / 4 + Settings.NO_ANSWER_MS + Settings.NEXT_MS * (controllers + 1);
+        return reportMs * 5 / 4
+                + Settings.WORKER_RESPONSE_TIMEOUT_MS
+                + Settings.WORKER_RETRY_DELAY_MS * (controllers + 1);
     }
 
     /**
--- a/src/main/java/birchusher/server/MeshLinks.java
+++ b/src/main/java/birchusher/server/PeerConnections.java
@@ -19,124 +19,128 @@
 import org.slf4j.LoggerFactory;
 
 /** Links between controllers: one connection each way, records framed by their length. What does not fit is dropped. */
-final class MeshLinks {
-    private static final Logger LOG = LoggerFactory.getLogger(MeshLinks.class);
-    private static final int MAX_QUEUE = 128;
-    private static final int MAX_INCOMING = 32;
-    private static final long RETRY_MS = 400;
-    private static final long STUCK_MS = 3_000;
-
-    private final Loop loop;
-    private final EventLoop events;
+final class PeerConnections {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerConnections.class);
+    private static final int MAX_QUEUED_RECORDS = 128;
+    private static final int MAX_INBOUND_CONNECTIONS = 32;
+    private static final long RECONNECT_DELAY_MS = 400;
+    private static final long PROGRESS_TIMEOUT_MS = 3_000;
+
+    private final ControllerServer server;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final List<Link> links = new ArrayList<>();
+    private final List<OutboundConnection> outboundConnections = new ArrayList<>();
     private AsynchronousServerSocketChannel listener;
-    private int incoming;
+    private int inboundCount;
 
-    MeshLinks(Loop loop, EventLoop events, Settings s) {
-        this.loop = loop;
-        this.events = events;
+    PeerConnections(ControllerServer loop, EventLoop events, Settings s) {
+        this.server = loop;
+        this.eventLoop = events;
         this.settings = s;
-        s.peers().forEach(p -> links.add(new Link(p.address())));
+        s.peers().forEach(p -> outboundConnections.add(new OutboundConnection(p.address())));
     }
 
     void open() throws IOException {
-        listener = AsynchronousServerSocketChannel.open(events.group());
+        listener = AsynchronousServerSocketChannel.open(eventLoop.channelGroup());
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         listener.bind(
-                new InetSocketAddress(settings.mesh().host(), settings.mesh().port()), 32);
-        new Acceptor(events, listener, this::accepted).accept();
+                new InetSocketAddress(
+                        settings.meshAddress().host(), settings.meshAddress().port()),
+                32);
+        new Acceptor(eventLoop, listener, this::handleAccepted).accept();
     }
 
     void close() throws IOException {
         listener.close();
-        links.forEach(Link::drop);
+        outboundConnections.forEach(OutboundConnection::disconnect);
     }
 
     /** Member indices count ourselves as 0, then the peers as in the settings. */
     void send(int member, byte[] record) {
-        links.get(member - 1).send(record);
+        outboundConnections.get(member - 1).send(record);
     }
 
     void tick() {
-        links.forEach(Link::tick);
+        outboundConnections.forEach(OutboundConnection::tick);
     }
 
-    private void accepted(AsynchronousSocketChannel ch) {
-        if (incoming >= MAX_INCOMING) {
-            Acceptor.close(ch);
+    private void handleAccepted(AsynchronousSocketChannel ch) {
+        if (inboundCount >= MAX_INBOUND_CONNECTIONS) {
+            Acceptor.closeQuietly(ch);
         } else {
-            incoming++;
-            new Incoming(ch).read();
+            inboundCount++;
+            new InboundConnection(ch).read();
         }
     }
 
-    private final class Incoming {
+    private final class InboundConnection {
         private final AsynchronousSocketChannel channel;
-        private ByteBuffer in = ByteBuffer.allocate(16 * 1024);
+        private ByteBuffer input = ByteBuffer.allocate(16 * 1024);
 
-        Incoming(AsynchronousSocketChannel channel) {
+        InboundConnection(AsynchronousSocketChannel channel) {
             this.channel = channel;
         }
 
         void read() {
-            channel.read(in, null, new CompletionHandler<Integer, Void>() {
+            channel.read(input, null, new CompletionHandler<Integer, Void>() {
                 @Override
                 public void completed(Integer n, Void a) {
-                    events.post(() -> got(n));
+                    eventLoop.post(() -> handleRead(n));
                 }
 
                 @Override
                 public void failed(Throwable e, Void a) {
-                    events.post(() -> end());
+                    eventLoop.post(() -> close());
                 }
             });
         }
 
-        private void got(int n) {
+        private void handleRead(int n) {
             if (n < 0) {
-                end();
+                close();
                 return;
             }
-            in.flip();
-            while (in.remaining() >= 4) {
-                int length = in.getInt(in.position());
+            input.flip();
+            while (input.remaining() >= 4) {
+                int length = input.getInt(input.position());
                 if (length <= 0 || length > PeerCodec.MAX_RECORD_BYTES) {
                     LOG.info("peer frame of {} bytes, link closed", length);
-                    end();
+                    close();
                     return;
                 }
-                if (in.remaining() < 4 + length) {
-                    if (in.capacity() < 4 + length) {
-                        in = ByteBuffer.allocate(4 + length + 16 * 1024).put(in).flip();
+                if (input.remaining() < 4 + length) {
+                    if (input.capacity() < 4 + length) {
+                        input = ByteBuffer.allocate(4 + length + 16 * 1024)
+                                .put(input)
+                                .flip();
                     }
                     break;
                 }
-                in.getInt();
+                input.getInt();
                 byte[] record = new byte[length];
-                in.get(record);
-                loop.peer(record);
+                input.get(record);
+                server.handlePeerRecord(record);
             }
-            in.compact();
+            input.compact();
             read();
         }
 
-        private void end() {
-            incoming--;
-            Acceptor.close(channel);
+        private void close() {
+            inboundCount--;
+            Acceptor.closeQuietly(channel);
         }
     }
 
-    private final class Link {
+    private final class OutboundConnection {
         private final Settings.Address address;
         private final Deque<byte[]> queue = new ArrayDeque<>();
         private AsynchronousSocketChannel channel;
         private boolean connected;
         private boolean writing;
-        private long since;
-        private long retryAt;
+        private long startedAtMs;
+        private long reconnectAtMs;
 
-        Link(Settings.Address address) {
+        OutboundConnection(Settings.Address address) {
             this.address = address;
         }
 
@@ -144,7 +148,7 @@
             if (record.length > PeerCodec.MAX_RECORD_BYTES) {
                 return;
             }
-            while (queue.size() >= MAX_QUEUE || !connected && queue.size() >= 8) {
+            while (queue.size() >= MAX_QUEUED_RECORDS || !connected && queue.size() >= 8) {
                 queue.pollFirst();
             }
             queue.addLast(record);
@@ -152,18 +156,18 @@
         }
 
         void tick() {
-            long now = EventLoop.now();
-            if (channel == null && now >= retryAt) {
+            long now = EventLoop.nowMs();
+            if (channel == null && now >= reconnectAtMs) {
                 connect(now);
-            } else if (channel != null && (!connected || writing) && now - since > STUCK_MS) {
-                drop();
+            } else if (channel != null && (!connected || writing) && now - startedAtMs > PROGRESS_TIMEOUT_MS) {
+                disconnect();
             }
         }
 
         private void connect(long now) {
-            since = now;
+            startedAtMs = now;
             try {
-                AsynchronousSocketChannel ch = AsynchronousSocketChannel.open(events.group());
+                AsynchronousSocketChannel ch = AsynchronousSocketChannel.open(eventLoop.channelGroup());
                 channel = ch;
                 ch.setOption(StandardSocketOptions.TCP_NODELAY, true);
                 ch.connect(
@@ -172,7 +176,7 @@
                         new CompletionHandler<Void, Void>() {
                             @Override
                             public void completed(Void v, Void a) {
-                                events.post(() -> {
+                                eventLoop.post(() -> {
                                     if (channel == ch) {
                                         connected = true;
                                         write();
@@ -182,11 +186,11 @@
 
                             @Override
                             public void failed(Throwable e, Void a) {
-                                events.post(() -> dropIf(ch));
+                                eventLoop.post(() -> disconnectIfCurrent(ch));
                             }
                         });
             } catch (IOException e) {
-                drop();
+                disconnect();
             }
         }
 
@@ -195,7 +199,7 @@
                 return;
             }
             writing = true;
-            since = EventLoop.now();
+            startedAtMs = EventLoop.nowMs();
             AsynchronousSocketChannel ch = channel;
             int size = 0;
             List<byte[]> batch = new ArrayList<>();
@@ -213,7 +217,7 @@
                     if (out.hasRemaining()) {
                         ch.write(out, null, this);
                     } else {
-                        events.post(() -> {
+                        eventLoop.post(() -> {
                             if (channel == ch) {
                                 writing = false;
                                 write();
@@ -224,23 +228,23 @@
 
                 @Override
                 public void failed(Throwable e, Void a) {
-                    events.post(() -> dropIf(ch));
+                    eventLoop.post(() -> disconnectIfCurrent(ch));
                 }
             });
         }
 
-        private void dropIf(AsynchronousSocketChannel ch) {
+        private void disconnectIfCurrent(AsynchronousSocketChannel ch) {
             if (channel == ch) {
-                drop();
+                disconnect();
             }
         }
 
-        void drop() {
-            Acceptor.close(channel);
+        void disconnect() {
+            Acceptor.closeQuietly(channel);
             channel = null;
             connected = false;
             writing = false;
-            retryAt = EventLoop.now() + RETRY_MS;
+            reconnectAtMs = EventLoop.nowMs() + RECONNECT_DELAY_MS;
         }
     }
 }
--- a/src/main/java/birchusher/settings/SettingsReader.java
+++ b/src/main/java/birchusher/settings/SettingsReader.java
@@ -17,17 +17,18 @@
     private SettingsReader() {}
 
     public static Settings read(byte[] json) {
-        Map<String, Object> top = Fields.map(tree(json), "settings");
-        Map<String, Object> dep = section(top, "deployment");
-        Map<String, Object> ext = section(top, "external");
-        Map<String, Object> workers = section(dep, "workers");
-        Map<String, Object> state = section(dep, "state");
-        Map<String, Object> cloud = section(dep, "cloud");
-        Map<String, Object> res = section(dep, "resources");
+        Map<String, Object> top = Fields.map(parseJson(json), "settings");
+        Map<String, Object> dep = requiredSection(top, "deployment");
+        Map<String, Object> ext = requiredSection(top, "external");
+        Map<String, Object> workers = requiredSection(dep, "workers");
+        Map<String, Object> state = requiredSection(dep, "state");
+        Map<String, Object> cloud = requiredSection(dep, "cloud");
+        Map<String, Object> res = requiredSection(dep, "resources");
         List<Settings.Peer> peers = new ArrayList<>();
         for (Object o : Fields.list(top, "seeds")) {
             Map<String, Object> m = Fields.map(o, "seeds");
-            peers.add(new Settings.Peer(Fields.text(m, "member"), Fields.text(m, "area"), address(m, "peer_addr")));
+            peers.add(new Settings.Peer(
+                    Fields.text(m, "member"), Fields.text(m, "area"), requiredAddress(m, "peer_addr")));
         }
         List<String> zones = new ArrayList<>();
         for (Object o : Fields.list(dep, "zones")) {
@@ -60,44 +61,44 @@
         return new Settings(
                 Fields.text(top, "member"),
                 Fields.text(top, "area"),
-                address(top, "listen"),
-                address(top, "mesh_addr"),
+                requiredAddress(top, "listen"),
+                requiredAddress(top, "mesh_addr"),
                 List.copyOf(peers),
-                address(ext, "cloud"),
-                address(ext, "state"),
+                requiredAddress(ext, "cloud"),
+                requiredAddress(ext, "state"),
                 List.copyOf(zones),
                 List.copyOf(teams),
                 List.copyOf(objectives),
-                positive(workers, "report_s"),
-                positive(workers, "lease_s"),
+                positiveNumber(workers, "report_s"),
+                positiveNumber(workers, "lease_s"),
                 Fields.amount(workers, "gang_wait_s"),
                 Fields.amount(workers, "gang_peer_s"),
                 Fields.amount(workers, "cancel_s"),
-                positive(state, "rps"),
-                positive(state, "write_rps"),
-                positive(state, "value_kb"),
-                (int) positive(state, "txn_ops"),
-                positive(cloud, "rps"),
+                positiveNumber(state, "rps"),
+                positiveNumber(state, "write_rps"),
+                positiveNumber(state, "value_kb"),
+                (int) positiveNumber(state, "txn_ops"),
+                positiveNumber(cloud, "rps"),
                 Fields.amount(cloud, "list_lag_s"),
-                (int) positive(res, "max_connections"),
+                (int) positiveNumber(res, "max_connections"),
                 Fields.amountOr(dep, "clock_off_ms", 1000));
     }
 
     /** Any JSON as maps, lists, text, numbers and booleans. */
-    public static Object tree(byte[] json) {
+    public static Object parseJson(byte[] json) {
         try (JsonParser p = new JsonFactory().createParser(json)) {
             p.nextToken();
-            return value(p);
+            return readValue(p);
         } catch (IOException e) {
             throw new InvalidInputException("not JSON: " + e.getClass().getSimpleName());
         }
     }
 
-    private static Map<String, Object> section(Map<String, Object> m, String key) {
+    private static Map<String, Object> requiredSection(Map<String, Object> m, String key) {
         return Fields.map(m.get(key), key);
     }
 
-    private static double positive(Map<String, Object> m, String key) {
+    private static double positiveNumber(Map<String, Object> m, String key) {
         double d = Fields.amount(m, key);
         if (d <= 0) {
             throw new InvalidInputException(key + ": must be above 0");
@@ -105,11 +106,11 @@
         return d;
     }
 
-    private static Address address(Map<String, Object> m, String key) {
-        return parse(Fields.text(m, key), key);
+    private static Address requiredAddress(Map<String, Object> m, String key) {
+        return parseAddress(Fields.text(m, key), key);
     }
 
-    public static Address parse(String s, String key) {
+    public static Address parseAddress(String s, String key) {
         int colon = s.lastIndexOf(':');
         try {
             int port = Integer.parseInt(s.substring(colon + 1));
@@ -122,7 +123,7 @@
         throw new InvalidInputException(key + ": not host:port");
     }
 
-    private static Object value(JsonParser p) throws IOException {
+    private static Object readValue(JsonParser p) throws IOException {
         JsonToken t = p.currentToken();
         if (t == null) {
             throw new InvalidInputException("settings: empty");
@@ -133,14 +134,14 @@
                 while (p.nextToken() != JsonToken.END_OBJECT) {
                     String key = p.currentName();
                     p.nextToken();
-                    m.put(key, value(p));
+                    m.put(key, readValue(p));
                 }
                 yield m;
             }
             case START_ARRAY -> {
                 List<Object> l = new ArrayList<>();
                 while (p.nextToken() != JsonToken.END_ARRAY) {
-                    l.add(value(p));
+                    l.add(readValue(p));
                 }
                 yield l;
             }
--- a/src/main/java/birchusher/settings/Tuning.java
+++ b/src/main/java/birchusher/settings/Tuning.java
@@ -19,7 +19,7 @@
     }
 
     /** Lays an operator's file over the defaults; a key nobody knows is refused, as it is mostly a typing mistake. */
-    public Tuning with(Reader file) throws IOException {
+    public Tuning withOverrides(Reader file) throws IOException {
         Properties mine = new Properties();
         mine.load(file);
         for (String key : mine.stringPropertyNames()) {
@@ -27,17 +27,17 @@
                 throw new InvalidInputException(key + ": unknown property");
             }
             values.setProperty(key, mine.getProperty(key));
-            num(key);
+            value(key);
         }
         return this;
     }
 
-    public double num(String key) {
-        return number(key, values.getProperty(key));
+    public double value(String key) {
+        return parseAmount(key, values.getProperty(key));
     }
 
     /** A property's value as an amount; the complaint names its key. */
-    public static double number(String key, String value) {
+    public static double parseAmount(String key, String value) {
         try {
             double d = Double.parseDouble(value.trim());
             if (Double.isFinite(d) && d >= 0) {
@@ -49,7 +49,7 @@
         throw new InvalidInputException(key + ": not a number of 0 or more");
     }
 
-    public long ms(String key) {
-        return Math.round(num(key) * 1000);
+    public long durationMs(String key) {
+        return Math.round(value(key) * 1000);
     }
 }
--- a/src/main/java/birchusher/statehost/DurableStoreRunner.java
+++ b/src/main/java/birchusher/statehost/DurableStoreRunner.java
@@ -52,7 +52,7 @@
     public void submit(Request r, Consumer<Reply> reply) {
         long ticket = nextRequestId++;
         pendingReplies.put(ticket, reply);
-        deliver(store.handle(EventLoop.now(), ticket, r));
+        deliver(store.handle(EventLoop.nowMs(), ticket, r));
         startNextBatch();
     }
 
@@ -67,9 +67,9 @@
     }
 
     public void tick() {
-        deliver(store.tick(EventLoop.now()));
+        deliver(store.tick(EventLoop.nowMs()));
         startNextBatch();
-        DurableStore.PendingSnapshot p = store.takeDueSnapshot(EventLoop.now());
+        DurableStore.PendingSnapshot p = store.takeDueSnapshot(EventLoop.nowMs());
         if (p != null) {
             snapshotExecutor.execute(() -> writeSnapshot(p));
         }
@@ -89,7 +89,7 @@
         }
         boolean ok = written;
         loop.post(() -> {
-            store.onSnapshotWritten(EventLoop.now(), p, ok);
+            store.onSnapshotWritten(EventLoop.nowMs(), p, ok);
             startNextBatch();
         });
     }
@@ -115,7 +115,7 @@
             if (b.failureMessage() != null) {
                 LOG.error("log: {}", b.failureMessage());
             }
-            deliver(store.onBatchWritten(EventLoop.now(), b));
+            deliver(store.onBatchWritten(EventLoop.nowMs(), b));
             startNextBatch();
         });
     }
--- a/src/main/java/birchusher/statehost/ProtocolCodec.java
+++ b/src/main/java/birchusher/statehost/ProtocolCodec.java
@@ -2,7 +2,7 @@
 
 import birchusher.core.Fields;
 import birchusher.core.Fields.InvalidInputException;
-import birchusher.http.Target;
+import birchusher.http.RequestTarget;
 import birchusher.kv.Limits;
 import birchusher.kv.Reply;
 import birchusher.kv.Request;
@@ -10,7 +10,7 @@
 import birchusher.kv.State;
 import birchusher.kv.Write;
 import birchusher.wire.Json;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import birchusher.wire.Wire;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -37,7 +37,7 @@
 
     static Request parseRequest(String method, String target, byte[] body) throws HttpStatusException {
         try {
-            Target t = Target.parse(target);
+            RequestTarget t = RequestTarget.parse(target);
             if (t.path().equals(Wire.STORE)) {
                 requireMethod(method, "GET");
                 return new Request.Page(t.text(Wire.PREFIX, ""), t.text(Wire.AFTER, null), pageLimit(t));
@@ -46,13 +46,13 @@
                 requireMethod(method, "GET");
                 return new Request.Get(t.path().substring(Wire.STORE.length() + 1));
             }
-            if (t.path().equals(Wire.MULTI)) {
+            if (t.path().equals(Wire.TRANSACTIONS)) {
                 requireMethod(method, "POST");
-                return parseTransaction(Fields.map(Pack.decode(body), "body"));
+                return parseTransaction(Fields.map(MessagePackCodec.decode(body), "body"));
             }
             if (t.path().equals(Wire.WATCH)) {
                 requireMethod(method, "GET");
-                if (!t.params().containsKey(Wire.AFTER)) {
+                if (!t.parameters().containsKey(Wire.AFTER)) {
                     throw new InvalidInputException(Wire.AFTER + ": missing");
                 }
                 long wait = t.count("wait_ms", 0);
@@ -63,18 +63,19 @@
             }
             if (t.path().equals(Wire.LEASES)) {
                 requireMethod(method, "POST");
-                return new Request.GrantLease(Fields.count(Fields.map(Pack.decode(body), "body"), Wire.TTL));
+                return new Request.GrantLease(
+                        Fields.count(Fields.map(MessagePackCodec.decode(body), "body"), Wire.TTL_MS));
             }
             if (t.path().startsWith(Wire.LEASES + "/")) {
                 String id = t.path().substring(Wire.LEASES.length() + 1);
-                if (id.endsWith(Wire.EXTEND)) {
+                if (id.endsWith(Wire.RENEW)) {
                     requireMethod(method, "POST");
-                    return new Request.RenewLease(parseLeaseId(id.substring(0, id.length() - Wire.EXTEND.length())));
+                    return new Request.RenewLease(parseLeaseId(id.substring(0, id.length() - Wire.RENEW.length())));
                 }
                 requireMethod(method, "DELETE");
                 return new Request.EndLease(parseLeaseId(id));
             }
-        } catch (Target.Bad e) {
+        } catch (RequestTarget.InvalidTargetException e) {
             throw new InvalidInputException(e.getMessage());
         }
         throw new HttpStatusException(404, "no such path");
@@ -86,7 +87,7 @@
         }
     }
 
-    private static int pageLimit(Target t) throws Target.Bad {
+    private static int pageLimit(RequestTarget t) throws RequestTarget.InvalidTargetException {
         long n = t.count(Wire.LIMIT, Limits.MAX_PAGE_ROWS);
         if (n < 1 || n > Limits.MAX_PAGE_ROWS) {
             throw new InvalidInputException(Wire.LIMIT + ": 1 to " + Limits.MAX_PAGE_ROWS);
@@ -104,32 +105,32 @@
 
     private static Request parseTransaction(Map<String, Object> m) {
         List<Request.Condition> conditions = new ArrayList<>();
-        if (m.get(Wire.IF) != null) {
-            for (Object o : Fields.list(m, Wire.IF)) {
-                Map<String, Object> c = Fields.map(o, Wire.IF);
+        if (m.get(Wire.CONDITIONS) != null) {
+            for (Object o : Fields.list(m, Wire.CONDITIONS)) {
+                Map<String, Object> c = Fields.map(o, Wire.CONDITIONS);
                 conditions.add(new Request.Condition(requiredText(c, Wire.KEY), Fields.count(c, Wire.VERSION)));
             }
         }
         List<Write> writes = new ArrayList<>();
         int largest = 0;
-        if (m.get(Wire.THEN) != null) {
-            for (Object o : Fields.list(m, Wire.THEN)) {
-                Map<String, Object> w = Fields.map(o, Wire.THEN);
+        if (m.get(Wire.WRITES) != null) {
+            for (Object o : Fields.list(m, Wire.WRITES)) {
+                Map<String, Object> w = Fields.map(o, Wire.WRITES);
                 if (w.get(Wire.PUT) != null) {
                     if (!w.containsKey(Wire.VALUE)) {
                         throw new InvalidInputException(Wire.VALUE + ": missing");
                     }
-                    largest = Math.max(largest, Json.size(w.get(Wire.VALUE)));
+                    largest = Math.max(largest, Json.sizeBytes(w.get(Wire.VALUE)));
                     writes.add(new Write.Set(
                             requiredText(w, Wire.PUT),
-                            Pack.encode(w.get(Wire.VALUE)),
+                            MessagePackCodec.encode(w.get(Wire.VALUE)),
                             Fields.countOr(w, Wire.LEASE, 0)));
                 } else {
                     writes.add(new Write.Remove(requiredText(w, Wire.DELETE)));
                 }
             }
         }
-        return new Request.Transaction(conditions, writes, Json.size(m), largest);
+        return new Request.Transaction(conditions, writes, Json.sizeBytes(m), largest);
     }
 
     private static String requiredText(Map<String, Object> m, String field) {
@@ -149,13 +150,13 @@
         if (r instanceof Reply.Rows rows) {
             List<Object> items = new ArrayList<>();
             rows.rows().forEach(e -> items.add(rowFields(e.getKey(), e.getValue())));
-            return okResponse(Map.of(Wire.ITEMS, items, Wire.MORE, rows.hasMore(), Wire.REVISION, rows.revision()));
+            return okResponse(Map.of(Wire.ROWS, items, Wire.HAS_MORE, rows.hasMore(), Wire.REVISION, rows.revision()));
         }
         if (r instanceof Reply.Committed c) {
             return okResponse(Map.of(Wire.REVISION, c.revision()));
         }
         if (r instanceof Reply.ConditionsFailed f) {
-            return new HttpResponse(409, Map.of(Wire.FAILED, f.keys(), Wire.REVISION, f.revision()), 0);
+            return new HttpResponse(409, Map.of(Wire.FAILED_CONDITIONS, f.keys(), Wire.REVISION, f.revision()), 0);
         }
         if (r instanceof Reply.LeaseGranted l) {
             return okResponse(Map.of(Wire.LEASE, l.leaseId()));
@@ -197,7 +198,7 @@
     private static Map<String, Object> rowFields(String key, Row r) {
         Map<String, Object> m = new HashMap<>();
         m.put(Wire.KEY, key);
-        m.put(Wire.VALUE, Pack.decode(r.value()));
+        m.put(Wire.VALUE, MessagePackCodec.decode(r.value()));
         m.put(Wire.VERSION, r.modRevision());
         if (r.leaseId() != 0) {
             m.put(Wire.LEASE, r.leaseId());
@@ -209,7 +210,7 @@
         Map<String, Object> m = new HashMap<>();
         m.put(e.value() == null ? Wire.DELETE : Wire.PUT, e.key());
         if (e.value() != null) {
-            m.put(Wire.VALUE, Pack.decode(e.value()));
+            m.put(Wire.VALUE, MessagePackCodec.decode(e.value()));
         }
         m.put(Wire.VERSION, e.revision());
         return m;
--- a/src/main/java/birchusher/statehost/StateServer.java
+++ b/src/main/java/birchusher/statehost/StateServer.java
@@ -4,7 +4,7 @@
 import birchusher.http.EventLoop;
 import birchusher.http.HttpServer;
 import birchusher.kv.Request;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import birchusher.wire.Wire;
 import java.io.IOException;
 import java.util.Map;
@@ -56,9 +56,9 @@
 
     private void answer(long exchange, ProtocolCodec.HttpResponse out) {
         if (out.status() == 0) {
-            server.drop(exchange);
+            server.abort(exchange);
         } else {
-            server.answer(exchange, out.status(), Pack.encode(out.body()), out.retryAfterS());
+            server.answer(exchange, out.status(), MessagePackCodec.encode(out.body()), out.retryAfterS());
         }
     }
 }
--- a/src/main/java/birchusher/store/StoreClient.java
+++ b/src/main/java/birchusher/store/StoreClient.java
@@ -118,25 +118,25 @@
         this.effects = effects;
         this.view = view;
         this.settings = settings;
-        this.address = settings.store().toString();
+        this.address = settings.stateAddress().toString();
         // The published limits hold for all controllers together: each starts near its fair share and adapts.
-        double share = Math.min(1, tuning.num("store.share"));
+        double share = Math.min(1, tuning.value("store.share"));
         double fairShare = 1.0 / (1 + settings.peers().size());
         double initialShare = Math.min(share, 1.5 * fairShare);
         requestLimit = new TokenBucket(
-                settings.stateRps() * initialShare,
-                settings.stateRps() * Math.min(share, fairShare * 0.8),
-                settings.stateRps() * share,
-                settings.stateRps() * initialShare * 0.6);
+                settings.stateRequestsPerS() * initialShare,
+                settings.stateRequestsPerS() * Math.min(share, fairShare * 0.8),
+                settings.stateRequestsPerS() * share,
+                settings.stateRequestsPerS() * initialShare * 0.6);
         writeLimit = new TokenBucket(
-                settings.stateWriteRps() * initialShare,
-                settings.stateWriteRps() * Math.min(share, fairShare * 0.8),
-                settings.stateWriteRps() * share,
-                Math.max(settings.txnOps(), settings.stateWriteRps() * initialShare));
-        watchGapMs = tuning.ms("store.watch-gap-s");
-        freshnessCheckGapMs = tuning.ms("store.fresh-gap-s");
-        txnGapMs = tuning.ms("store.batch-gap-s");
-        maxUnconfirmedMs = Math.min(MAX_UNCONFIRMED_MS, settings.staleMs() / 4);
+                settings.stateWritesPerS() * initialShare,
+                settings.stateWritesPerS() * Math.min(share, fairShare * 0.8),
+                settings.stateWritesPerS() * share,
+                Math.max(settings.maxTransactionOps(), settings.stateWritesPerS() * initialShare));
+        watchGapMs = tuning.durationMs("store.watch-gap-s");
+        freshnessCheckGapMs = tuning.durationMs("store.fresh-gap-s");
+        txnGapMs = tuning.durationMs("store.batch-gap-s");
+        maxUnconfirmedMs = Math.min(MAX_UNCONFIRMED_MS, settings.stalenessLimitMs() / 4);
     }
 
     /** Returns whether all live rows have been read. */
@@ -335,10 +335,10 @@
             if (status != 200) {
                 return;
             }
-            for (Object item : Fields.list(response, Wire.ITEMS)) {
+            for (Object item : Fields.list(response, Wire.ROWS)) {
                 endedJobsAfterKey = applyRow(Fields.map(item, "row"));
             }
-            endedJobsLoaded = !Boolean.TRUE.equals(response.get(Wire.MORE));
+            endedJobsLoaded = !Boolean.TRUE.equals(response.get(Wire.HAS_MORE));
         });
     }
 
@@ -374,10 +374,10 @@
             }
             long revision = firstRevision >= 0 ? firstRevision : Fields.count(response, Wire.REVISION);
             String last = afterKey;
-            for (Object item : Fields.list(response, Wire.ITEMS)) {
+            for (Object item : Fields.list(response, Wire.ROWS)) {
                 last = applyRow(Fields.map(item, "row"));
             }
-            if (Boolean.TRUE.equals(response.get(Wire.MORE))) {
+            if (Boolean.TRUE.equals(response.get(Wire.HAS_MORE))) {
                 loadPage(last, revision, generation);
                 return;
             }
@@ -548,12 +548,13 @@
      * as a whole again and again.
      */
     private boolean fitsMaxBytes(Transaction tx, int rows) {
-        return tx.maxBytes() + rows * settings.valueKb() * 1024 <= MAX_TXN_BYTES;
+        return tx.maxBytes() + rows * settings.maxValueKb() * 1024 <= MAX_TXN_BYTES;
     }
 
     private void sendTransaction(long now) {
         Change first = queue.peek().change;
-        if (!writeLimit.canTake(now, Math.min(settings.txnOps(), first.maxWrites()) + rowsKeptForAwaited(first))
+        if (!writeLimit.canTake(
+                        now, Math.min(settings.maxTransactionOps(), first.maxWrites()) + rowsKeptForAwaited(first))
                 || !requestLimit.canTake(now, 1)) {
             return;
         }
@@ -567,8 +568,9 @@
             int writesAfter = tx.writeCount() + queued.change.maxWrites();
             full = full
                     || !batch.isEmpty()
-                            && (writesAfter > settings.txnOps()
-                                    || tx.conditionCount() + queued.change.maxConditions(tx) > settings.txnOps() * 4
+                            && (writesAfter > settings.maxTransactionOps()
+                                    || tx.conditionCount() + queued.change.maxConditions(tx)
+                                            > settings.maxTransactionOps() * 4
                                     || !writeLimit.canTake(now, writesAfter + rowsKeptForAwaited(queued.change))
                                     || !fitsMaxBytes(tx, queued.change.maxWrites())
                                     || batch.size() >= MAX_CHANGES_PER_TXN);
@@ -583,7 +585,7 @@
         for (QueuedChange queued : deferred) {
             if (!batch.isEmpty()
                     && batch.size() < MAX_CHANGES_PER_TXN
-                    && tx.conditionCount() + queued.change.maxConditions(tx) <= settings.txnOps() * 4
+                    && tx.conditionCount() + queued.change.maxConditions(tx) <= settings.maxTransactionOps() * 4
                     && queued.change.addsNoWrites(tx)
                     && fitsMaxBytes(tx, 1)) {
                 if (queued.change.build(tx)) {
@@ -608,7 +610,7 @@
         requestLimit.overdraw(now, 1);
         long generation = loadGeneration;
         Map<String, Object> body = tx.toRequestBody();
-        call("POST", Wire.MULTI, body, (int) TXN_TIMEOUT_MS, (status, response) -> {
+        call("POST", Wire.TRANSACTIONS, body, (int) TXN_TIMEOUT_MS, (status, response) -> {
             txnPending = false;
             nextTxnMs = effects.now() + txnGapMs;
             if (generation != loadGeneration) {
@@ -625,7 +627,7 @@
                 case 409 -> {
                     conflicts++;
                     Set<String> failedKeys = new HashSet<>();
-                    Fields.list(response, Wire.FAILED).forEach(key -> failedKeys.add(String.valueOf(key)));
+                    Fields.list(response, Wire.FAILED_CONDITIONS).forEach(key -> failedKeys.add(String.valueOf(key)));
                     LOG.debug("conflict on {}", failedKeys);
                     requiredRevision = Math.max(requiredRevision, Fields.countOr(response, Wire.REVISION, 0));
                     batch.forEach(queued -> {
@@ -639,7 +641,7 @@
                     LOG.error(
                             "transaction rejected as invalid: {} ({} rows, {} conditions)",
                             response,
-                            Fields.list(body, Wire.THEN).size(),
+                            Fields.list(body, Wire.WRITES).size(),
                             tx.conditionCount());
                     // For example, a lease in it has expired. A change that was sent earlier without a response may
                     // still be applied, whatever became of this transaction: with a shard handover dropped here, two
--- a/src/main/java/birchusher/store/StoreView.java
+++ b/src/main/java/birchusher/store/StoreView.java
@@ -326,7 +326,7 @@
                 otherRowChangeCount++;
                 rentalRequestChanges += key.startsWith(Keys.RENTAL_REQUEST) ? 1 : 0;
             }
-        } catch (Fields.InvalidInputException | JobCodec.Never | IllegalArgumentException e) {
+        } catch (Fields.InvalidInputException | JobCodec.UnrunnableJobException | IllegalArgumentException e) {
             LOG.error("state row {} ignored: {}", key, e.getMessage());
             if (jobId != null && !jobs.containsKey(jobId)) {
                 unreadable.add(jobId);
@@ -410,7 +410,7 @@
             return;
         }
         job = new Job(
-                codec.readRow(Fields.map(value.get("j"), "j")),
+                codec.decodeRow(Fields.map(value.get("j"), "j")),
                 (int) Math.max(1, Fields.count(value, "k")),
                 Fields.count(value, "t"),
                 state,
--- a/src/main/java/birchusher/store/Transaction.java
+++ b/src/main/java/birchusher/store/Transaction.java
@@ -47,9 +47,9 @@
     public void put(String key, Map<String, Object> value) {
         requireUnchanged(key);
         Map<String, Object> previous = puts.put(key, value);
-        putBytes += Json.size(value)
+        putBytes += Json.sizeBytes(value)
                 + ENTRY_OVERHEAD_BYTES
-                - (previous == null ? 0 : Json.size(previous) + ENTRY_OVERHEAD_BYTES);
+                - (previous == null ? 0 : Json.sizeBytes(previous) + ENTRY_OVERHEAD_BYTES);
     }
 
     /** As {@link #put}; the state service removes the row when the lease with this id ends. */
@@ -137,7 +137,7 @@
             writes.add(write);
         });
         removals.forEach(key -> writes.add(Map.of(Wire.DELETE, key)));
-        return Map.of(Wire.IF, checks, Wire.THEN, writes);
+        return Map.of(Wire.CONDITIONS, checks, Wire.WRITES, writes);
     }
 
     private void encodeChunks() {
--- a/src/main/java/birchusher/wire/JobCodec.java
+++ b/src/main/java/birchusher/wire/JobCodec.java
@@ -22,19 +22,19 @@
     }
 
     /** A well-formed job that nevertheless can never run, such as one of an unknown team. */
-    public static final class Never extends RuntimeException {
+    public static final class UnrunnableJobException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        public Never(String message) {
+        public UnrunnableJobException(String message) {
             super(message, null, false, false);
         }
     }
 
-    public static boolean isId(String id) {
-        if (!id.startsWith(Wire.ID_PREFIX) || id.length() > 64 || id.length() == Wire.ID_PREFIX.length()) {
+    public static boolean isJobId(String id) {
+        if (!id.startsWith(Wire.JOB_ID_PREFIX) || id.length() > 64 || id.length() == Wire.JOB_ID_PREFIX.length()) {
             return false;
         }
-        for (int i = Wire.ID_PREFIX.length(); i < id.length(); i++) {
+        for (int i = Wire.JOB_ID_PREFIX.length(); i < id.length(); i++) {
             char c = id.charAt(i);
             if (!(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_')) {
                 return false;
@@ -44,42 +44,42 @@
     }
 
     /** A submission: machine types nobody rents are left out, so that users can't fill the name table. */
-    public JobSpec read(Map<String, Object> m) {
-        return read(m, catalog.typeNames::find);
+    public JobSpec decodeSubmission(Map<String, Object> m) {
+        return decodeSubmission(m, catalog.typeNames::find);
     }
 
     /**
      * A row of the store. A starting controller reads rows before it knows the machine types, so their names are taken as
      * they come: left out, a job that names its types would fit no machine for as long as this process lives.
      */
-    public JobSpec readRow(Map<String, Object> m) {
-        return read(m, catalog.typeNames::add);
+    public JobSpec decodeRow(Map<String, Object> m) {
+        return decodeSubmission(m, catalog.typeNames::add);
     }
 
-    private JobSpec read(Map<String, Object> m, ToIntFunction<String> typeIndex) {
+    private JobSpec decodeSubmission(Map<String, Object> m, ToIntFunction<String> typeIndex) {
         String id = Fields.text(m, Wire.ID);
-        if (!isId(id)) {
+        if (!isJobId(id)) {
             throw new InvalidInputException(Wire.ID + ": not a job id");
         }
-        Shape shape = Wire.shape(Fields.text(m, Wire.SHAPE));
-        Priority priority = Wire.priority(Fields.text(m, Wire.PRIORITY));
+        Shape shape = Wire.parseShape(Fields.text(m, Wire.SHAPE));
+        Priority priority = Wire.parsePriority(Fields.text(m, Wire.PRIORITY));
         long tasks = Fields.count(m, Wire.TASKS);
         if (tasks < 1 || tasks > 100_000) {
             throw new InvalidInputException(Wire.TASKS + ": outside 1 to 100000");
         }
         double cpus = Fields.amount(m, Wire.CPUS);
         double gpus = Fields.amount(m, Wire.GPUS);
-        double mem = Fields.amount(m, Wire.MEM);
-        String cls = Fields.text(m, Wire.CLASS);
+        double mem = Fields.amount(m, Wire.MEMORY_GB);
+        String cls = Fields.text(m, Wire.JOB_CLASS);
         String teamName = Fields.text(m, Wire.TEAM);
         String image = Fields.text(m, Wire.IMAGE);
         double imageGb = Fields.amount(m, Wire.IMAGE_GB);
         List<String> types = null;
-        if (m.get(Wire.TYPES) != null) {
+        if (m.get(Wire.ALLOWED_TYPES) != null) {
             types = new ArrayList<>();
-            for (Object o : Fields.list(m, Wire.TYPES)) {
+            for (Object o : Fields.list(m, Wire.ALLOWED_TYPES)) {
                 if (!(o instanceof String s)) {
-                    throw new InvalidInputException(Wire.TYPES + ": not text");
+                    throw new InvalidInputException(Wire.ALLOWED_TYPES + ": not text");
                 }
                 types.add(s);
             }
@@ -88,19 +88,19 @@
         boolean oneZone = Fields.flag(m, Wire.ONE_ZONE);
         boolean spread = Fields.flag(m, Wire.SPREAD);
         boolean spot = Fields.flag(m, Wire.SPOT);
-        double estimate = Fields.amount(m, Wire.ESTIMATE);
-        double checkpoint = Fields.amount(m, Wire.CHECKPOINT);
-        double save = Fields.amount(m, Wire.SAVE);
-        double deadline = Fields.amountOr(m, Wire.DEADLINE, 0);
+        double estimate = Fields.amount(m, Wire.ESTIMATE_S);
+        double checkpoint = Fields.amount(m, Wire.CHECKPOINT_INTERVAL_S);
+        double save = Fields.amount(m, Wire.CHECKPOINT_WRITE_S);
+        double deadline = Fields.amountOr(m, Wire.DEADLINE_S, 0);
         int team = catalog.teams.find(teamName);
         if (team == NameIndex.NONE) {
-            throw new Never("unknown team");
+            throw new UnrunnableJobException("unknown team");
         }
         int zone = NameIndex.NONE;
         if (zoneName != null) {
             zone = catalog.zones.find(zoneName);
             if (zone == NameIndex.NONE) {
-                throw new Never("unknown zone");
+                throw new UnrunnableJobException("unknown zone");
             }
         }
         int[] typeIdx = null;
@@ -133,17 +133,17 @@
                 deadline);
     }
 
-    public Map<String, Object> write(JobSpec j) {
+    public Map<String, Object> encode(JobSpec j) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put(Wire.ID, j.id());
-        m.put(Wire.CLASS, catalog.classes.name(j.jobClass()));
+        m.put(Wire.JOB_CLASS, catalog.classes.name(j.jobClass()));
         m.put(Wire.TEAM, catalog.teams.name(j.team()));
-        m.put(Wire.SHAPE, Wire.of(j.shape()));
-        m.put(Wire.PRIORITY, Wire.of(j.priority()));
+        m.put(Wire.SHAPE, Wire.wireName(j.shape()));
+        m.put(Wire.PRIORITY, Wire.wireName(j.priority()));
         m.put(Wire.TASKS, j.tasks());
         m.put(Wire.CPUS, j.cpus());
         m.put(Wire.GPUS, j.gpus());
-        m.put(Wire.MEM, j.memoryGb());
+        m.put(Wire.MEMORY_GB, j.memoryGb());
         m.put(Wire.IMAGE, catalog.images.name(j.image()));
         m.put(Wire.IMAGE_GB, j.imageGb());
         if (j.allowedTypes() != null) {
@@ -151,7 +151,7 @@
             for (int t : j.allowedTypes()) {
                 names.add(catalog.typeNames.name(t));
             }
-            m.put(Wire.TYPES, names);
+            m.put(Wire.ALLOWED_TYPES, names);
         }
         if (j.zone() >= 0) {
             m.put(Wire.ZONE, catalog.zones.name(j.zone()));
@@ -159,11 +159,11 @@
         m.put(Wire.ONE_ZONE, j.oneZone());
         m.put(Wire.SPREAD, j.spread());
         m.put(Wire.SPOT, j.allowsSpot());
-        m.put(Wire.ESTIMATE, j.estimateS());
-        m.put(Wire.CHECKPOINT, j.checkpointIntervalS());
-        m.put(Wire.SAVE, j.checkpointWriteS());
+        m.put(Wire.ESTIMATE_S, j.estimateS());
+        m.put(Wire.CHECKPOINT_INTERVAL_S, j.checkpointIntervalS());
+        m.put(Wire.CHECKPOINT_WRITE_S, j.checkpointWriteS());
         if (j.deadlineS() > 0) {
-            m.put(Wire.DEADLINE, j.deadlineS());
+            m.put(Wire.DEADLINE_S, j.deadlineS());
         }
         return m;
     }
--- a/src/main/java/birchusher/wire/Json.java
+++ b/src/main/java/birchusher/wire/Json.java
@@ -17,7 +17,7 @@
     private Json() {}
 
     /** The bytes that this would take as JSON without white space. */
-    public static int size(Object o) {
+    public static int sizeBytes(Object o) {
         int[] n = {0};
         OutputStream counted = new OutputStream() {
             @Override
@@ -38,7 +38,7 @@
         return n[0];
     }
 
-    public static String text(Object o, boolean pretty) {
+    public static String toText(Object o, boolean pretty) {
         StringWriter to = new StringWriter();
         try (JsonGenerator g = FACTORY.createGenerator(to)) {
             if (pretty) {
--- a/src/main/java/birchusher/wire/Pack.java
+++ b/src/main/java/birchusher/wire/MessagePackCodec.java
@@ -12,10 +12,10 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** MessagePack bodies to plain maps and back. Depth and element counts are bounded by the input's own size. */
-public final class Pack {
+public final class MessagePackCodec {
     private static final int MAX_DEPTH = 12;
 
-    private Pack() {}
+    private MessagePackCodec() {}
 
     public static Object decode(byte[] bytes) {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
@@ -51,7 +51,7 @@
                 return in.unpackString();
             }
             case ARRAY -> {
-                int n = bounded(in.unpackArrayHeader(), size);
+                int n = checkCount(in.unpackArrayHeader(), size);
                 List<Object> list = new ArrayList<>(Math.min(n, 1024));
                 for (int i = 0; i < n; i++) {
                     list.add(read(in, depth + 1, size));
@@ -59,7 +59,7 @@
                 return list;
             }
             case MAP -> {
-                int n = bounded(in.unpackMapHeader(), size);
+                int n = checkCount(in.unpackMapHeader(), size);
                 Map<String, Object> map = new HashMap<>(Math.min(n, 64) * 2);
                 for (int i = 0; i < n; i++) {
                     map.put(in.unpackString(), read(in, depth + 1, size));
@@ -71,7 +71,7 @@
     }
 
     /** A header may claim more elements than the body has bytes: refuse before reserving memory for them. */
-    private static int bounded(int n, int size) {
+    private static int checkCount(int n, int size) {
         if (n < 0 || n > size) {
             throw new InvalidInputException("body: cut off");
         }
--- a/src/main/java/birchusher/workers/Commands.java
+++ b/src/main/java/birchusher/workers/Commands.java
@@ -40,7 +40,8 @@
      * How long a worker may still carry out a response. It waits {@link Settings#NO_ANSWER_MS} from sending its report; as this is counted
      * from the response, the time between the two is an additional margin.
      */
-    private static final long RESPONSE_LIFETIME_MS = Math.round(Settings.NO_ANSWER_MS * (1 + 2 * Settings.DRIFT)) + 50;
+    private static final long RESPONSE_LIFETIME_MS =
+            Math.round(Settings.WORKER_RESPONSE_TIMEOUT_MS * (1 + 2 * Settings.MAX_CLOCK_DRIFT)) + 50;
 
     /** Tracks the attempts on the machines and applies their reports. */
     interface AttemptTracker {
@@ -92,7 +93,7 @@
 
     /** The longest time in ms until the next report of a worker that reports to this controller arrives. */
     long reportTimeoutMs() {
-        return Math.round(settings.reportS() * 1250) + 1_500;
+        return Math.round(settings.reportIntervalS() * 1250) + 1_500;
     }
 
     /**
@@ -160,7 +161,7 @@
             }
             switch (Reconciliation.command(
                     claimState, reportedState(reported), ownerKnowledge(machine, reported.attemptKey()))) {
-                case REAP -> commands.add(command(Wire.FORGET, reported.taskKey(), reported.attempt(), -1));
+                case REAP -> commands.add(command(Wire.REAP, reported.taskKey(), reported.attempt(), -1));
                 case FENCE -> fenceUnansweredStart(machine, reported.attemptKey(), now);
                 case STOP -> commands.add(command(Wire.STOP, reported.taskKey(), reported.attempt(), 0));
                 default -> {
@@ -281,11 +282,11 @@
     /** One command as it is sent; {@code graceS} in seconds, below 0: none. */
     private static Map<String, Object> command(String op, String taskKey, long attempt, double graceS) {
         Map<String, Object> command = new LinkedHashMap<>();
-        command.put(Wire.OP, op);
+        command.put(Wire.COMMAND_TYPE, op);
         command.put(Wire.TASK, taskKey);
         command.put(Wire.ATTEMPT, attempt);
         if (graceS >= 0) {
-            command.put(Wire.GRACE, graceS);
+            command.put(Wire.GRACE_S, graceS);
         }
         return command;
     }
@@ -314,7 +315,7 @@
         List<String> starts = new ArrayList<>();
         for (Object command : commands) {
             Map<String, Object> fields = Fields.map(command, "order");
-            if (Wire.START.equals(fields.get(Wire.OP))) {
+            if (Wire.START.equals(fields.get(Wire.COMMAND_TYPE))) {
                 starts.add(fields.get(Wire.TASK) + "#" + fields.get(Wire.ATTEMPT));
             }
         }
@@ -322,8 +323,14 @@
                 Destination.WORKER,
                 machine.address,
                 "POST",
-                Wire.DO,
-                Map.of(Wire.TOKEN, membership.term(machine.shard), Wire.SESSION, session, Wire.COMMANDS, commands),
+                Wire.WORKER_COMMANDS,
+                Map.of(
+                        Wire.FENCING_TOKEN,
+                        membership.term(machine.shard),
+                        Wire.SESSION,
+                        session,
+                        Wire.COMMANDS,
+                        commands),
                 (int) COMMAND_TIMEOUT_MS,
                 (status, body) -> {
                     machine.commandInFlight = false;
--- a/src/main/java/birchusher/workers/OwnerRedirect.java
+++ b/src/main/java/birchusher/workers/OwnerRedirect.java
@@ -119,17 +119,19 @@
             return;
         }
         probeUntilMs.put(shard, effects.now() + PROBE_MS);
-        effects.call(Destination.WORKER, report.address(), "GET", Wire.SHOW, null, PROBE_MS, (status, body) -> {
-            if (status != 200) {
-                return;
-            }
-            Report answer = Report.read(body);
-            // The report was the worker's last message or one shortly before: not a duplicate that was long delayed.
-            if (answer.machine().equals(report.machine())
-                    && answer.session() == report.session()
-                    && answer.seq() <= report.seq() + 2) {
-                membership.ownerUnreachable(shard);
-            }
-        });
+        effects.call(
+                Destination.WORKER, report.address(), "GET", Wire.WORKER_STATUS, null, PROBE_MS, (status, body) -> {
+                    if (status != 200) {
+                        return;
+                    }
+                    Report answer = Report.read(body);
+                    // The report was the worker's last message or one shortly before: not a duplicate that was long
+                    // delayed.
+                    if (answer.machine().equals(report.machine())
+                            && answer.session() == report.session()
+                            && answer.seq() <= report.seq() + 2) {
+                        membership.ownerUnreachable(shard);
+                    }
+                });
     }
 }
--- a/src/main/java/birchusher/workers/Reachability.java
+++ b/src/main/java/birchusher/workers/Reachability.java
@@ -24,7 +24,9 @@
      * @param controllers the number of controllers; without a response, a worker tries them one after the other
      */
     Reachability(long reportTimeoutMs, int controllers) {
-        maxNextReportMs = Math.min(reportTimeoutMs, Settings.NO_ANSWER_MS + Settings.NEXT_MS * controllers - MARGIN_MS);
+        maxNextReportMs = Math.min(
+                reportTimeoutMs,
+                Settings.WORKER_RESPONSE_TIMEOUT_MS + Settings.WORKER_RETRY_DELAY_MS * controllers - MARGIN_MS);
     }
 
     /**
--- a/src/main/java/birchusher/workers/Report.java
+++ b/src/main/java/birchusher/workers/Report.java
@@ -40,14 +40,14 @@
         }
         return new Report(
                 Fields.text(fields, Wire.MACHINE),
-                Fields.text(fields, Wire.ADDR),
+                Fields.text(fields, Wire.ADDRESS),
                 Fields.text(fields, Wire.TYPE),
                 Fields.text(fields, Wire.ZONE),
                 Fields.flag(fields, Wire.SPOT),
                 Fields.count(fields, Wire.SESSION),
-                Fields.count(fields, Wire.SEQ),
-                Fields.countOr(fields, Wire.TOKEN, 0),
-                fields.get(Wire.NOTICE) == null ? -1 : Fields.amount(fields, Wire.NOTICE),
+                Fields.count(fields, Wire.SEQUENCE),
+                Fields.countOr(fields, Wire.FENCING_TOKEN, 0),
+                fields.get(Wire.RECLAIM_NOTICE_S) == null ? -1 : Fields.amount(fields, Wire.RECLAIM_NOTICE_S),
                 tasks);
     }
 }
--- a/src/main/java/birchusher/workers/ReportedTask.java
+++ b/src/main/java/birchusher/workers/ReportedTask.java
@@ -58,9 +58,9 @@
                     case "exited" -> Phase.EXITED;
                     default -> throw new InvalidInputException(Wire.STATE + ": unknown");
                 };
-        ExitReason exitReason = fields.get(Wire.WHY) == null
+        ExitReason exitReason = fields.get(Wire.EXIT_REASON) == null
                 ? ExitReason.NONE
-                : switch (Fields.text(fields, Wire.WHY)) {
+                : switch (Fields.text(fields, Wire.EXIT_REASON)) {
                     case "done" -> ExitReason.DONE;
                     case "halted" -> ExitReason.STOPPED;
                     case "mates_gone" -> ExitReason.PEERS;
@@ -75,6 +75,6 @@
                 Fields.count(fields, Wire.ATTEMPT),
                 phase,
                 exitReason,
-                Boolean.TRUE.equals(fields.get(Wire.SAVED)));
+                Boolean.TRUE.equals(fields.get(Wire.CHECKPOINT_SAVED)));
     }
 }
--- a/src/main/java/birchusher/workers/WorkerLease.java
+++ b/src/main/java/birchusher/workers/WorkerLease.java
@@ -51,7 +51,7 @@
 
     /** @param leaseS the worker's lease, in seconds */
     WorkerLease(double leaseS) {
-        durationMs = Math.round(leaseS * 1000 * (1 + 2 * Settings.DRIFT)) + MARGIN_MS;
+        durationMs = Math.round(leaseS * 1000 * (1 + 2 * Settings.MAX_CLOCK_DRIFT)) + MARGIN_MS;
     }
 
     /** Notes a report or an answer to a direct command, newer than all before; {@code term}: this controller's term of the shard. */
@@ -79,7 +79,7 @@
     Map<String, Object> renewalResponse(Report report, long term, List<Object> commands) {
         lastAnsweredSeq = report.seq();
         grantedAtMs = Math.max(grantedAtMs, lastMessageAtMs);
-        return Map.of(Wire.TOKEN, term, Wire.COMMANDS, commands);
+        return Map.of(Wire.FENCING_TOKEN, term, Wire.COMMANDS, commands);
     }
 
     /** The response to a report that no worker waits for. It has no token, so a worker that received it would drop it. */
--- a/src/main/java/birchusher/workers/WorkerRegistry.java
+++ b/src/main/java/birchusher/workers/WorkerRegistry.java
@@ -103,8 +103,9 @@
         this.statusExchange = statusExchange;
         this.actionCounters = actionCounters;
         leaseSettings = LeaseSettings.from(tuning);
-        quarantineMs = tuning.ms("workers.quarantine-s");
-        capacity = new MachineCapacity(effects, catalog, view, outcomes, guaranteed, tuning.ms("placement.reserve-s"));
+        quarantineMs = tuning.durationMs("workers.quarantine-s");
+        capacity = new MachineCapacity(
+                effects, catalog, view, outcomes, guaranteed, tuning.durationMs("placement.reserve-s"));
         safetyChecks = new SafetyChecks(effects, counters, new SafetyChecks.OwnedMachines() {
             @Override
             public Machine ownedAndCurrent(String name) {
@@ -206,7 +207,7 @@
 
     private Machine findOrCreate(String name, int shard) {
         return machines.computeIfAbsent(name, machineName -> {
-            Machine machine = new Machine(machineName, shard, settings.leaseS());
+            Machine machine = new Machine(machineName, shard, settings.workerLeaseS());
             MachineStatus status = statusExchange.statusFromOwner(machineName);
             if (status != null) {
                 machine.speed = new birchusher.lease.MachineSpeed(status.speed());
@@ -345,7 +346,9 @@
                 .keySet()
                 .removeIf(attemptKey ->
                         !machine.reportedTasks.containsKey(attemptKey) && !isClaimed(machine, attemptKey));
-        machine.startsInResponses.values().removeIf(sentAtMs -> now - sentAtMs > Settings.NO_ANSWER_MS * 2);
+        machine.startsInResponses
+                .values()
+                .removeIf(sentAtMs -> now - sentAtMs > Settings.WORKER_RESPONSE_TIMEOUT_MS * 2);
         if (machine.attempts.size() > 8 + machine.reportedTasks.size()) {
             // Drops the state of attempts that are neither reported nor claimed any more.
             machine.attempts
--- a/src/test/java/birchusher/LoopbackTest.java
+++ b/src/test/java/birchusher/ControllerLoopbackTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import birchusher.server.Loop;
+import birchusher.server.ControllerServer;
 import birchusher.settings.SettingsReader;
 import birchusher.settings.Tuning;
 import java.io.IOException;
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.Test;
 
 /** A controller over real sockets on loopback, with no state service: what it can't take it refuses at once. */
-class LoopbackTest {
+class ControllerLoopbackTest {
     private int port;
-    private Loop loop;
+    private ControllerServer server;
     private Thread thread;
 
-    private static int free() throws IOException {
+    private static int freePort() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return s.getLocalPort();
         }
@@ -30,16 +30,16 @@
 
     @BeforeEach
     void start() throws Exception {
-        port = free();
+        port = freePort();
         String json = TestJobs.SETTINGS
                 .replace("1.1.1.1:1", "127.0.0.1:" + port)
-                .replace("1.1.1.1:2", "127.0.0.1:" + free())
-                .replace("1.1.1.1:3", "127.0.0.1:" + free())
-                .replace("1.1.1.1:4", "127.0.0.1:" + free());
-        loop = new Loop(SettingsReader.read(json.getBytes(StandardCharsets.UTF_8)), new Tuning());
+                .replace("1.1.1.1:2", "127.0.0.1:" + freePort())
+                .replace("1.1.1.1:3", "127.0.0.1:" + freePort())
+                .replace("1.1.1.1:4", "127.0.0.1:" + freePort());
+        server = new ControllerServer(SettingsReader.read(json.getBytes(StandardCharsets.UTF_8)), new Tuning());
         thread = new Thread(() -> {
             try {
-                loop.run();
+                server.run();
             } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
             }
@@ -49,12 +49,12 @@
 
     @AfterEach
     void stop() throws InterruptedException {
-        loop.stop();
+        server.stop();
         thread.join();
     }
 
     /** The first line of the answer to these bytes. */
-    private String ask(String bytes) throws IOException {
+    private String statusLineOf(String bytes) throws IOException {
         while (true) {
             try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 s.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
@@ -72,19 +72,20 @@
     }
 
     @Test
-    void badAndUntimelyRequestsAreAnsweredAtOnce() throws IOException {
-        assertThat(ask("GET /ready HTTP/1.1\r\n\r\n")).contains("503");
-        assertThat(ask("nonsense\r\n\r\n")).contains("400");
-        assertThat(ask("POST /v2/runs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n"))
+    void invalidAndPrematureRequestsAreAnsweredAtOnce() throws IOException {
+        assertThat(statusLineOf("GET /ready HTTP/1.1\r\n\r\n")).contains("503");
+        assertThat(statusLineOf("nonsense\r\n\r\n")).contains("400");
+        assertThat(statusLineOf("POST /v2/runs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n"))
                 .contains("413");
-        assertThat(ask("POST /v2/runs HTTP/1.1\r\nContent-Length: 1\r\n\r\nx")).contains("400");
-        assertThat(ask("POST /v2/runs HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"))
+        assertThat(statusLineOf("POST /v2/runs HTTP/1.1\r\nContent-Length: 1\r\n\r\nx"))
                 .contains("400");
-        assertThat(ask("POST /v2/runs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + "x".repeat(70_000)))
+        assertThat(statusLineOf("POST /v2/runs HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"))
+                .contains("400");
+        assertThat(statusLineOf("POST /v2/runs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + "x".repeat(70_000)))
                 .contains("413");
-        assertThat(ask("GET /nowhere HTTP/1.1\r\n\r\n")).contains("404");
-        assertThat(ask("DELETE /v2/runs HTTP/1.1\r\n\r\n")).contains("405");
-        assertThat(ask("GET /v2/runs/wk-1 HTTP/1.1\r\n\r\n")).contains("503");
-        assertThat(ask("GET /v2/runs/what HTTP/1.1\r\n\r\n")).contains("404");
+        assertThat(statusLineOf("GET /nowhere HTTP/1.1\r\n\r\n")).contains("404");
+        assertThat(statusLineOf("DELETE /v2/runs HTTP/1.1\r\n\r\n")).contains("405");
+        assertThat(statusLineOf("GET /v2/runs/wk-1 HTTP/1.1\r\n\r\n")).contains("503");
+        assertThat(statusLineOf("GET /v2/runs/what HTTP/1.1\r\n\r\n")).contains("404");
     }
 }
--- a/src/test/java/birchusher/HttpParserTest.java
+++ b/src/test/java/birchusher/HttpParserTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import birchusher.http.HttpParser;
-import birchusher.http.HttpParser.Malformed;
+import birchusher.http.HttpParser.MalformedMessageException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void aRequestMayComeByteByByte() throws Malformed {
+    void requestIsParsedByteByByte() throws MalformedMessageException {
         String all = "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc";
         HttpParser p = new HttpParser(true, 100);
         HttpParser.Message m = null;
@@ -25,14 +25,14 @@
             assertThat(m).isNull();
             m = p.feed(bytes(all.substring(i, i + 1)));
         }
-        assertThat(m.first()).isEqualTo("POST");
-        assertThat(m.second()).isEqualTo("/v2/runs");
-        assertThat(m.close()).isTrue();
+        assertThat(m.methodOrVersion()).isEqualTo("POST");
+        assertThat(m.targetOrReason()).isEqualTo("/v2/runs");
+        assertThat(m.closesConnection()).isTrue();
         assertThat(new String(m.body(), StandardCharsets.ISO_8859_1)).isEqualTo("abc");
     }
 
     @Test
-    void chunkedAnswersAreJoined() throws Malformed {
+    void chunkedBodyIsJoined() throws MalformedMessageException {
         HttpParser p = new HttpParser(false, 100);
         HttpParser.Message m = p.feed(
                 bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"));
@@ -60,25 +60,25 @@
                 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n",
                 "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
             })
-    void whatIsMalformedIsA400(String s) {
+    void malformedMessageIsRejectedWith400(String s) {
         assertThatThrownBy(() -> new HttpParser(true, 100).feed(bytes(s)))
-                .isInstanceOfSatisfying(
-                        Malformed.class, e -> assertThat(e.status).isEqualTo(400));
+                .isInstanceOfSatisfying(MalformedMessageException.class, e -> assertThat(e.status)
+                        .isEqualTo(400));
     }
 
     @Test
-    void tooLargeABodyIsA413BeforeAnyOfItIsRead() {
+    void tooLargeBodyIsRejectedWith413BeforeItIsRead() {
         assertThatThrownBy(
                         () -> new HttpParser(true, 100).feed(bytes("POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n")))
-                .isInstanceOfSatisfying(
-                        Malformed.class, e -> assertThat(e.status).isEqualTo(413));
+                .isInstanceOfSatisfying(MalformedMessageException.class, e -> assertThat(e.status)
+                        .isEqualTo(413));
     }
 
     @Test
-    void endlessLinesAndHeadersAreCutOff() {
+    void tooLongLinesAndTooManyHeadersAreRejected() {
         assertThatThrownBy(() -> new HttpParser(true, 100).feed(bytes("GET /" + "a".repeat(20_000))))
-                .isInstanceOf(Malformed.class);
+                .isInstanceOf(MalformedMessageException.class);
         assertThatThrownBy(() -> new HttpParser(true, 100).feed(bytes("GET / HTTP/1.1\r\n" + "a: b\r\n".repeat(100))))
-                .isInstanceOf(Malformed.class);
+                .isInstanceOf(MalformedMessageException.class);
     }
 }
--- a/src/test/java/birchusher/JobRowBeforeMachineTypesTest.java
+++ b/src/test/java/birchusher/JobRowBeforeMachineTypesTest.java
@@ -20,7 +20,7 @@
         Catalog catalog = new Catalog(SettingsReader.read(TestJobs.SETTINGS.getBytes(StandardCharsets.UTF_8)));
         Map<String, Object> row = TestJobs.job();
         row.put("builds", List.of("g8"));
-        var spec = new JobCodec(catalog).readRow(row);
+        var spec = new JobCodec(catalog).decodeRow(row);
         catalog.addTypes(List.of(
                 new Catalog.MachineType(catalog.typeNames.add("g8"), "g8", 8, 4, 64, 50, 1, 2, 1, 30, new int[] {0})));
         assertThat(spec.allowsType(catalog.typeNames.find("g8"))).isTrue();
--- a/src/test/java/birchusher/SettingsTest.java
+++ b/src/test/java/birchusher/SettingsTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void theFieldAtFaultIsNamed() {
+    void errorNamesTheInvalidField() {
         String good = TestJobs.SETTINGS;
         assertThatThrownBy(() -> read(good.replace("\"lease_s\":10", "\"lease_s\":0")))
                 .isInstanceOf(InvalidInputException.class)
@@ -33,14 +33,14 @@
     }
 
     @Test
-    void operatorsPropertiesOverrideDefaultsAndUnknownKeysAreRefused() throws IOException {
-        Tuning t = new Tuning().with(new StringReader("lease.base-s=120\n"));
-        assertThat(t.ms("lease.base-s")).isEqualTo(120_000);
-        assertThat(t.ms("lease.renew-s")).isEqualTo(30_000);
-        assertThatThrownBy(() -> new Tuning().with(new StringReader("lease.bass-s=1\n")))
+    void propertiesOverrideDefaultsAndUnknownKeysAreRejected() throws IOException {
+        Tuning t = new Tuning().withOverrides(new StringReader("lease.base-s=120\n"));
+        assertThat(t.durationMs("lease.base-s")).isEqualTo(120_000);
+        assertThat(t.durationMs("lease.renew-s")).isEqualTo(30_000);
+        assertThatThrownBy(() -> new Tuning().withOverrides(new StringReader("lease.bass-s=1\n")))
                 .isInstanceOf(InvalidInputException.class)
                 .hasMessageContaining("lease.bass-s");
-        assertThatThrownBy(() -> new Tuning().with(new StringReader("lease.base-s=soon\n")))
+        assertThatThrownBy(() -> new Tuning().withOverrides(new StringReader("lease.base-s=soon\n")))
                 .isInstanceOf(InvalidInputException.class)
                 .hasMessageContaining("lease.base-s");
     }
--- a/src/test/java/birchusher/cli/ClientTest.java
+++ b/src/test/java/birchusher/cli/ClientTest.java
@@ -8,7 +8,7 @@
 import birchusher.daemon.DaemonSettings;
 import birchusher.http.EventLoop;
 import birchusher.http.HttpServer;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -45,16 +45,16 @@
         HttpServer[] http = new HttpServer[1];
         int[] left = {refusals};
         http[0] = new HttpServer(loop, "127.0.0.1", port, 100, 65_536, (x, method, target, body) -> {
-            Map<String, Object> m = body.length == 0 ? Map.of() : Fields.map(Pack.decode(body), "body");
+            Map<String, Object> m = body.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(body), "body");
             asked.add(method + " " + target + (m.containsKey("name_id") ? " " + m.get("name_id") : ""));
             if (left[0]-- > 0) {
-                http[0].answer(x, 503, Pack.encode(Map.of("error", "later")), 1);
+                http[0].answer(x, 503, MessagePackCodec.encode(Map.of("error", "later")), 1);
             } else if (target.startsWith("/v2/runs?")) {
                 boolean second = target.contains("since=wk-b");
                 http[0].answer(
                         x,
                         200,
-                        Pack.encode(Map.of(
+                        MessagePackCodec.encode(Map.of(
                                 "runs",
                                 List.of(Map.of(
                                         "name_id",
@@ -75,12 +75,13 @@
                                 second ? "wk-c" : "wk-b")),
                         0);
             } else if (target.contains("wk-no")) {
-                http[0].answer(x, 404, Pack.encode(Map.of("error", "no such job")), 0);
+                http[0].answer(x, 404, MessagePackCodec.encode(Map.of("error", "no such job")), 0);
             } else {
                 http[0].answer(
                         x,
                         200,
-                        Pack.encode(Map.of("name_id", "wk-a", "stage", "cancelled", "done", 0, "running", 0)),
+                        MessagePackCodec.encode(
+                                Map.of("name_id", "wk-a", "stage", "cancelled", "done", 0, "running", 0)),
                         0);
             }
         });
@@ -164,7 +165,7 @@
         String good = Files.readString(Path.of("deploy/daemon.properties"));
         DaemonSettings d = read(good);
         assertThat(d.hosts().hosts()).containsOnlyKeys("local");
-        assertThat(d.tuning().num("fleet.linger-boots")).isEqualTo(20);
+        assertThat(d.tuning().value("fleet.linger-boots")).isEqualTo(20);
         Map<String, String> bad = Map.of(
                 "nonsense=1",
                 "nonsense",
--- a/src/test/java/birchusher/cli/DaemonMeasure.java
+++ b/src/test/java/birchusher/cli/DaemonMeasure.java
@@ -8,7 +8,7 @@
 import birchusher.store.StoreView;
 import birchusher.wal.LockedDirectory;
 import birchusher.wal.WriteAheadLog;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import birchusher.wire.Wire;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -35,7 +35,7 @@
     }
 
     private static void fill(Path dir, int jobs) throws IOException {
-        byte[] ended = Pack.encode(StoreView.endedJobRow(true, 1));
+        byte[] ended = MessagePackCodec.encode(StoreView.endedJobRow(true, 1));
         try (DurableStore k = DurableStore.open(
                 new LockedDirectory(dir.resolve("state")),
                 WriteAheadLog.Options.DEFAULT,
@@ -106,7 +106,7 @@
                         long from = System.nanoTime();
                         Map<String, Object> row =
                                 Map.of("writes", List.of(Map.of("set", "m/" + mine.get(Wire.ID), "value", mine)));
-                        if (c.call("POST", state ? Wire.MULTI : Wire.RUNS, state ? row : mine)
+                        if (c.call("POST", state ? Wire.TRANSACTIONS : Wire.JOBS, state ? row : mine)
                                 .fine()) {
                             accepted.incrementAndGet();
                             ms.recordValue(Math.min(60_000, (System.nanoTime() - from) / 1_000_000));
--- a/src/test/java/birchusher/cli/DaemonTest.java
+++ b/src/test/java/birchusher/cli/DaemonTest.java
@@ -70,12 +70,12 @@
         assertThat(c.call("POST", "/v2/programs/" + job.get("name_id"), Map.of("command", List.of("sh", "-c", script)))
                         .fine())
                 .isTrue();
-        Caller.Got g = c.call("POST", Wire.RUNS, job);
+        Caller.Got g = c.call("POST", Wire.JOBS, job);
         assertThat(g.fine()).as(g.error()).isTrue();
     }
 
     private static String stage(Caller c, String id) throws Exception {
-        Caller.Got g = c.call("GET", Wire.RUNS + "/" + id, null);
+        Caller.Got g = c.call("GET", Wire.JOBS + "/" + id, null);
         return g.fine() ? (String) g.body().get(Wire.STATE) : String.valueOf(g.status());
     }
 
@@ -125,7 +125,7 @@
             String id = "wk-" + (seed / 2) + "-" + r.nextInt(jobs);
             switch (r.nextInt(4)) {
                 case 0 -> {
-                    Caller.Got g = c.call("POST", Wire.RUNS + "/" + id + Wire.WITHDRAW, null);
+                    Caller.Got g = c.call("POST", Wire.JOBS + "/" + id + Wire.CANCEL, null);
                     if (g.fine()) {
                         told.hears(id, (String) g.body().get(Wire.STATE));
                     }
@@ -270,7 +270,7 @@
                     .containsExactlyInAnyOrder("0 127.0.0.1,127.0.0.1", "1 127.0.0.1,127.0.0.1");
 
             // What people ask.
-            assertThat(c.call("GET", Wire.RUNS + "?stage=done", null)
+            assertThat(c.call("GET", Wire.JOBS + "?stage=done", null)
                             .body()
                             .get("runs")
                             .toString())
@@ -280,35 +280,35 @@
                     p,
                     "three tasks",
                     () -> Fields.list(
-                                            c.call("GET", Wire.RUNS + "/wk-more/describe", null)
+                                            c.call("GET", Wire.JOBS + "/wk-more/describe", null)
                                                     .body(),
                                             "pieces")
                                     .size()
                             == 3);
-            assertThat(c.call("GET", Wire.RUNS + "/wk-more/describe", null)
+            assertThat(c.call("GET", Wire.JOBS + "/wk-more/describe", null)
                             .body()
                             .get("events")
                             .toString())
                     .contains("placed");
-            assertThat(c.call("GET", Wire.RUNS + "?crew=main&stage=running", null)
+            assertThat(c.call("GET", Wire.JOBS + "?crew=main&stage=running", null)
                             .body()
                             .get("runs")
                             .toString())
                     .contains("wk-more");
-            assertThat(c.call("GET", Wire.RUNS + "?crew=other", null).body().get("runs"))
+            assertThat(c.call("GET", Wire.JOBS + "?crew=other", null).body().get("runs"))
                     .isEqualTo(List.of());
-            assertThat(c.call("GET", Wire.RUNS + "?stage=what", null).status()).isEqualTo(400);
+            assertThat(c.call("GET", Wire.JOBS + "?stage=what", null).status()).isEqualTo(400);
             until(p, "a log", () -> c.call("GET", "/v2/logs/wk-more/1", null)
                     .body()
                     .get("hosts")
                     .toString()
                     .contains("try"));
-            assertThat(c.call("POST", Wire.RUNS + "/wk-more" + Wire.WITHDRAW, null)
+            assertThat(c.call("POST", Wire.JOBS + "/wk-more" + Wire.CANCEL, null)
                             .body()
                             .get(Wire.STATE))
                     .isEqualTo(Wire.CANCELLED);
             until(p, "nothing left of it", () -> Fields.list(
-                            c.call("GET", Wire.RUNS + "?stage=cancelled", null).body(), "runs")
+                            c.call("GET", Wire.JOBS + "?stage=cancelled", null).body(), "runs")
                     .toString()
                     .contains("wk-more"));
             assertThat(p.end("a")).isEqualTo(143);
--- a/src/test/java/birchusher/membership/StalenessTest.java
+++ b/src/test/java/birchusher/membership/StalenessTest.java
@@ -115,7 +115,7 @@
                 .as("a reply that was delayed")
                 .isEqualTo(controller.now - 7_000);
         assertThat(controller.staleness.isUpToDate()).isTrue();
-        controller.refuseStoreCalls(Math.round(controller.settings.staleMs()));
+        controller.refuseStoreCalls(Math.round(controller.settings.stalenessLimitMs()));
         assertThat(controller.staleness.isUpToDate()).as("age above the bound").isFalse();
     }
 
--- a/src/test/java/birchusher/placement/QuotasTest.java
+++ b/src/test/java/birchusher/placement/QuotasTest.java
@@ -12,7 +12,7 @@
 import birchusher.store.StoreView;
 import birchusher.store.Transaction;
 import birchusher.wire.JobCodec;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -121,7 +121,7 @@
     }
 
     private static Map<String, Object> decode(Object packed) {
-        return Fields.map(Pack.decode((byte[]) packed), "value");
+        return Fields.map(MessagePackCodec.decode((byte[]) packed), "value");
     }
 
     /** Applies a transaction if its conditions hold. Returns its revision, or 0 if it was rejected. */
@@ -144,7 +144,7 @@
     }
 
     private void put(String key, Map<String, Object> value) {
-        byte[] packed = Pack.encode(value);
+        byte[] packed = MessagePackCodec.encode(value);
         rows.put(key, new Object[] {packed, revision});
         changes.add(new Object[] {key, packed, revision});
         quotaRowWrites += key.startsWith(Keys.QUOTA) ? 1 : 0;
