--- a/src/test/java/birchusher/sim/ProcessWorld.java
+++ b/src/test/java/birchusher/sim/ProcessWorld.java
@@ -5,7 +5,7 @@
 import birchusher.http.EventLoop;
 import birchusher.http.HttpClient;
 import birchusher.http.HttpServer;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
@@ -47,7 +47,7 @@
     private final int[] state;
     private final int[][] proxyPorts;
     private final List<HoldingProxy> proxies = new ArrayList<>();
-    private final long startedAt = EventLoop.now();
+    private final long startedAt = EventLoop.nowMs();
     private boolean advancing;
     /** Controllers started, kills included. */
     int boots;
@@ -118,12 +118,12 @@
         HttpServer[] server = new HttpServer[1];
         server[0] = new HttpServer(events, "127.0.0.1", port, 200, MAX_BODY, (exchange, method, target, body) -> {
             advance();
-            Map<String, Object> map = body.length == 0 ? Map.of() : Fields.map(Pack.decode(body), "body");
+            Map<String, Object> map = body.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(body), "body");
             service.handle(
                     method,
                     target,
                     map,
-                    (status, answer) -> server[0].answer(exchange, status, Pack.encode(answer), 0));
+                    (status, answer) -> server[0].answer(exchange, status, MessagePackCodec.encode(answer), 0));
         });
         server[0].open();
         servers.add(server[0]);
@@ -265,7 +265,8 @@
         client.call(listenAddress(node), method, path, body, timeoutMs, (status, answer) -> {
             advance();
             if (status != 0) {
-                reply.accept(status, answer.length == 0 ? Map.of() : Fields.map(Pack.decode(answer), "answer"));
+                reply.accept(
+                        status, answer.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(answer), "answer"));
             }
         });
     }
@@ -273,7 +274,7 @@
     // ---- time
 
     private void advance() {
-        long real = EventLoop.now() - startedAt + START_MS;
+        long real = EventLoop.nowMs() - startedAt + START_MS;
         if (!advancing && real > now) {
             advancing = true;
             try {
--- a/src/test/java/birchusher/sim/World.java
+++ b/src/test/java/birchusher/sim/World.java
@@ -8,7 +8,7 @@
 import birchusher.settings.Settings;
 import birchusher.settings.SettingsReader;
 import birchusher.settings.Tuning;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -257,7 +257,7 @@
 
     /** Sends a message of a worker's once more, as a copy that was long on its way; nobody waits for its answer. */
     void copy(int node, Map<String, Object> report) {
-        ask(node, "POST", "/hello", Pack.encode(report), (s, m) -> {});
+        ask(node, "POST", "/hello", MessagePackCodec.encode(report), (s, m) -> {});
     }
 
     /** Copies of all kept reports come to every controller, the oldest first. */
@@ -369,7 +369,7 @@
     /** Sends one request and waits for its answer: the status, then the stage or the orders. */
     String tell(int node, String method, String path, Map<String, Object> body) {
         String[] got = new String[1];
-        ask(node, method, path, body == null ? new byte[0] : Pack.encode(body), (status, m) -> {
+        ask(node, method, path, body == null ? new byte[0] : MessagePackCodec.encode(body), (status, m) -> {
             StringBuilder sb = new StringBuilder().append(status);
             if (m.get("stage") != null) {
                 sb.append(' ').append(m.get("stage"));
@@ -520,7 +520,7 @@
 
     @SuppressWarnings("unchecked")
     private static Map<String, Object> plain(Object body) {
-        return body == null ? Map.of() : (Map<String, Object>) Pack.decode(Pack.encode(body));
+        return body == null ? Map.of() : (Map<String, Object>) MessagePackCodec.decode(MessagePackCodec.encode(body));
     }
 
     private void call(int i, int life, Effect.Call c) {
@@ -537,7 +537,7 @@
                 act(
                         i,
                         nodes[i].core.handleReply(
-                                now, wall(i), c.id(), status, m.isEmpty() ? new byte[0] : Pack.encode(m)));
+                                now, wall(i), c.id(), status, m.isEmpty() ? new byte[0] : MessagePackCodec.encode(m)));
             }
         };
         at(now + c.timeoutMs(), () -> whenAwake(i, () -> back.accept(0, Map.of())));
@@ -753,7 +753,7 @@
         w.nextReport = now + 3_000;
         long sent = now;
         long session = w.session;
-        byte[] report = Pack.encode(w.report());
+        byte[] report = MessagePackCodec.encode(w.report());
         int to = w.node;
         if (keepsReports && kept.size() < 600) {
             kept.add(report);
@@ -863,7 +863,7 @@
                 + (kind == AnswerHistory.Kind.SUBMIT
                         ? ""
                         : "/" + j.id + (kind == AnswerHistory.Kind.CANCEL ? "/withdraw" : ""));
-        byte[] body = kind == AnswerHistory.Kind.SUBMIT ? Pack.encode(j.body) : new byte[0];
+        byte[] body = kind == AnswerHistory.Kind.SUBMIT ? MessagePackCodec.encode(j.body) : new byte[0];
         ask(node, kind == AnswerHistory.Kind.POLL ? "GET" : "POST", path, body, (s, m) -> {
             String before = j.told.last();
             String wrong = j.told.answered(q, s, (String) m.get("stage"));
--- a/src/test/java/birchusher/statehost/ProtocolCodecTest.java
+++ b/src/test/java/birchusher/statehost/ProtocolCodecTest.java
@@ -11,7 +11,7 @@
 import birchusher.wal.FaultDirectory;
 import birchusher.wal.WriteAheadLog;
 import birchusher.wire.Json;
-import birchusher.wire.Pack;
+import birchusher.wire.MessagePackCodec;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -34,8 +34,9 @@
     }
 
     private String exchange(String method, String target, String json) {
-        byte[] body =
-                json.isEmpty() ? new byte[0] : Pack.encode(SettingsReader.tree(json.getBytes(StandardCharsets.UTF_8)));
+        byte[] body = json.isEmpty()
+                ? new byte[0]
+                : MessagePackCodec.encode(SettingsReader.parseJson(json.getBytes(StandardCharsets.UTF_8)));
         try {
             Request r = ProtocolCodec.parseRequest(method, target, body);
             ProtocolCodec.HttpResponse[] out = new ProtocolCodec.HttpResponse[1];
@@ -45,7 +46,7 @@
             answers.stream()
                     .filter(a -> a.requestId() == mine)
                     .forEach(a -> out[0] = ProtocolCodec.encodeReply(r, a.reply()));
-            return out[0] == null ? "waits" : out[0].status() + " " + Json.text(out[0].body(), false);
+            return out[0] == null ? "waits" : out[0].status() + " " + Json.toText(out[0].body(), false);
         } catch (ProtocolCodec.HttpStatusException e) {
             return e.status + "";
         } catch (InvalidInputException e) {
@@ -112,7 +113,7 @@
         assertThat(exchange("GET", "/multi", "")).isEqualTo("405");
         assertThat(exchange("GET", "/nowhere", "")).isEqualTo("404");
         assertThat(exchange("DELETE", "/leases/x", "")).isEqualTo("404");
-        assertThat(Json.size(Map.of("a", 1.0))).isEqualTo("{\"a\":1.0}".length());
-        assertThatThrownBy(() -> Json.size(new Object())).isInstanceOf(IllegalArgumentException.class);
+        assertThat(Json.sizeBytes(Map.of("a", 1.0))).isEqualTo("{\"a\":1.0}".length());
+        assertThatThrownBy(() -> Json.sizeBytes(new Object())).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/birchusher/store/StoreClientTest.java
+++ b/src/test/java/birchusher/store/StoreClientTest.java
@@ -93,7 +93,7 @@
         effects.completeCall(first.id(), 200, Map.of("epoch", 2L));
         advance(3_000);
         Effect.Call second = calls("/multi").get(0);
-        assertThat(Json.size(second.body())).isBetween(30_000, 64 * 1024);
+        assertThat(Json.sizeBytes(second.body())).isBetween(30_000, 64 * 1024);
     }
 
     /**
--- a/src/test/java/birchusher/workers/WorkerLeaseGrantTest.java
+++ b/src/test/java/birchusher/workers/WorkerLeaseGrantTest.java
@@ -54,7 +54,7 @@
                 .as("the answer to a direct command does not renew the lease")
                 .isEqualTo(10_000 + DURATION_MS);
         assertThat(lease.isOvertaken(report(11))).isTrue();
-        assertThat(lease.renewalResponse(report(11), TERM, List.of())).containsEntry(Wire.TOKEN, TERM);
+        assertThat(lease.renewalResponse(report(11), TERM, List.of())).containsEntry(Wire.FENCING_TOKEN, TERM);
         assertThat(certainEndMs()).isEqualTo(13_000 + DURATION_MS);
     }
 
@@ -66,7 +66,7 @@
         for (Report duplicate : List.of(report(10), report(11), report(12))) {
             assertThat(lease.isOvertaken(duplicate)).isFalse();
         }
-        assertThat(WorkerLease.responseWithoutRenewal()).doesNotContainKey(Wire.TOKEN);
+        assertThat(WorkerLease.responseWithoutRenewal()).doesNotContainKey(Wire.FENCING_TOKEN);
         assertThat(certainEndMs()).isEqualTo(11_000 + DURATION_MS);
         lease.onMessage(report(2, 14, TERM, Map.of()), TERM, 30_000);
         assertThat(lease.isOvertaken(report(13)))
