--- a/src/main/java/birchusher/agent/Agent.java
+++ b/src/main/java/birchusher/agent/Agent.java
@@ -28,13 +28,13 @@
 public final class Agent implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(Agent.class);
     private static final int MAX_CONNECTIONS = 256;
-    private static final int MAX_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_CALLS = 64;
-    private static final long POLL_MS = 500;
+    private static final long POLL_INTERVAL_MS = 500;
     private static final int POLL_TIMEOUT_MS = 3_000;
     private static final int REPORT_TIMEOUT_MS = 4_000;
-    private static final long PRUNE_MS = 600_000;
-    private static final int MAX_ASKED = 32;
+    private static final long PRUNE_INTERVAL_MS = 600_000;
+    private static final int MAX_JOBS_CHECKED = 32;
 
     /**
      * @param server the daemon's address
@@ -43,7 +43,7 @@
      * @param checkpoints where tasks save; the same for all hosts if tasks are to go on elsewhere
      */
     public record Options(String server, String host, String address, int port, Path dir, Path checkpoints) {
-        private String listens() {
+        private String listenAddress() {
             return address + ":" + port;
         }
     }
@@ -52,47 +52,47 @@
     private final EventLoop loop = new EventLoop();
     private final HttpServer httpServer;
     private final HttpClient client;
-    private final LockedDirectory lock;
+    private final LockedDirectory directoryLock;
     private final Worker worker;
     private final Runner runner;
-    private final Logs logs;
+    private final TaskLogs logs;
     private final String tag;
-    private final String boot = UUID.randomUUID().toString();
-    private final String before;
-    private Guard guard;
-    private boolean polling;
-    private long nextPoll;
-    private long polls;
-    private long nextPrune;
-    private int lastPoll = 200;
+    private final String bootId = UUID.randomUUID().toString();
+    private final String previousBootId;
+    private SupervisorClient supervisor;
+    private boolean pollInFlight;
+    private long nextPollMs;
+    private long pollSequence;
+    private long nextPruneMs;
+    private int lastPollStatus = 200;
 
     /** @throws IOException also if another agent holds the directory */
     public Agent(Options o) throws IOException, InterruptedException {
-        if (!Tagged.possible()) {
+        if (!TaggedProcesses.isSupported()) {
             throw new IOException(
                     "/proc can't be read: an agent needs Linux, to be sure that nothing of a task is left");
         }
         options = o;
-        lock = new LockedDirectory(o.dir().resolve("state"));
-        tag = kept("tag", UUID.randomUUID().toString());
-        Tagged.killAll(tag + "/");
+        directoryLock = new LockedDirectory(o.dir().resolve("state"));
+        tag = readOrCreate("tag", UUID.randomUUID().toString());
+        TaggedProcesses.killAll(tag + "/");
         // Only now may the pool be told that the agent before this one is dead, and all its tasks.
-        before = kept("boot", "");
-        Files.writeString(o.dir().resolve("state").resolve("boot"), boot);
-        logs = new Logs(o.dir().resolve("logs"), Logs.Bounds.USUAL);
-        worker = new Worker(o.listens(), new SplittableRandom());
+        previousBootId = readOrCreate("boot", "");
+        Files.writeString(o.dir().resolve("state").resolve("boot"), bootId);
+        logs = new TaskLogs(o.dir().resolve("logs"), TaskLogs.Limits.DEFAULT);
+        worker = new Worker(o.listenAddress(), new SplittableRandom());
         runner = new Runner(
                 tag,
                 o.dir(),
                 o.checkpoints(),
                 logs,
-                (key, code) -> loop.post(() -> act(worker.exited(EventLoop.nowMs(), key, code))));
-        runner.forgetAll();
-        httpServer = new HttpServer(loop, o.address(), o.port(), MAX_CONNECTIONS, MAX_BODY, this::request);
+                (key, code) -> loop.post(() -> perform(worker.onTaskExit(EventLoop.nowMs(), key, code))));
+        runner.deleteAllWorkDirs();
+        httpServer = new HttpServer(loop, o.address(), o.port(), MAX_CONNECTIONS, MAX_BODY_BYTES, this::handleRequest);
         client = new HttpClient(loop, MAX_CALLS);
     }
 
-    private String kept(String name, String first) throws IOException {
+    private String readOrCreate(String name, String first) throws IOException {
         Path p = options.dir().resolve("state").resolve(name);
         if (!Files.exists(p)) {
             Files.writeString(p, first);
@@ -102,7 +102,7 @@
 
     /** Runs in the calling thread until {@link #stop}. */
     public void run() throws IOException, InterruptedException {
-        guard = new Guard(tag + "/", () -> loop.post(this::unguarded));
+        supervisor = new SupervisorClient(tag + "/", () -> loop.post(this::onSupervisorExit));
         httpServer.open();
         loop.run(this::tick);
     }
@@ -116,26 +116,26 @@
     public void close() throws IOException {
         try {
             httpServer.close();
-            Guard g = guard;
-            guard = null;
+            SupervisorClient g = supervisor;
+            supervisor = null;
             if (g != null) {
                 g.close();
             }
-            Tagged.killAll(tag + "/");
+            TaggedProcesses.killAll(tag + "/");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        lock.close();
+        directoryLock.close();
     }
 
-    private void unguarded() {
-        if (guard == null) {
+    private void onSupervisorExit() {
+        if (supervisor == null) {
             return;
         }
         LOG.error("the warden has ended: all tasks end, and another one is started");
-        act(worker.unguarded());
+        perform(worker.onSupervisorExit());
         try {
-            guard = new Guard(tag + "/", () -> loop.post(this::unguarded));
+            supervisor = new SupervisorClient(tag + "/", () -> loop.post(this::onSupervisorExit));
         } catch (IOException e) {
             LOG.error("no warden: {}", e.getMessage());
             loop.stop();
@@ -144,20 +144,20 @@
 
     private void tick(long late) {
         long now = EventLoop.nowMs();
-        act(worker.tick(now));
-        if (!polling && now >= nextPoll) {
-            poll(now);
+        perform(worker.tick(now));
+        if (!pollInFlight && now >= nextPollMs) {
+            pollAssignment(now);
         }
-        if (now >= nextPrune) {
-            nextPrune = now + PRUNE_MS;
-            for (String job : runner.keptJobs(MAX_ASKED)) {
-                ask("GET", Wire.DESCRIPTIONS + job, null, POLL_TIMEOUT_MS, (status, m) -> {
+        if (now >= nextPruneMs) {
+            nextPruneMs = now + PRUNE_INTERVAL_MS;
+            for (String job : runner.inactiveCheckpointJobs(MAX_JOBS_CHECKED)) {
+                callDaemon("GET", Wire.DESCRIPTIONS + job, null, POLL_TIMEOUT_MS, (status, m) -> {
                     if (status == 404) {
-                        runner.over(job);
+                        runner.deleteCheckpoints(job);
                     }
                 });
             }
-            Runner.thread("prune", () -> {
+            Runner.startDaemonThread("prune", () -> {
                 try {
                     logs.prune();
                 } catch (IOException e) {
@@ -170,40 +170,40 @@
     }
 
     /** Asks the daemon which machine this host is. */
-    private void poll(long now) {
-        polling = true;
-        nextPoll = now + POLL_MS;
+    private void pollAssignment(long now) {
+        pollInFlight = true;
+        nextPollMs = now + POLL_INTERVAL_MS;
         Map<String, Object> body = new HashMap<>();
         body.put("agent", options.host());
-        body.put("boot", boot);
-        body.put("before", before.isEmpty() ? null : before);
-        body.put(Wire.MACHINE, worker.runs());
-        body.put(Wire.ADDRESS, options.listens());
-        body.put(Wire.SEQUENCE, ++polls);
-        ask("POST", Wire.AGENTS, body, POLL_TIMEOUT_MS, (status, m) -> {
-            polling = false;
+        body.put("boot", bootId);
+        body.put("before", previousBootId.isEmpty() ? null : previousBootId);
+        body.put(Wire.MACHINE, worker.currentMachine());
+        body.put(Wire.ADDRESS, options.listenAddress());
+        body.put(Wire.SEQUENCE, ++pollSequence);
+        callDaemon("POST", Wire.AGENTS, body, POLL_TIMEOUT_MS, (status, m) -> {
+            pollInFlight = false;
             if (status == 200) {
-                act(worker.assigned(EventLoop.nowMs(), now, Assignment.read(m)));
-            } else if (status != lastPoll) {
+                perform(worker.onAssignment(EventLoop.nowMs(), now, Assignment.read(m)));
+            } else if (status != lastPollStatus) {
                 LOG.info(
                         "daemon {}: {} {}",
                         options.server(),
                         status == 0 ? "no answer" : status,
                         m.getOrDefault("error", ""));
             }
-            lastPoll = status;
+            lastPollStatus = status;
         });
     }
 
-    private interface Reply {
-        void got(int status, Map<String, Object> body);
+    private interface ResponseHandler {
+        void onResponse(int status, Map<String, Object> body);
     }
 
-    private void ask(String method, String path, Object body, int timeoutMs, Reply reply) {
+    private void callDaemon(String method, String path, Object body, int timeoutMs, ResponseHandler reply) {
         call(options.server(), method, path, body, timeoutMs, reply);
     }
 
-    private void call(String address, String method, String path, Object body, int timeoutMs, Reply reply) {
+    private void call(String address, String method, String path, Object body, int timeoutMs, ResponseHandler reply) {
         client.call(
                 address,
                 method,
@@ -212,54 +212,55 @@
                 timeoutMs,
                 (status, bytes) -> {
                     try {
-                        reply.got(
+                        reply.onResponse(
                                 status,
                                 bytes.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(bytes), "answer"));
                     } catch (InvalidInputException e) {
                         LOG.error("{} of {} not as agreed: {}", path, address, e.getMessage());
-                        reply.got(0, Map.of());
+                        reply.onResponse(0, Map.of());
                     }
                 });
     }
 
-    private void act(List<Action> actions) {
+    private void perform(List<Action> actions) {
         for (Action a : actions) {
-            act(a);
+            perform(a);
         }
     }
 
-    private void act(Action a) {
-        if (a instanceof Action.Report r) {
+    private void perform(Action a) {
+        if (a instanceof Action.SendReport r) {
             call(
                     r.address(),
                     "POST",
                     Wire.WORKER_REPORTS,
                     r.body(),
                     REPORT_TIMEOUT_MS,
-                    (status, m) -> act(worker.answered(EventLoop.nowMs(), r.id(), status, m)));
-        } else if (a instanceof Action.Answer x) {
+                    (status, m) -> perform(worker.onReportResponse(EventLoop.nowMs(), r.id(), status, m)));
+        } else if (a instanceof Action.SendResponse x) {
             httpServer.answer(x.exchange(), x.status(), MessagePackCodec.encode(x.body()), x.retryAfterS());
-        } else if (a instanceof Action.Fetch f) {
-            ask("GET", Wire.DESCRIPTIONS + f.job(), null, POLL_TIMEOUT_MS, (status, m) -> {
+        } else if (a instanceof Action.FetchDescription f) {
+            callDaemon("GET", Wire.DESCRIPTIONS + f.jobId(), null, POLL_TIMEOUT_MS, (status, m) -> {
                 if (status == 200 || status == 404) {
-                    act(worker.described(EventLoop.nowMs(), f.job(), status == 404 ? null : Description.read(m)));
+                    perform(worker.onDescription(
+                            EventLoop.nowMs(), f.jobId(), status == 404 ? null : JobDescription.read(m)));
                 }
             });
-        } else if (a instanceof Action.Run r) {
+        } else if (a instanceof Action.StartProcess r) {
             runner.run(r);
-        } else if (a instanceof Action.Signal s) {
-            runner.signal(s);
-        } else if (a instanceof Action.Kill k) {
+        } else if (a instanceof Action.SendSignal s) {
+            runner.sendSignal(s);
+        } else if (a instanceof Action.KillTask k) {
             runner.kill(k.key());
-        } else if (a instanceof Action.KillAll) {
-            runner.killAll(() -> loop.post(() -> act(worker.cleared(EventLoop.nowMs()))));
-        } else if (a instanceof Action.Forget f) {
-            runner.forget(f.key());
-        } else if (a instanceof Action.Say s) {
-            say(s);
-        } else if (a instanceof Action.Lease l) {
+        } else if (a instanceof Action.KillAllTasks) {
+            runner.killAll(() -> loop.post(() -> perform(worker.onAllKilled(EventLoop.nowMs()))));
+        } else if (a instanceof Action.DeleteWorkDir f) {
+            runner.deleteWorkDir(f.key());
+        } else if (a instanceof Action.SendGangStatus s) {
+            sendGangStatus(s);
+        } else if (a instanceof Action.ExtendSupervisorLease l) {
             try {
-                guard.lease(l.remainingMs());
+                supervisor.setLease(l.remainingMs());
             } catch (IOException e) {
                 // Its end is told as well, and ends the tasks.
                 LOG.error("the warden can't be told: {}", e.getMessage());
@@ -267,7 +268,7 @@
         }
     }
 
-    private void say(Action.Say s) {
+    private void sendGangStatus(Action.SendGangStatus s) {
         Map<String, Object> body = Map.of(
                 "job",
                 s.key().job(),
@@ -276,27 +277,27 @@
                 "index",
                 s.key().index(),
                 "pieces",
-                s.tasks(),
+                s.taskCount(),
                 "phase",
                 s.phase(),
                 Wire.ADDRESS,
-                options.listens());
-        ask("POST", Wire.GANGS, body, POLL_TIMEOUT_MS, (status, m) -> {
+                options.listenAddress());
+        callDaemon("POST", Wire.GANGS, body, POLL_TIMEOUT_MS, (status, m) -> {
             if (status == 200) {
                 List<String> hosts = m.get("hosts") == null
                         ? List.of()
                         : Fields.list(m, "hosts").stream().map(String::valueOf).toList();
-                act(worker.gangSaid(EventLoop.nowMs(), s.key(), Fields.text(m, "say"), hosts));
+                perform(worker.onGangInstruction(EventLoop.nowMs(), s.key(), Fields.text(m, "say"), hosts));
             }
         });
     }
 
-    private void request(long exchange, String method, String target, byte[] body) {
+    private void handleRequest(long exchange, String method, String target, byte[] body) {
         try {
             if (target.startsWith("/logs/")) {
-                httpServer.answer(exchange, 200, MessagePackCodec.encode(log(RequestTarget.parse(target))), 0);
+                httpServer.answer(exchange, 200, MessagePackCodec.encode(readLog(RequestTarget.parse(target))), 0);
             } else {
-                act(worker.direct(
+                perform(worker.onDirectRequest(
                         EventLoop.nowMs(),
                         exchange,
                         method,
@@ -311,8 +312,8 @@
         }
     }
 
-    private Map<String, Object> log(RequestTarget t) throws IOException, RequestTarget.InvalidTargetException {
-        Action.Key key = Order.key(t.path().substring("/logs/".length()), t.count("try", 0));
+    private Map<String, Object> readLog(RequestTarget t) throws IOException, RequestTarget.InvalidTargetException {
+        Action.AttemptKey key = Command.attemptKey(t.path().substring("/logs/".length()), t.count("try", 0));
         return t.parameters().containsKey("try")
                 ? logs.read(key, t.count("from", 0))
                 : Map.of("logs", logs.list(key.job(), key.index()));
--- a/src/main/java/birchusher/agent/Assignment.java
+++ b/src/main/java/birchusher/agent/Assignment.java
@@ -18,7 +18,7 @@
         String zone,
         double cpus,
         double gpus,
-        double memGb,
+        double memoryGb,
         long reportMs,
         long leaseMs,
         long gangWaitMs,
@@ -38,13 +38,13 @@
                 Fields.amount(m, Wire.CPUS),
                 Fields.amount(m, Wire.GPUS),
                 Fields.amount(m, Wire.MEMORY_GB),
-                ms(m, "report_s"),
-                ms(m, "lease_s"),
-                ms(m, "gang_wait_s"),
+                milliseconds(m, "report_s"),
+                milliseconds(m, "lease_s"),
+                milliseconds(m, "gang_wait_s"),
                 List.copyOf(controllers));
     }
 
-    private static long ms(Map<String, Object> m, String field) {
+    private static long milliseconds(Map<String, Object> m, String field) {
         return Math.round(Fields.amount(m, field) * 1000);
     }
 }
--- a/src/main/java/birchusher/agent/Description.java
+++ b/src/main/java/birchusher/agent/JobDescription.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 
 /** A job as a worker needs it. {@code command} is empty if its user has uploaded no program. */
-record Description(
-        String job,
-        int tasks,
+record JobDescription(
+        String jobId,
+        int taskCount,
         boolean gang,
         boolean service,
         double cpus,
         double gpus,
-        double memGb,
-        boolean resumes,
-        long saveMs,
+        double memoryGb,
+        boolean usesCheckpoints,
+        long saveDurationMs,
         List<String> command,
         Map<String, String> env,
         String saveSignal) {
 
-    static Description read(Map<String, Object> m) {
+    static JobDescription read(Map<String, Object> m) {
         Map<String, Object> job = Fields.map(m.get("job"), "job");
         String shape = Fields.text(job, Wire.SHAPE);
         Map<String, Object> program = m.get("program") == null ? Map.of() : Fields.map(m.get("program"), "program");
@@ -33,7 +33,7 @@
                 ? List.of()
                 : Fields.list(program, "command").stream().map(String::valueOf).toList();
         String signal = Fields.textOrNull(program, "save_signal");
-        return new Description(
+        return new JobDescription(
                 Fields.text(job, Wire.ID),
                 (int) Fields.count(job, Wire.TASKS),
                 shape.equals("gang"),
--- a/src/main/java/birchusher/agent/Runner.java
+++ b/src/main/java/birchusher/agent/Runner.java
@@ -29,153 +29,155 @@
 final class Runner {
     private static final Logger LOG = LoggerFactory.getLogger(Runner.class);
     /** Taken over from the agent; all else comes from the job. */
-    private static final List<String> KEPT = List.of("PATH", "HOME", "LANG", "LC_ALL", "TZ", "TMPDIR", "USER");
+    private static final List<String> INHERITED_VARIABLES =
+            List.of("PATH", "HOME", "LANG", "LC_ALL", "TZ", "TMPDIR", "USER");
 
-    static final int FAILED = 125;
+    static final int START_FAILED_EXIT_CODE = 125;
     /** What a task printed last has this long to reach its log. */
-    private static final long LOG_MS = 2_000;
+    private static final long LOG_DRAIN_MS = 2_000;
 
-    private final String agent;
-    private final Path work;
-    private final Path checkpoints;
-    private final Logs logs;
-    private final ObjIntConsumer<Action.Key> exited;
+    private final String agentTag;
+    private final Path workRoot;
+    private final Path checkpointRoot;
+    private final TaskLogs logs;
+    private final ObjIntConsumer<Action.AttemptKey> exitHandler;
     /** From {@link #run} until its exit is told. */
-    private final Map<Action.Key, Entry> active = new ConcurrentHashMap<>();
+    private final Map<Action.AttemptKey, ActiveTask> activeTasks = new ConcurrentHashMap<>();
 
-    private static final class Entry {
+    private static final class ActiveTask {
         /** Null until it is started. */
         Process process;
 
-        boolean doomed;
+        boolean killed;
         /** It was asked to end: what it exits with does not say any more that its work is done. */
-        boolean asked;
+        boolean endRequested;
 
         /** Whether it was started; not if it is to end anyhow. */
         synchronized boolean start(ProcessBuilder b) throws IOException {
-            if (!doomed && !asked) {
+            if (!killed && !endRequested) {
                 process = b.start();
             }
             return process != null;
         }
 
-        synchronized void doom() {
-            doomed = true;
-            asked = true;
+        synchronized void kill() {
+            killed = true;
+            endRequested = true;
             if (process != null) {
                 process.destroyForcibly();
             }
         }
 
         /** The process, if it can be asked. */
-        synchronized Process ask() {
-            asked = true;
+        synchronized Process requestEnd() {
+            endRequested = true;
             return process;
         }
 
-        synchronized boolean asked() {
-            return asked;
+        synchronized boolean endRequested() {
+            return endRequested;
         }
     }
 
     /** @param exited called from other threads, once for each {@link #run} */
-    Runner(String agent, Path dir, Path checkpoints, Logs logs, ObjIntConsumer<Action.Key> exited) throws IOException {
-        this.agent = agent;
-        this.work = Files.createDirectories(dir.resolve("work"));
-        this.checkpoints = Files.createDirectories(checkpoints);
+    Runner(String agent, Path dir, Path checkpoints, TaskLogs logs, ObjIntConsumer<Action.AttemptKey> exited)
+            throws IOException {
+        this.agentTag = agent;
+        this.workRoot = Files.createDirectories(dir.resolve("work"));
+        this.checkpointRoot = Files.createDirectories(checkpoints);
         this.logs = logs;
-        this.exited = exited;
+        this.exitHandler = exited;
     }
 
-    private Path saves(Action.Key k) {
-        return checkpoints.resolve(k.job()).resolve(String.valueOf(k.index()));
+    private Path checkpointDir(Action.AttemptKey k) {
+        return checkpointRoot.resolve(k.job()).resolve(String.valueOf(k.index()));
     }
 
-    private Path done(Action.Key k) {
-        return checkpoints.resolve(k.job()).resolve(k.index() + ".done");
+    private Path doneMarker(Action.AttemptKey k) {
+        return checkpointRoot.resolve(k.job()).resolve(k.index() + ".done");
     }
 
-    private Path place(Action.Key k) {
-        return work.resolve(k.job()).resolve(k.index() + "." + k.attempt());
+    private Path workDir(Action.AttemptKey k) {
+        return workRoot.resolve(k.job()).resolve(k.index() + "." + k.attempt());
     }
 
-    void run(Action.Run r) {
-        Entry entry = new Entry();
-        active.put(r.key(), entry);
-        thread("task " + r.key().piece(), () -> {
-            int code = FAILED;
+    void run(Action.StartProcess r) {
+        ActiveTask entry = new ActiveTask();
+        activeTasks.put(r.key(), entry);
+        startDaemonThread("task " + r.key().taskName(), () -> {
+            int code = START_FAILED_EXIT_CODE;
             try {
-                code = Files.exists(done(r.key())) ? 0 : process(r, entry);
+                code = Files.exists(doneMarker(r.key())) ? 0 : runProcess(r, entry);
             } catch (IOException e) {
-                LOG.info("{} can't be run: {}", r.key().piece(), e.getMessage());
-                logs.note(r.key(), e.getMessage());
+                LOG.info("{} can't be run: {}", r.key().taskName(), e.getMessage());
+                logs.writeNote(r.key(), e.getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } finally {
-                active.remove(r.key());
-                exited.accept(r.key(), code);
+                activeTasks.remove(r.key());
+                exitHandler.accept(r.key(), code);
             }
         });
     }
 
     /** Starts a thread that keeps no process alive. */
-    static Thread thread(String name, Runnable body) {
+    static Thread startDaemonThread(String name, Runnable body) {
         Thread t = new Thread(body, name);
         t.setDaemon(true);
         t.start();
         return t;
     }
 
-    private int process(Action.Run r, Entry entry) throws IOException, InterruptedException {
-        Action.Key k = r.key();
-        String tag = Tagged.tag(agent, k);
-        Files.createDirectories(saves(k));
-        ProcessBuilder b = new ProcessBuilder(r.job().command())
+    private int runProcess(Action.StartProcess r, ActiveTask entry) throws IOException, InterruptedException {
+        Action.AttemptKey k = r.key();
+        String tag = TaggedProcesses.tag(agentTag, k);
+        Files.createDirectories(checkpointDir(k));
+        ProcessBuilder b = new ProcessBuilder(r.description().command())
                 .redirectErrorStream(true)
                 .redirectInput(new File("/dev/null"))
-                .directory(Files.createDirectories(place(k)).toFile());
+                .directory(Files.createDirectories(workDir(k)).toFile());
         Map<String, String> env = b.environment();
-        env.keySet().retainAll(KEPT);
-        env.putAll(r.job().env());
-        env.putAll(names(r, tag));
+        env.keySet().retainAll(INHERITED_VARIABLES);
+        env.putAll(r.description().env());
+        env.putAll(taskVariables(r, tag));
         if (!entry.start(b)) {
-            return FAILED;
+            return START_FAILED_EXIT_CODE;
         }
         Process p = entry.process;
         InputStream output = p.getInputStream();
-        Thread copier = thread("log " + k.piece(), () -> {
+        Thread copier = startDaemonThread("log " + k.taskName(), () -> {
             try {
                 logs.copy(k, output);
             } catch (IOException e) {
-                LOG.debug("log of {}: {}", k.piece(), e.getMessage());
+                LOG.debug("log of {}: {}", k.taskName(), e.getMessage());
             }
         });
         int code = p.waitFor();
-        Tagged.killAll(tag);
-        copier.join(LOG_MS);
+        TaggedProcesses.killAll(tag);
+        copier.join(LOG_DRAIN_MS);
         output.close();
-        if (code == 0 && !r.job().service() && !entry.asked()) {
+        if (code == 0 && !r.description().service() && !entry.endRequested()) {
             try {
-                Files.writeString(done(k), "");
+                Files.writeString(doneMarker(k), "");
             } catch (IOException e) {
                 LOG.error(
                         "{} is done and would be run again if it were started once more: {}",
-                        k.piece(),
+                        k.taskName(),
                         e.getMessage());
             }
         }
         return code;
     }
 
-    private Map<String, String> names(Action.Run r, String tag) {
-        Action.Key k = r.key();
+    private Map<String, String> taskVariables(Action.StartProcess r, String tag) {
+        Action.AttemptKey k = r.key();
         Map<String, String> env = new HashMap<>();
-        env.put(Tagged.VARIABLE, tag);
+        env.put(TaggedProcesses.TAG_VARIABLE, tag);
         env.put("BIRCHUSHER_JOB", k.job());
         env.put("BIRCHUSHER_INDEX", String.valueOf(k.index()));
-        env.put("BIRCHUSHER_TASKS", String.valueOf(r.job().tasks()));
+        env.put("BIRCHUSHER_TASKS", String.valueOf(r.description().taskCount()));
         env.put("BIRCHUSHER_ATTEMPT", String.valueOf(k.attempt()));
-        env.put("BIRCHUSHER_CHECKPOINT", saves(k).toAbsolutePath().toString());
+        env.put("BIRCHUSHER_CHECKPOINT", checkpointDir(k).toAbsolutePath().toString());
         if (!r.gangHosts().isEmpty()) {
             env.put("BIRCHUSHER_GANG_HOSTS", String.join(",", r.gangHosts()));
         }
@@ -183,9 +185,9 @@
     }
 
     /** Sends a signal to a task's first process. */
-    void signal(Action.Signal s) {
-        Entry e = active.get(s.key());
-        Process p = e == null ? null : e.ask();
+    void sendSignal(Action.SendSignal s) {
+        ActiveTask e = activeTasks.get(s.key());
+        Process p = e == null ? null : e.requestEnd();
         if (p == null) {
             return;
         }
@@ -193,14 +195,14 @@
             p.destroy();
             return;
         }
-        thread("signal", () -> {
+        startDaemonThread("signal", () -> {
             try {
                 new ProcessBuilder("kill", "-" + s.name(), String.valueOf(p.pid()))
                         .inheritIO()
                         .start()
                         .waitFor();
             } catch (IOException x) {
-                LOG.error("no signal for {}: {}", s.key().piece(), x.getMessage());
+                LOG.error("no signal for {}: {}", s.key().taskName(), x.getMessage());
             } catch (InterruptedException x) {
                 Thread.currentThread().interrupt();
             }
@@ -208,28 +210,28 @@
     }
 
     /** Kills a task and all it has started, or keeps it from starting; its exit comes as ever. */
-    void kill(Action.Key k) {
-        Entry e = active.get(k);
+    void kill(Action.AttemptKey k) {
+        ActiveTask e = activeTasks.get(k);
         if (e != null) {
-            e.doom();
-            thread("kill " + k.piece(), () -> killed(Tagged.tag(agent, k)));
+            e.kill();
+            startDaemonThread("kill " + k.taskName(), () -> tryKillTagged(TaggedProcesses.tag(agentTag, k)));
         }
     }
 
     /** Kills all tasks, and tells when nothing is left. Nothing may be run meanwhile. */
     void killAll(Runnable then) {
-        active.values().forEach(Entry::doom);
-        thread("kill all", () -> {
-            while (!(killed(agent + "/") && active.isEmpty())) {
+        activeTasks.values().forEach(ActiveTask::kill);
+        startDaemonThread("kill all", () -> {
+            while (!(tryKillTagged(agentTag + "/") && activeTasks.isEmpty())) {
                 Thread.onSpinWait();
             }
             then.run();
         });
     }
 
-    private boolean killed(String tag) {
+    private boolean tryKillTagged(String tag) {
         try {
-            Tagged.killAll(tag);
+            TaggedProcesses.killAll(tag);
             Thread.sleep(20);
             return true;
         } catch (IOException e) {
@@ -242,39 +244,39 @@
     }
 
     /** The attempt's working directory may go. */
-    void forget(Action.Key k) {
-        thread("forget " + k.piece(), () -> {
-            remove(place(k));
-            place(k).getParent().toFile().delete();
+    void deleteWorkDir(Action.AttemptKey k) {
+        startDaemonThread("forget " + k.taskName(), () -> {
+            deleteTree(workDir(k));
+            workDir(k).getParent().toFile().delete();
         });
     }
 
     /** What earlier lives of this agent left; none of it runs any more. */
-    void forgetAll() {
-        File[] left = work.toFile().listFiles();
+    void deleteAllWorkDirs() {
+        File[] left = workRoot.toFile().listFiles();
         for (File f : left == null ? new File[0] : left) {
-            remove(f.toPath());
+            deleteTree(f.toPath());
         }
     }
 
     /** Jobs whose saves are kept here and of which nothing runs, at most so many. */
-    List<String> keptJobs(int most) {
-        String[] names = checkpoints.toFile().list();
+    List<String> inactiveCheckpointJobs(int most) {
+        String[] names = checkpointRoot.toFile().list();
         return names == null
                 ? List.of()
                 : Arrays.stream(names)
-                        .filter(n ->
-                                active.keySet().stream().noneMatch(k -> k.job().equals(n)))
+                        .filter(n -> activeTasks.keySet().stream()
+                                .noneMatch(k -> k.job().equals(n)))
                         .limit(most)
                         .toList();
     }
 
     /** The job is over: nobody will start a task of it again. */
-    void over(String job) {
-        thread("over " + job, () -> remove(checkpoints.resolve(job)));
+    void deleteCheckpoints(String job) {
+        startDaemonThread("over " + job, () -> deleteTree(checkpointRoot.resolve(job)));
     }
 
-    private static void remove(Path dir) {
+    private static void deleteTree(Path dir) {
         try (Stream<Path> all = Files.walk(dir)) {
             for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(p);
--- a/src/main/java/birchusher/agent/Warden.java
+++ b/src/main/java/birchusher/agent/Supervisor.java
@@ -17,22 +17,22 @@
  *
  * <p>Argument: the mark of the agent's tasks. Input: lines with milliseconds.
  */
-public final class Warden {
-    private static final long GONE = -1;
-    private static final int LATE_LOOKS = 20;
-    private static final long LATE_MS = 100;
+public final class Supervisor {
+    private static final long AGENT_GONE = -1;
+    private static final int FINAL_KILL_ROUNDS = 20;
+    private static final long FINAL_KILL_INTERVAL_MS = 100;
 
-    private Warden() {}
+    private Supervisor() {}
 
     public static void main(String[] args) throws IOException, InterruptedException {
         LinkedBlockingQueue<Long> said = new LinkedBlockingQueue<>();
-        Thread reader = new Thread(() -> read(said));
+        Thread reader = new Thread(() -> readLeases(said));
         reader.setDaemon(true);
         reader.start();
-        watch(args[0], said);
+        enforceLease(args[0], said);
     }
 
-    private static void read(LinkedBlockingQueue<Long> said) {
+    private static void readLeases(LinkedBlockingQueue<Long> said) {
         try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 said.add(Math.max(0, Long.parseLong(line.trim())));
@@ -40,26 +40,27 @@
         } catch (IOException | NumberFormatException e) {
             System.err.println("warden: " + e);
         }
-        said.add(GONE);
+        said.add(AGENT_GONE);
     }
 
-    private static void watch(String tag, LinkedBlockingQueue<Long> said) throws IOException, InterruptedException {
+    private static void enforceLease(String tag, LinkedBlockingQueue<Long> said)
+            throws IOException, InterruptedException {
         long until = System.nanoTime();
         boolean killed = true;
         while (true) {
             long left = (until - System.nanoTime()) / 1_000_000;
             Long news = killed ? said.take() : left > 0 ? said.poll(left, TimeUnit.MILLISECONDS) : said.poll();
-            if (news != null && news != GONE) {
+            if (news != null && news != AGENT_GONE) {
                 until = System.nanoTime() + news * 1_000_000;
                 killed = false;
             } else if (news != null || !killed) {
-                Tagged.killAll(tag);
+                TaggedProcesses.killAll(tag);
                 killed = true;
                 if (news != null) {
                     // A process on its way from fork to exec at that moment does not bear the mark yet.
-                    for (int i = 0; i < LATE_LOOKS; i++) {
-                        Thread.sleep(LATE_MS);
-                        Tagged.killAll(tag);
+                    for (int i = 0; i < FINAL_KILL_ROUNDS; i++) {
+                        Thread.sleep(FINAL_KILL_INTERVAL_MS);
+                        TaggedProcesses.killAll(tag);
                     }
                     return;
                 }
--- a/src/main/java/birchusher/agent/Guard.java
+++ b/src/main/java/birchusher/agent/SupervisorClient.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /** The agent's end of a {@link Warden}. */
-final class Guard {
+final class SupervisorClient {
     private final Process process;
     private final OutputStream pipe;
 
     /** @param lost called from another thread if the warden ends */
-    Guard(String tag, Runnable lost) throws IOException {
+    SupervisorClient(String tag, Runnable lost) throws IOException {
         String java = ProcessHandle.current().info().command().orElse("java");
         process = new ProcessBuilder(List.of(
                         java,
@@ -20,7 +20,7 @@
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Warden.class.getName(),
+                        Supervisor.class.getName(),
                         tag))
                 .redirectOutput(ProcessBuilder.Redirect.INHERIT)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
@@ -30,7 +30,7 @@
     }
 
     /** The tasks may live for so long from now on. */
-    void lease(long ms) throws IOException {
+    void setLease(long ms) throws IOException {
         pipe.write((ms + "\n").getBytes(StandardCharsets.US_ASCII));
         pipe.flush();
     }
--- a/src/main/java/birchusher/agent/Tagged.java
+++ b/src/main/java/birchusher/agent/TaggedProcesses.java
@@ -13,30 +13,30 @@
  * The processes of tasks, found by a mark in their environment ({@code /proc/PID/environ}). Children inherit it, also those that
  * have left their parent's session or whose parent has ended; a process that replaces its whole environment escapes. Linux only.
  */
-final class Tagged {
-    static final String VARIABLE = "BIRCHUSHER_TAG";
+final class TaggedProcesses {
+    static final String TAG_VARIABLE = "BIRCHUSHER_TAG";
     private static final Path PROC = Path.of("/proc");
-    private static final long PAUSE_MS = 20;
+    private static final long KILL_INTERVAL_MS = 20;
 
-    private Tagged() {}
+    private TaggedProcesses() {}
 
     /** The mark of a task; that of all tasks of an agent is a prefix of it. */
-    static String tag(String agent, Action.Key key) {
-        return agent + "/" + key.piece() + "/" + key.attempt() + "/";
+    static String tag(String agent, Action.AttemptKey key) {
+        return agent + "/" + key.taskName() + "/" + key.attempt() + "/";
     }
 
     /** Whether processes can be found here at all. */
-    static boolean possible() {
+    static boolean isSupported() {
         return Files.isReadable(PROC.resolve("self/environ"));
     }
 
     static List<Long> find(String prefix) throws IOException {
-        byte[] mark = (VARIABLE + "=" + prefix).getBytes(StandardCharsets.UTF_8);
+        byte[] mark = (TAG_VARIABLE + "=" + prefix).getBytes(StandardCharsets.UTF_8);
         List<Long> found = new ArrayList<>();
         try (DirectoryStream<Path> all = Files.newDirectoryStream(PROC, "[0-9]*")) {
             for (Path p : all) {
                 try {
-                    if (holds(Files.readAllBytes(p.resolve("environ")), mark)) {
+                    if (containsVariable(Files.readAllBytes(p.resolve("environ")), mark)) {
                         found.add(Long.parseLong(p.getFileName().toString()));
                     }
                 } catch (IOException e) {
@@ -49,7 +49,7 @@
     }
 
     /** Whether a variable, at the beginning or behind a zero byte, begins with the mark. */
-    static boolean holds(byte[] environment, byte[] mark) {
+    static boolean containsVariable(byte[] environment, byte[] mark) {
         for (int i = 0; i + mark.length <= environment.length; i++) {
             if (i > 0 && environment[i - 1] != 0) {
                 continue;
@@ -75,7 +75,7 @@
                 Optional<ProcessHandle> p = ProcessHandle.of(pid);
                 p.ifPresent(ProcessHandle::destroyForcibly);
             }
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(KILL_INTERVAL_MS);
         }
     }
 }
--- a/src/main/java/birchusher/agent/Logs.java
+++ b/src/main/java/birchusher/agent/TaskLogs.java
@@ -19,33 +19,33 @@
  * What tasks print, a file each for every attempt, bounded: of a longer one the beginning stays and the end goes on in a second
  * file that is begun anew whenever it is full. The oldest files go when all together take too much.
  */
-final class Logs {
+final class TaskLogs {
     /** @param part bytes of each of the two files; {@code total}: of all */
-    record Bounds(long part, long total) {
-        static final Bounds USUAL = new Bounds(4 << 20, 1L << 30);
+    record Limits(long fileBytes, long totalBytes) {
+        static final Limits DEFAULT = new Limits(4 << 20, 1L << 30);
     }
 
-    private static final String HEAD = ".log";
-    private static final String TAIL = ".tail";
-    private static final int MAX_READ = 32 * 1024;
+    private static final String HEAD_SUFFIX = ".log";
+    private static final String TAIL_SUFFIX = ".tail";
+    private static final int MAX_READ_BYTES = 32 * 1024;
 
     private final Path dir;
-    private final Bounds bounds;
+    private final Limits limits;
 
-    Logs(Path dir, Bounds bounds) throws IOException {
+    TaskLogs(Path dir, Limits bounds) throws IOException {
         this.dir = Files.createDirectories(dir);
-        this.bounds = bounds;
+        this.limits = bounds;
     }
 
-    private Path file(Action.Key key, String end) {
+    private Path logFile(Action.AttemptKey key, String end) {
         return dir.resolve(key.job()).resolve(key.index() + "." + key.attempt() + end);
     }
 
     /** Copies all that comes, until its end. Runs in a thread of its own. A full disk costs the rest of the log, never the task. */
-    void copy(Action.Key key, InputStream from) throws IOException {
+    void copy(Action.AttemptKey key, InputStream from) throws IOException {
         Files.createDirectories(dir.resolve(key.job()));
         byte[] buffer = new byte[8192];
-        Path to = file(key, HEAD);
+        Path to = logFile(key, HEAD_SUFFIX);
         OutputStream out = Files.newOutputStream(to);
         long written = 0;
         try {
@@ -54,24 +54,24 @@
                     continue;
                 }
                 try {
-                    if (written + n > bounds.part()) {
+                    if (written + n > limits.fileBytes()) {
                         out.close();
-                        out = Files.newOutputStream(file(key, TAIL));
+                        out = Files.newOutputStream(logFile(key, TAIL_SUFFIX));
                         written = 0;
                     }
                     out.write(buffer, 0, n);
                     written += n;
                 } catch (IOException e) {
-                    close(out);
+                    closeQuietly(out);
                     out = null;
                 }
             }
         } finally {
-            close(out);
+            closeQuietly(out);
         }
     }
 
-    private static void close(OutputStream out) {
+    private static void closeQuietly(OutputStream out) {
         try {
             if (out != null) {
                 out.close();
@@ -82,10 +82,10 @@
     }
 
     /** One line from the agent itself, such as why a program could not be started. */
-    void note(Action.Key key, String line) {
+    void writeNote(Action.AttemptKey key, String line) {
         try {
             Files.createDirectories(dir.resolve(key.job()));
-            Files.writeString(file(key, HEAD), "birchusher: " + line + "\n");
+            Files.writeString(logFile(key, HEAD_SUFFIX), "birchusher: " + line + "\n");
         } catch (IOException e) {
             return;
         }
@@ -102,8 +102,8 @@
             for (Path p : files.sorted().toList()) {
                 String[] name = p.getFileName().toString().split("\\.");
                 if (name.length == 3 && name[0].equals(String.valueOf(index)) && name[2].equals("log")) {
-                    Action.Key key = new Action.Key(job, index, Long.parseLong(name[1]));
-                    Path tail = file(key, TAIL);
+                    Action.AttemptKey key = new Action.AttemptKey(job, index, Long.parseLong(name[1]));
+                    Path tail = logFile(key, TAIL_SUFFIX);
                     l.add(Map.of(
                             "try",
                             key.attempt(),
@@ -122,9 +122,9 @@
      * A part of an attempt's log, from an offset on, at most 32 KiB: {"text", "next", "cut"}. The offset runs through both files;
      * {@code cut} says that bytes between them are gone.
      */
-    Map<String, Object> read(Action.Key key, long from) throws IOException {
-        Path head = file(key, HEAD);
-        Path tail = file(key, TAIL);
+    Map<String, Object> read(Action.AttemptKey key, long from) throws IOException {
+        Path head = logFile(key, HEAD_SUFFIX);
+        Path tail = logFile(key, TAIL_SUFFIX);
         if (!Files.exists(head)) {
             throw new InvalidInputException("try: no log of this attempt is kept here");
         }
@@ -134,13 +134,13 @@
         try (RandomAccessFile f = new RandomAccessFile((second ? tail : head).toFile(), "r")) {
             long at = Math.min(second ? from - first : from, f.length());
             f.seek(at);
-            bytes = new byte[(int) Math.min(MAX_READ, f.length() - at)];
+            bytes = new byte[(int) Math.min(MAX_READ_BYTES, f.length() - at)];
             f.readFully(bytes);
         }
         Map<String, Object> m = new HashMap<>();
         m.put("text", new String(bytes, StandardCharsets.UTF_8));
         m.put("next", from + bytes.length);
-        m.put("cut", second && from == first && Files.size(head) + MAX_READ > bounds.part());
+        m.put("cut", second && from == first && Files.size(head) + MAX_READ_BYTES > limits.fileBytes());
         return m;
     }
 
@@ -156,7 +156,7 @@
         long total = all.stream().mapToLong(Kept::bytes).sum();
         all.sort(Comparator.comparingLong(Kept::changed));
         for (Kept k : all) {
-            if (total <= bounds.total()) {
+            if (total <= limits.totalBytes()) {
                 return;
             }
             Files.deleteIfExists(k.path());
--- a/src/main/java/birchusher/agent/Worker.java
+++ b/src/main/java/birchusher/agent/Worker.java
@@ -31,68 +31,68 @@
 final class Worker {
     private static final Logger LOG = LoggerFactory.getLogger(Worker.class);
     /** By the exit code a program says "saved, not finished": EX_TEMPFAIL of sysexits.h. */
-    static final int SAVED = 75;
+    static final int SAVED_EXIT_CODE = 75;
     /** Tasks are killed this long before their lease ends, so that they are gone when it does. */
-    static final long KILL_MS = 1_500;
+    static final long KILL_MARGIN_MS = 1_500;
 
-    private static final long SOON_MS = 500;
-    private static final long NEXT_NODE_MS = 1_000;
-    private static final long SAY_MS = 1_000;
-    private static final long FETCH_AGAIN_MS = 4_000;
+    private static final long MIN_REPORT_GAP_MS = 500;
+    private static final long CONTROLLER_RETRY_MS = 1_000;
+    private static final long GANG_STATUS_INTERVAL_MS = 1_000;
+    private static final long FETCH_RETRY_MS = 4_000;
     /** A task that does not save gets this long after SIGTERM, if its stop grants as much. */
-    private static final long END_MS = 2_000;
+    private static final long MAX_TERM_GRACE_MS = 2_000;
 
     private static final int MAX_TASKS = 1_000;
     private static final long NEVER = Long.MAX_VALUE;
 
     private static final class Task {
-        final Action.Key key;
-        String stage = "fetching";
+        final Action.AttemptKey key;
+        String state = "fetching";
         String cause;
-        boolean kept;
-        Description job;
+        boolean saved;
+        JobDescription description;
         /** Why it is being ended, null if it is not. */
-        String ending;
+        String endCause;
 
-        long killAt = NEVER;
-        long fetchAt;
-        long sayAt;
-        long waitUntil = NEVER;
+        long killAtMs = NEVER;
+        long nextFetchMs;
+        long nextGangStatusMs;
+        long gangWaitEndMs = NEVER;
         /** A gang's task whose process has ended well waits for the others. */
-        boolean over;
+        boolean succeeded;
 
-        Task(Action.Key key) {
+        Task(Action.AttemptKey key) {
             this.key = key;
         }
 
-        boolean exited() {
-            return stage.equals("exited");
+        boolean hasExited() {
+            return state.equals("exited");
         }
     }
 
     private final String address;
     private final SplittableRandom random;
-    private final Map<Action.Key, Task> tasks = new LinkedHashMap<>();
-    private List<Action> out = new ArrayList<>();
-    private Assignment now;
-    private Assignment next;
+    private final Map<Action.AttemptKey, Task> tasks = new LinkedHashMap<>();
+    private List<Action> pendingActions = new ArrayList<>();
+    private Assignment assignment;
+    private Assignment latestAssignment;
     /** The machine this host runs as, null while it is none. */
     private String machine;
 
-    private String last;
-    private boolean clearing;
+    private String previousMachine;
+    private boolean killingAll;
     private long session;
-    private long seq;
-    private long token;
-    private long leaseFrom;
-    private long poolFrom;
-    private int node;
+    private long reportSequence;
+    private long fencingToken;
+    private long leaseStartMs;
+    private long poolLeaseStartMs;
+    private int controllerIndex;
     private long reportId;
-    private boolean reporting;
-    private long sentAt;
-    private long sentSession;
-    private long nextReport;
-    private long lastReport = -SOON_MS;
+    private boolean reportInFlight;
+    private long reportSentMs;
+    private long reportSession;
+    private long nextReportMs;
+    private long lastReportMs = -MIN_REPORT_GAP_MS;
 
     /** @param address where controllers reach this worker */
     Worker(String address, SplittableRandom random) {
@@ -103,151 +103,151 @@
     // ---- which machine this host is
 
     /** The machine that this host runs as, or still ends; null if none. */
-    String runs() {
+    String currentMachine() {
         return machine;
     }
 
     /** The pool has answered what was asked at {@code asked}. */
-    List<Action> assigned(long at, long asked, Assignment a) {
-        poolFrom = Math.max(poolFrom, asked);
-        next = a;
-        if (now == null || !clearing && Objects.equals(machine, a.machine())) {
-            now = a;
+    List<Action> onAssignment(long at, long asked, Assignment a) {
+        poolLeaseStartMs = Math.max(poolLeaseStartMs, asked);
+        latestAssignment = a;
+        if (assignment == null || !killingAll && Objects.equals(machine, a.machine())) {
+            assignment = a;
         }
-        become(at);
-        lease(at);
-        return taken();
+        applyAssignment(at);
+        extendSupervisorLease(at);
+        return drainActions();
     }
 
-    private void become(long at) {
-        if (clearing || next == null) {
+    private void applyAssignment(long at) {
+        if (killingAll || latestAssignment == null) {
             return;
         }
-        if (machine != null && !machine.equals(next.machine())) {
+        if (machine != null && !machine.equals(latestAssignment.machine())) {
             LOG.info("no longer {}", machine);
-            clear();
-        } else if (machine == null && next.machine() != null) {
-            now = next;
-            machine = now.machine();
-            LOG.info("running as {}, {} in {}", machine, now.type(), now.zone());
+            startKillingAll();
+        } else if (machine == null && latestAssignment.machine() != null) {
+            assignment = latestAssignment;
+            machine = assignment.machine();
+            LOG.info("running as {}, {} in {}", machine, assignment.type(), assignment.zone());
             // The same machine again, after the pool was not heard for a lease: its sessions go on, they never begin
             // anew.
-            session = machine.equals(last) ? session + 1 : 1;
-            token = machine.equals(last) ? token : 0;
-            last = machine;
+            session = machine.equals(previousMachine) ? session + 1 : 1;
+            fencingToken = machine.equals(previousMachine) ? fencingToken : 0;
+            previousMachine = machine;
             tasks.clear();
-            leaseFrom = at;
-            nextReport = at;
-            reporting = false;
+            leaseStartMs = at;
+            nextReportMs = at;
+            reportInFlight = false;
             reportId++;
         }
     }
 
-    private void clear() {
-        clearing = true;
-        out.add(new Action.KillAll());
+    private void startKillingAll() {
+        killingAll = true;
+        pendingActions.add(new Action.KillAllTasks());
     }
 
     /** Nothing of any task is left. */
-    List<Action> cleared(long at) {
-        if (!clearing) {
-            return taken();
+    List<Action> onAllKilled(long at) {
+        if (!killingAll) {
+            return drainActions();
         }
-        clearing = false;
-        tasks.values().forEach(t -> out.add(new Action.Forget(t.key)));
+        killingAll = false;
+        tasks.values().forEach(t -> pendingActions.add(new Action.DeleteWorkDir(t.key)));
         tasks.clear();
-        if (next == null || !machine.equals(next.machine())) {
+        if (latestAssignment == null || !machine.equals(latestAssignment.machine())) {
             machine = null;
         } else {
             session++;
-            leaseFrom = at;
-            nextReport = at;
+            leaseStartMs = at;
+            nextReportMs = at;
         }
-        become(at);
-        return taken();
+        applyAssignment(at);
+        return drainActions();
     }
 
-    private long leaseEnd() {
-        return Math.min(leaseFrom, poolFrom) + now.leaseMs() - KILL_MS;
+    private long leaseEndMs() {
+        return Math.min(leaseStartMs, poolLeaseStartMs) + assignment.leaseMs() - KILL_MARGIN_MS;
     }
 
-    private void lease(long at) {
-        if (machine != null && !clearing) {
-            out.add(new Action.Lease(Math.max(0, leaseEnd() - at)));
+    private void extendSupervisorLease(long at) {
+        if (machine != null && !killingAll) {
+            pendingActions.add(new Action.ExtendSupervisorLease(Math.max(0, leaseEndMs() - at)));
         }
     }
 
     List<Action> tick(long at) {
-        if (machine == null || clearing) {
-            return taken();
+        if (machine == null || killingAll) {
+            return drainActions();
         }
-        if (at > leaseEnd()) {
+        if (at > leaseEndMs()) {
             LOG.info("lease of {} is over: {} tasks end", machine, tasks.size());
-            if (poolFrom + now.leaseMs() - KILL_MS < at) {
+            if (poolLeaseStartMs + assignment.leaseMs() - KILL_MARGIN_MS < at) {
                 // The pool may have given this machine up: it is asked before anything is run again.
-                next = null;
+                latestAssignment = null;
             }
-            clear();
-            return taken();
+            startKillingAll();
+            return drainActions();
         }
         for (Task t : List.copyOf(tasks.values())) {
             tick(at, t);
         }
-        if (!reporting && at >= nextReport) {
-            report(at);
+        if (!reportInFlight && at >= nextReportMs) {
+            sendReport(at);
         }
-        return taken();
+        return drainActions();
     }
 
     private void tick(long at, Task t) {
-        if (t.exited()) {
+        if (t.hasExited()) {
             return;
         }
-        if (t.stage.equals("fetching") && at >= t.fetchAt) {
+        if (t.state.equals("fetching") && at >= t.nextFetchMs) {
             // One description serves all tasks of a job, however many start with one answer.
             boolean asked = tasks.values().stream()
-                    .anyMatch(x -> x.stage.equals("fetching")
-                            && x.fetchAt > at
+                    .anyMatch(x -> x.state.equals("fetching")
+                            && x.nextFetchMs > at
                             && x.key.job().equals(t.key.job()));
-            t.fetchAt = at + FETCH_AGAIN_MS;
+            t.nextFetchMs = at + FETCH_RETRY_MS;
             if (!asked) {
-                out.add(new Action.Fetch(t.key.job()));
+                pendingActions.add(new Action.FetchDescription(t.key.job()));
             }
         }
-        if (t.stage.equals("waiting") && at >= t.waitUntil) {
-            exit(at, t, "incomplete");
+        if (t.state.equals("waiting") && at >= t.gangWaitEndMs) {
+            recordExit(at, t, "incomplete");
             return;
         }
-        if (mated(t) && t.ending == null && at >= t.sayAt && !t.stage.equals("fetching")) {
-            t.sayAt = at + SAY_MS;
-            say(t, t.over ? "ended" : t.stage.equals("waiting") ? "waiting" : "running");
+        if (isMultiTaskGang(t) && t.endCause == null && at >= t.nextGangStatusMs && !t.state.equals("fetching")) {
+            t.nextGangStatusMs = at + GANG_STATUS_INTERVAL_MS;
+            sendGangStatus(t, t.succeeded ? "ended" : t.state.equals("waiting") ? "waiting" : "running");
         }
-        if (at >= t.killAt) {
-            t.killAt = NEVER;
-            out.add(new Action.Kill(t.key));
+        if (at >= t.killAtMs) {
+            t.killAtMs = NEVER;
+            pendingActions.add(new Action.KillTask(t.key));
         }
     }
 
-    private static boolean mated(Task t) {
-        return t.job != null && t.job.gang() && t.job.tasks() > 1;
+    private static boolean isMultiTaskGang(Task t) {
+        return t.description != null && t.description.gang() && t.description.taskCount() > 1;
     }
 
-    private void say(Task t, String phase) {
-        out.add(new Action.Say(t.key, t.job.tasks(), phase));
+    private void sendGangStatus(Task t, String phase) {
+        pendingActions.add(new Action.SendGangStatus(t.key, t.description.taskCount(), phase));
     }
 
     // ---- reports
 
-    private Map<String, Object> body() {
+    private Map<String, Object> reportBody() {
         List<Object> pieces = new ArrayList<>();
         for (Task t : tasks.values()) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put(Wire.TASK, t.key.piece());
+            m.put(Wire.TASK, t.key.taskName());
             m.put(Wire.ATTEMPT, t.key.attempt());
-            m.put(Wire.STATE, t.stage);
+            m.put(Wire.STATE, t.state);
             if (t.cause != null) {
                 m.put(Wire.EXIT_REASON, t.cause);
-                if (t.kept) {
+                if (t.saved) {
                     m.put(Wire.CHECKPOINT_SAVED, true);
                 }
             }
@@ -256,291 +256,298 @@
         Map<String, Object> r = new LinkedHashMap<>();
         r.put(Wire.MACHINE, machine);
         r.put(Wire.ADDRESS, address);
-        r.put(Wire.TYPE, now.type());
-        r.put(Wire.ZONE, now.zone());
+        r.put(Wire.TYPE, assignment.type());
+        r.put(Wire.ZONE, assignment.zone());
         r.put(Wire.SPOT, false);
         r.put(Wire.SESSION, session);
-        r.put(Wire.SEQUENCE, ++seq);
-        r.put(Wire.FENCING_TOKEN, token);
+        r.put(Wire.SEQUENCE, ++reportSequence);
+        r.put(Wire.FENCING_TOKEN, fencingToken);
         r.put(Wire.RECLAIM_NOTICE_S, null);
         r.put("pieces", pieces);
         return r;
     }
 
-    private void report(long at) {
-        if (now.controllers().isEmpty()) {
-            nextReport = at + NEXT_NODE_MS;
+    private void sendReport(long at) {
+        if (assignment.controllers().isEmpty()) {
+            nextReportMs = at + CONTROLLER_RETRY_MS;
             return;
         }
-        reporting = true;
-        sentAt = at;
-        sentSession = session;
-        lastReport = at;
-        nextReport = at + Math.round(now.reportMs() * (0.75 + 0.5 * random.nextDouble()));
-        out.add(new Action.Report(
+        reportInFlight = true;
+        reportSentMs = at;
+        reportSession = session;
+        lastReportMs = at;
+        nextReportMs = at + Math.round(assignment.reportMs() * (0.75 + 0.5 * random.nextDouble()));
+        pendingActions.add(new Action.SendReport(
                 ++reportId,
-                now.controllers().get(node % now.controllers().size()).address(),
-                body()));
+                assignment
+                        .controllers()
+                        .get(controllerIndex % assignment.controllers().size())
+                        .address(),
+                reportBody()));
     }
 
-    private void changed(long at) {
-        nextReport = Math.min(nextReport, Math.max(at, lastReport + SOON_MS));
+    private void scheduleReport(long at) {
+        nextReportMs = Math.min(nextReportMs, Math.max(at, lastReportMs + MIN_REPORT_GAP_MS));
     }
 
     /** The answer to a report; status 0: none came. */
-    List<Action> answered(long at, long id, int status, Map<String, Object> m) {
+    List<Action> onReportResponse(long at, long id, int status, Map<String, Object> m) {
         if (id != reportId || machine == null) {
-            return taken();
+            return drainActions();
         }
-        reporting = false;
-        if (clearing || sentSession != session) {
-            return taken();
+        reportInFlight = false;
+        if (killingAll || reportSession != session) {
+            return drainActions();
         }
         try {
             if (status == 200) {
-                obey(at, m);
+                applyResponse(at, m);
             } else {
-                elsewhere(at, status == 421 ? Fields.textOrNull(m, Wire.REPORT_TO) : null);
+                switchController(at, status == 421 ? Fields.textOrNull(m, Wire.REPORT_TO) : null);
             }
         } catch (InvalidInputException e) {
             LOG.error("answer to a report not as agreed: {}", e.getMessage());
         }
-        return taken();
+        return drainActions();
     }
 
-    private void obey(long at, Map<String, Object> m) {
-        if (m.get(Wire.FENCING_TOKEN) == null || Fields.count(m, Wire.FENCING_TOKEN) < token) {
+    private void applyResponse(long at, Map<String, Object> m) {
+        if (m.get(Wire.FENCING_TOKEN) == null || Fields.count(m, Wire.FENCING_TOKEN) < fencingToken) {
             return;
         }
-        List<Order> orders = Order.read(m);
-        token(at, Fields.count(m, Wire.FENCING_TOKEN));
-        leaseFrom = sentAt;
-        lease(at);
+        List<Command> orders = Command.read(m);
+        fencingToken(at, Fields.count(m, Wire.FENCING_TOKEN));
+        leaseStartMs = reportSentMs;
+        extendSupervisorLease(at);
         orders.forEach(o -> execute(at, o));
     }
 
-    private void token(long at, long t) {
-        if (t > token) {
-            token = t;
-            changed(at);
+    private void fencingToken(long at, long t) {
+        if (t > fencingToken) {
+            fencingToken = t;
+            scheduleReport(at);
         }
     }
 
-    private void elsewhere(long at, String name) {
-        for (int i = 0; i < now.controllers().size(); i++) {
-            if (now.controllers().get(i).name().equals(name)
-                    && i != node % now.controllers().size()) {
-                node = i;
-                nextReport = at + random.nextInt((int) SOON_MS);
+    private void switchController(long at, String name) {
+        for (int i = 0; i < assignment.controllers().size(); i++) {
+            if (assignment.controllers().get(i).name().equals(name)
+                    && i != controllerIndex % assignment.controllers().size()) {
+                controllerIndex = i;
+                nextReportMs = at + random.nextInt((int) MIN_REPORT_GAP_MS);
                 return;
             }
         }
-        node = (node + 1) % Math.max(1, now.controllers().size());
-        nextReport = at + NEXT_NODE_MS;
+        controllerIndex =
+                (controllerIndex + 1) % Math.max(1, assignment.controllers().size());
+        nextReportMs = at + CONTROLLER_RETRY_MS;
     }
 
     // ---- direct commands
 
-    List<Action> direct(long at, long exchange, String method, String path, Object body) {
-        if (machine == null || clearing) {
-            out.add(new Action.Answer(exchange, 503, Map.of("error", "no machine at present"), 1));
+    List<Action> onDirectRequest(long at, long exchange, String method, String path, Object body) {
+        if (machine == null || killingAll) {
+            pendingActions.add(new Action.SendResponse(exchange, 503, Map.of("error", "no machine at present"), 1));
         } else if (path.equals("/show") && method.equals("GET")) {
-            out.add(new Action.Answer(exchange, 200, body(), 0));
+            pendingActions.add(new Action.SendResponse(exchange, 200, reportBody(), 0));
         } else if (path.equals(Wire.WORKER_COMMANDS) && method.equals("POST")) {
             Map<String, Object> m = Fields.map(body, "body");
             long t = Fields.count(m, Wire.FENCING_TOKEN);
             long s = Fields.count(m, Wire.SESSION);
-            List<Order> orders = Order.read(m);
-            boolean entitled = t >= token && s == session;
+            List<Command> orders = Command.read(m);
+            boolean entitled = t >= fencingToken && s == session;
             if (entitled) {
-                token(at, t);
+                fencingToken(at, t);
                 orders.forEach(o -> execute(at, o));
             }
-            out.add(new Action.Answer(exchange, entitled ? 200 : 409, body(), 0));
+            pendingActions.add(new Action.SendResponse(exchange, entitled ? 200 : 409, reportBody(), 0));
         } else {
-            out.add(new Action.Answer(exchange, 404, Map.of("error", "no such path"), 0));
+            pendingActions.add(new Action.SendResponse(exchange, 404, Map.of("error", "no such path"), 0));
         }
-        return taken();
+        return drainActions();
     }
 
-    private void execute(long at, Order o) {
-        Task t = tasks.get(o.key());
-        switch (o.verb()) {
+    private void execute(long at, Command o) {
+        Task t = tasks.get(o.attemptKey());
+        switch (o.operation()) {
             case START -> {
                 if (t == null) {
-                    start(at, o.key());
+                    startTask(at, o.attemptKey());
                 }
             }
             case STOP -> {
-                if (t != null && !t.exited()) {
-                    stop(at, t, o.graceMs());
+                if (t != null && !t.hasExited()) {
+                    stopTask(at, t, o.graceMs());
                 }
             }
             case REAP -> {
-                if (t != null && t.exited()) {
-                    tasks.remove(o.key());
-                    out.add(new Action.Forget(o.key()));
-                    changed(at);
+                if (t != null && t.hasExited()) {
+                    tasks.remove(o.attemptKey());
+                    pendingActions.add(new Action.DeleteWorkDir(o.attemptKey()));
+                    scheduleReport(at);
                 }
             }
         }
     }
 
-    private void start(long at, Action.Key key) {
+    private void startTask(long at, Action.AttemptKey key) {
         Task t = new Task(key);
         boolean other = tasks.values().stream()
-                .anyMatch(x -> !x.exited() && x.key.piece().equals(key.piece()));
+                .anyMatch(x -> !x.hasExited() && x.key.taskName().equals(key.taskName()));
         if (!other && tasks.size() >= MAX_TASKS) {
-            exit(at, t, "full");
+            recordExit(at, t, "full");
         } else if (other) {
-            exit(at, t, "in_use");
+            recordExit(at, t, "in_use");
         }
         tasks.put(key, t);
-        changed(at);
-        if (!t.exited()) {
+        scheduleReport(at);
+        if (!t.hasExited()) {
             tick(at, t);
         }
     }
 
-    private void stop(long at, Task t, long graceMs) {
-        changed(at);
-        if (t.stage.equals("fetching") || t.stage.equals("waiting") || t.over) {
-            exit(at, t, "halted");
-        } else if (t.stage.equals("running") && t.ending == null && t.job.resumes() && graceMs >= t.job.saveMs()) {
-            t.stage = "flushing";
-            t.ending = "halted";
-            t.killAt = at + graceMs;
-            out.add(new Action.Signal(t.key, t.job.saveSignal()));
-        } else if (t.stage.equals("running") && t.ending == null && graceMs > 0) {
-            t.ending = "halted";
-            t.killAt = at + Math.min(graceMs, END_MS);
-            out.add(new Action.Signal(t.key, "TERM"));
+    private void stopTask(long at, Task t, long graceMs) {
+        scheduleReport(at);
+        if (t.state.equals("fetching") || t.state.equals("waiting") || t.succeeded) {
+            recordExit(at, t, "halted");
+        } else if (t.state.equals("running")
+                && t.endCause == null
+                && t.description.usesCheckpoints()
+                && graceMs >= t.description.saveDurationMs()) {
+            t.state = "flushing";
+            t.endCause = "halted";
+            t.killAtMs = at + graceMs;
+            pendingActions.add(new Action.SendSignal(t.key, t.description.saveSignal()));
+        } else if (t.state.equals("running") && t.endCause == null && graceMs > 0) {
+            t.endCause = "halted";
+            t.killAtMs = at + Math.min(graceMs, MAX_TERM_GRACE_MS);
+            pendingActions.add(new Action.SendSignal(t.key, "TERM"));
         } else {
-            end(t, "halted");
+            killTask(t, "halted");
         }
     }
 
     /** Ends a task that has a process; it exits once nothing of that is left. */
-    private void end(Task t, String cause) {
-        t.ending = t.ending == null ? cause : t.ending;
-        t.killAt = NEVER;
-        out.add(new Action.Kill(t.key));
+    private void killTask(Task t, String cause) {
+        t.endCause = t.endCause == null ? cause : t.endCause;
+        t.killAtMs = NEVER;
+        pendingActions.add(new Action.KillTask(t.key));
     }
 
-    private void exit(long at, Task t, String cause) {
-        if (mated(t) && !cause.equals("done")) {
-            say(t, "leaving");
+    private void recordExit(long at, Task t, String cause) {
+        if (isMultiTaskGang(t) && !cause.equals("done")) {
+            sendGangStatus(t, "leaving");
         }
-        t.stage = "exited";
+        t.state = "exited";
         t.cause = cause;
-        changed(at);
+        scheduleReport(at);
     }
 
     // ---- what becomes of tasks
 
     /** A description has come; null if there is no such job. An answer that did not come is asked for again. */
-    List<Action> described(long at, String id, Description job) {
+    List<Action> onDescription(long at, String id, JobDescription job) {
         for (Task t : List.copyOf(tasks.values())) {
-            if (!t.stage.equals("fetching") || !t.key.job().equals(id) || clearing) {
+            if (!t.state.equals("fetching") || !t.key.job().equals(id) || killingAll) {
                 continue;
             }
-            if (job == null || t.key.index() >= job.tasks()) {
-                exit(at, t, "no_such");
+            if (job == null || t.key.index() >= job.taskCount()) {
+                recordExit(at, t, "no_such");
                 continue;
             }
-            t.job = job;
-            if (!fits(t)) {
-                exit(at, t, "full");
+            t.description = job;
+            if (!fitsCapacity(t)) {
+                recordExit(at, t, "full");
             } else if (job.command().isEmpty()) {
                 LOG.error("no program was uploaded for {}", id);
-                exit(at, t, "error");
-            } else if (mated(t)) {
-                t.stage = "waiting";
-                t.waitUntil = at + now.gangWaitMs();
-                changed(at);
+                recordExit(at, t, "error");
+            } else if (isMultiTaskGang(t)) {
+                t.state = "waiting";
+                t.gangWaitEndMs = at + assignment.gangWaitMs();
+                scheduleReport(at);
                 tick(at, t);
             } else {
-                run(at, t, List.of());
+                runTask(at, t, List.of());
             }
         }
-        return taken();
+        return drainActions();
     }
 
-    private boolean fits(Task t) {
+    private boolean fitsCapacity(Task t) {
         double cpus = 1e-6;
         double gpus = 1e-6;
         double mem = 1e-6;
         for (Task x : tasks.values()) {
-            if (x != t && !x.exited() && x.job != null) {
-                cpus += x.job.cpus();
-                gpus += x.job.gpus();
-                mem += x.job.memGb();
+            if (x != t && !x.hasExited() && x.description != null) {
+                cpus += x.description.cpus();
+                gpus += x.description.gpus();
+                mem += x.description.memoryGb();
             }
         }
-        return cpus + t.job.cpus() <= now.cpus() + 2e-6
-                && gpus + t.job.gpus() <= now.gpus() + 2e-6
-                && mem + t.job.memGb() <= now.memGb() + 2e-6;
+        return cpus + t.description.cpus() <= assignment.cpus() + 2e-6
+                && gpus + t.description.gpus() <= assignment.gpus() + 2e-6
+                && mem + t.description.memoryGb() <= assignment.memoryGb() + 2e-6;
     }
 
-    private void run(long at, Task t, List<String> hosts) {
-        t.stage = "running";
-        changed(at);
-        out.add(new Action.Run(t.key, t.job, hosts));
+    private void runTask(long at, Task t, List<String> hosts) {
+        t.state = "running";
+        scheduleReport(at);
+        pendingActions.add(new Action.StartProcess(t.key, t.description, hosts));
     }
 
     /** What the gang's meeting point says. */
-    List<Action> gangSaid(long at, Action.Key key, String say, List<String> hosts) {
+    List<Action> onGangInstruction(long at, Action.AttemptKey key, String say, List<String> hosts) {
         Task t = tasks.get(key);
-        if (t == null || t.exited() || t.ending != null || clearing) {
-            return taken();
+        if (t == null || t.hasExited() || t.endCause != null || killingAll) {
+            return drainActions();
         }
-        if (say.equals("go") && t.stage.equals("waiting")) {
-            run(at, t, hosts);
-        } else if (say.equals("all") && t.over) {
-            exit(at, t, "done");
+        if (say.equals("go") && t.state.equals("waiting")) {
+            runTask(at, t, hosts);
+        } else if (say.equals("all") && t.succeeded) {
+            recordExit(at, t, "done");
         } else if (say.equals("broken")) {
-            if (t.stage.equals("waiting") || t.over) {
-                exit(at, t, "mates_gone");
+            if (t.state.equals("waiting") || t.succeeded) {
+                recordExit(at, t, "mates_gone");
             } else {
-                end(t, "mates_gone");
+                killTask(t, "mates_gone");
             }
         }
-        return taken();
+        return drainActions();
     }
 
     /** Nothing is left of a task's process, which ended with this code. */
-    List<Action> exited(long at, Action.Key key, int code) {
+    List<Action> onTaskExit(long at, Action.AttemptKey key, int code) {
         Task t = tasks.get(key);
-        if (t == null || t.exited() || clearing) {
-            return taken();
+        if (t == null || t.hasExited() || killingAll) {
+            return drainActions();
         }
-        if (t.ending != null) {
+        if (t.endCause != null) {
             // Asked to end, many programs exit with 0 although their work is not done: that is never called done.
-            t.kept = t.stage.equals("flushing") && code == SAVED;
-            exit(at, t, t.ending);
-        } else if (code != 0 || t.job.service()) {
-            exit(at, t, "error");
-        } else if (mated(t)) {
-            t.over = true;
-            t.sayAt = at;
+            t.saved = t.state.equals("flushing") && code == SAVED_EXIT_CODE;
+            recordExit(at, t, t.endCause);
+        } else if (code != 0 || t.description.service()) {
+            recordExit(at, t, "error");
+        } else if (isMultiTaskGang(t)) {
+            t.succeeded = true;
+            t.nextGangStatusMs = at;
             tick(at, t);
         } else {
-            exit(at, t, "done");
+            recordExit(at, t, "done");
         }
-        return taken();
+        return drainActions();
     }
 
     /** What guards the lease has failed: nothing may go on unguarded. */
-    List<Action> unguarded() {
-        if (machine != null && !clearing) {
-            clear();
+    List<Action> onSupervisorExit() {
+        if (machine != null && !killingAll) {
+            startKillingAll();
         }
-        return taken();
+        return drainActions();
     }
 
-    private List<Action> taken() {
-        List<Action> o = out;
-        out = new ArrayList<>();
+    private List<Action> drainActions() {
+        List<Action> o = pendingActions;
+        pendingActions = new ArrayList<>();
         return o;
     }
 }
--- a/src/main/java/birchusher/cli/Submit.java
+++ b/src/main/java/birchusher/cli/Submit.java
@@ -2,7 +2,7 @@
 
 import birchusher.core.Fields;
 import birchusher.core.Fields.InvalidInputException;
-import birchusher.pool.Programs;
+import birchusher.pool.ProgramStore;
 import birchusher.settings.SettingsReader;
 import birchusher.wire.Wire;
 import java.io.IOException;
@@ -190,7 +190,7 @@
         }
         Map<String, Object> s = new LinkedHashMap<>();
         s.put("job", job);
-        s.put("program", program == null ? null : Programs.checked(program));
+        s.put("program", program == null ? null : ProgramStore.validate(program));
         return s;
     }
 
--- a/src/main/java/birchusher/daemon/ApiFrontEnd.java
+++ b/src/main/java/birchusher/daemon/ApiFrontEnd.java
@@ -6,10 +6,10 @@
 import birchusher.http.HttpClient;
 import birchusher.http.HttpServer;
 import birchusher.http.RequestTarget;
-import birchusher.pool.Gangs;
+import birchusher.pool.GangCoordinator;
+import birchusher.pool.HostPool;
 import birchusher.pool.Outbox;
-import birchusher.pool.Pool;
-import birchusher.pool.Programs;
+import birchusher.pool.ProgramStore;
 import birchusher.settings.Settings;
 import birchusher.statehost.DurableStoreRunner;
 import birchusher.wire.JobCodec;
@@ -44,9 +44,9 @@
     private final HttpServer cloudServer;
     private final HttpClient client;
     private final Outbox outbox = new Outbox();
-    private final Pool pool;
-    private final Programs programs;
-    private final Gangs gangs;
+    private final HostPool pool;
+    private final ProgramStore programs;
+    private final GangCoordinator gangs;
     private long nextSweepMs;
 
     ApiFrontEnd(EventLoop loop, DaemonSettings d, DurableStoreRunner store) {
@@ -73,7 +73,7 @@
         List<Object> controllers = new ArrayList<>();
         d.controllers()
                 .forEach((name, address) -> controllers.add(Map.of("member", name, Wire.ADDRESS, address.toString())));
-        pool = new Pool(
+        pool = new HostPool(
                 d.hosts(),
                 Map.of(
                         "report_s",
@@ -87,8 +87,8 @@
                 outbox,
                 rows,
                 EventLoop.nowMs());
-        programs = new Programs(outbox, rows);
-        gangs = new Gangs(Math.round(settings.gangPeerTimeoutS() * 1000));
+        programs = new ProgramStore(outbox, rows);
+        gangs = new GangCoordinator(Math.round(settings.gangPeerTimeoutS() * 1000));
     }
 
     void open() throws IOException {
@@ -129,12 +129,12 @@
 
     /** Asks about one program that may no longer be needed. */
     private void sweepPrograms() {
-        String id = programs.old(System.currentTimeMillis());
+        String id = programs.nextToCheck(System.currentTimeMillis());
         if (id != null) {
             call(controllerAddress, "GET", Wire.JOBS + "/" + id, HttpClient.EMPTY_BODY, (status, body) -> {
                 if (status == 200 || status == 404) {
                     Object stage = status == 404 ? null : decodeBody(body).get(Wire.STATE);
-                    programs.told(
+                    programs.onJobStatus(
                             System.currentTimeMillis(),
                             id,
                             Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage),
@@ -148,7 +148,7 @@
     private void performOutputs() {
         for (List<Outbox.Output> l = outbox.drain(); !l.isEmpty(); l = outbox.drain()) {
             for (Outbox.Output o : l) {
-                if (o instanceof Outbox.Answer a) {
+                if (o instanceof Outbox.Response a) {
                     answer(a.exchange(), a.status(), a.body(), a.retryAfterS());
                 } else {
                     poolStore.write((Outbox.Write) o, outbox, this::performOutputs);
@@ -190,7 +190,7 @@
             RequestTarget t = RequestTarget.parse(target);
             String route = method + " " + t.path();
             if (route.equals("GET " + Wire.MACHINE_TYPES)) {
-                answer(exchange, 200, pool.types(), 0);
+                answer(exchange, 200, pool.listTypes(), 0);
             } else if (route.equals("POST " + Wire.RENTALS)) {
                 pool.rent(EventLoop.nowMs(), System.currentTimeMillis(), exchange, decodeBody(body));
             } else if (route.equals("POST " + Wire.RENTALS_DELETE)) {
@@ -199,7 +199,7 @@
                 answer(
                         exchange,
                         200,
-                        pool.list(System.currentTimeMillis(), t.text(Wire.AFTER, ""), t.count(Wire.LIMIT, 500)),
+                        pool.listMachines(System.currentTimeMillis(), t.text(Wire.AFTER, ""), t.count(Wire.LIMIT, 500)),
                         0);
             } else {
                 refuse(exchange, 404, "no such path", 0);
@@ -212,11 +212,11 @@
             RequestTarget t = RequestTarget.parse(target);
             String route = method + " " + t.path();
             if (route.equals("POST " + Wire.AGENTS)) {
-                pool.poll(EventLoop.nowMs(), exchange, decodeBody(body));
+                pool.handlePoll(EventLoop.nowMs(), exchange, decodeBody(body));
             } else if (route.equals("POST " + Wire.GANGS)) {
-                answer(exchange, 200, gangs.said(EventLoop.nowMs(), decodeBody(body)), 0);
+                answer(exchange, 200, gangs.handleStatus(EventLoop.nowMs(), decodeBody(body)), 0);
             } else if (route.equals("GET " + Wire.POOL_MACHINES)) {
-                answer(exchange, 200, Map.of("machines", pool.describe(EventLoop.nowMs())), 0);
+                answer(exchange, 200, Map.of("machines", pool.describeHosts(EventLoop.nowMs())), 0);
             } else if (route.startsWith("GET " + Wire.DESCRIPTIONS)) {
                 describeJob(exchange, jobIdAfter(t, Wire.DESCRIPTIONS));
             } else if (route.startsWith("POST " + Wire.PROGRAMS)) {
@@ -285,7 +285,7 @@
     private void serveTaskLogs(long exchange, RequestTarget t) {
         String task = t.path().substring(Wire.TASK_LOGS.length());
         if (t.parameters().containsKey("host")) {
-            String address = pool.address(t.text("host", ""));
+            String address = pool.agentAddress(t.text("host", ""));
             if (address == null) {
                 refuse(exchange, 404, "no host of that name is heard of", 0);
                 return;
@@ -307,7 +307,7 @@
         }
         Map<String, Object> found = new LinkedHashMap<>();
         List<Object> silent = new ArrayList<>();
-        List<String> hosts = pool.heard(EventLoop.nowMs());
+        List<String> hosts = pool.reachableHosts(EventLoop.nowMs());
         int[] open = {hosts.size()};
         Runnable done = () -> answer(exchange, 200, Map.of("hosts", found, "silent", silent), 0);
         if (hosts.isEmpty()) {
@@ -315,7 +315,7 @@
         }
         for (String h : hosts) {
             client.call(
-                    pool.address(h),
+                    pool.agentAddress(h),
                     "GET",
                     "/logs/" + task,
                     HttpClient.EMPTY_BODY,
--- a/src/main/java/birchusher/daemon/DaemonSettings.java
+++ b/src/main/java/birchusher/daemon/DaemonSettings.java
@@ -2,7 +2,7 @@
 
 import birchusher.core.Fields.InvalidInputException;
 import birchusher.kv.Limits;
-import birchusher.pool.Hosts;
+import birchusher.pool.HostInventory;
 import birchusher.settings.Settings;
 import birchusher.settings.Settings.Address;
 import birchusher.settings.SettingsReader;
@@ -32,7 +32,7 @@
         Path dataDir,
         Address listenAddress,
         Settings settings,
-        Hosts hosts,
+        HostInventory hosts,
         Limits limits,
         Tuning tuning,
         long snapshotBytes,
@@ -96,17 +96,17 @@
                         numberOr(k + "gpus", 0),
                         numberOr(k + "gpus-max", 0)));
             }
-            List<Hosts.Type> types = new ArrayList<>();
+            List<HostInventory.HostType> types = new ArrayList<>();
             for (String t : declaredNames("types", "type", TYPE_KEYS)) {
                 String k = "type." + t + ".";
-                types.add(new Hosts.Type(
+                types.add(new HostInventory.HostType(
                         t,
                         requiredNumber(k + "cpus"),
                         numberOr(k + "gpus", 0),
                         requiredNumber(k + "memory-gb"),
                         numberOr(k + "price", 1)));
             }
-            Map<String, Hosts.Host> hosts = new LinkedHashMap<>();
+            Map<String, HostInventory.Host> hosts = new LinkedHashMap<>();
             for (String h : declaredNames("hosts", "host", HOST_KEYS)) {
                 String zone = properties
                         .getProperty("host." + h + ".zone", zones.get(0))
@@ -114,7 +114,7 @@
                 if (!zones.contains(zone)) {
                     throw new InvalidInputException("host." + h + ".zone: " + zone + " is not among the zones");
                 }
-                hosts.put(h, new Hosts.Host(h, requiredText("host." + h + ".type"), zone));
+                hosts.put(h, new HostInventory.Host(h, requiredText("host." + h + ".type"), zone));
             }
             Tuning tuning = readTuning();
             double lease = numberOr("workers.lease-s", 60);
@@ -128,7 +128,7 @@
                 return buildSettings(
                         zones,
                         teams,
-                        new Hosts(types, hosts, Math.round(lease * 1000)),
+                        new HostInventory(types, hosts, Math.round(lease * 1000)),
                         tuning,
                         report,
                         lease,
@@ -141,7 +141,7 @@
         private DaemonSettings buildSettings(
                 List<String> zones,
                 List<Settings.Team> teams,
-                Hosts hosts,
+                HostInventory hosts,
                 Tuning tuning,
                 double report,
                 double lease,
--- a/src/main/java/birchusher/daemon/PoolStore.java
+++ b/src/main/java/birchusher/daemon/PoolStore.java
@@ -50,7 +50,7 @@
             }
         }
         runner.submit(new Request.Transaction(List.of(), writes, bytes, largest), reply -> {
-            outbox.written(w.id(), reply instanceof Reply.Committed);
+            outbox.onWritten(w.id(), reply instanceof Reply.Committed);
             then.run();
         });
     }
--- a/src/main/java/birchusher/pool/Gangs.java
+++ b/src/main/java/birchusher/pool/GangCoordinator.java
@@ -21,11 +21,11 @@
  * it is told     wait     go       all    broken
  * </pre>
  */
-public final class Gangs {
+public final class GangCoordinator {
     private static final int MAX_GANGS = 10_000;
     private static final int MAX_TASKS = 100_000;
-    private static final int MAX_NAMED = 1_000;
-    private static final long FORGET_MS = 120_000;
+    private static final int MAX_HOSTS_LISTED = 1_000;
+    private static final long RETENTION_MS = 120_000;
 
     /** How a task is: it has its program; its process runs; its process ended well; it ends for any other reason. */
     private enum Phase {
@@ -38,29 +38,29 @@
     private static final class Task {
         Phase phase;
         String host;
-        long heard;
+        long heardMs;
     }
 
     private static final class Gang {
         final Map<Integer, Task> tasks = new HashMap<>();
         boolean started;
         boolean broken;
-        long heard;
+        long heardMs;
         /** Since when it may be said that a task is missing. */
-        long judgedFrom;
+        long missingFromMs;
     }
 
-    private final long silentMs;
+    private final long silenceTimeoutMs;
     private final Map<String, Gang> gangs = new HashMap<>();
 
     /** @param silentMs a running task not heard of for this long is taken for gone */
-    public Gangs(long silentMs) {
-        this.silentMs = silentMs;
+    public GangCoordinator(long silentMs) {
+        this.silenceTimeoutMs = silentMs;
     }
 
     /** {@code POST /gangs}: {"job", "try", "index", "pieces", "phase", "address"}; the answer's "say" is one of the words above. With
      * "go" come the hosts of all tasks, by index, unless there are over {@value #MAX_NAMED}. */
-    public Map<String, Object> said(long now, Map<String, Object> m) {
+    public Map<String, Object> handleStatus(long now, Map<String, Object> m) {
         String job = Fields.text(m, "job");
         long attempt = Fields.count(m, "try");
         long index = Fields.count(m, "index");
@@ -68,21 +68,21 @@
         if (tasks < 1 || tasks > MAX_TASKS || index >= tasks) {
             throw new InvalidInputException("pieces: 1 to " + MAX_TASKS + ", and above the index");
         }
-        Phase phase = phase(Fields.text(m, "phase"));
+        Phase phase = parsePhase(Fields.text(m, "phase"));
         String key = job + "#" + attempt;
         if (!gangs.containsKey(key) && gangs.size() >= MAX_GANGS) {
             throw new InvalidInputException("gangs: as many as are kept");
         }
         Gang g = gangs.computeIfAbsent(key, k -> {
             Gang fresh = new Gang();
-            fresh.judgedFrom = now + silentMs;
+            fresh.missingFromMs = now + silenceTimeoutMs;
             return fresh;
         });
-        g.heard = now;
+        g.heardMs = now;
         Task t = g.tasks.computeIfAbsent((int) index, i -> new Task());
         t.phase = phase;
         t.host = Fields.text(m, Wire.ADDRESS);
-        t.heard = now;
+        t.heardMs = now;
         if (phase == Phase.RUNNING || phase == Phase.ENDED) {
             // It was started before this process was.
             g.started = true;
@@ -91,9 +91,9 @@
             g.tasks.remove((int) index);
             g.broken |= g.started;
         }
-        judge(now, g, tasks);
-        String say = say(g, tasks);
-        if (!say.equals("go") || tasks > MAX_NAMED || g.tasks.size() < tasks) {
+        updateState(now, g, tasks);
+        String say = instruction(g, tasks);
+        if (!say.equals("go") || tasks > MAX_HOSTS_LISTED || g.tasks.size() < tasks) {
             return Map.of("say", say);
         }
         List<Object> hosts = new ArrayList<>();
@@ -104,10 +104,10 @@
         return Map.of("say", say, "hosts", hosts);
     }
 
-    private void judge(long now, Gang g, long tasks) {
+    private void updateState(long now, Gang g, long tasks) {
         for (Iterator<Task> i = g.tasks.values().iterator(); i.hasNext(); ) {
             Task t = i.next();
-            if (now - t.heard <= silentMs || t.phase == Phase.ENDED) {
+            if (now - t.heardMs <= silenceTimeoutMs || t.phase == Phase.ENDED) {
                 continue;
             }
             i.remove();
@@ -116,14 +116,14 @@
         }
         if (!g.started && !g.broken && g.tasks.size() == tasks) {
             g.started = true;
-            g.judgedFrom = now + silentMs;
+            g.missingFromMs = now + silenceTimeoutMs;
         }
-        if (g.started && now >= g.judgedFrom && g.tasks.size() < tasks) {
+        if (g.started && now >= g.missingFromMs && g.tasks.size() < tasks) {
             g.broken = true;
         }
     }
 
-    private static String say(Gang g, long tasks) {
+    private static String instruction(Gang g, long tasks) {
         if (g.broken) {
             return "broken";
         }
@@ -136,10 +136,10 @@
     }
 
     public void tick(long now) {
-        gangs.values().removeIf(g -> now - g.heard > FORGET_MS);
+        gangs.values().removeIf(g -> now - g.heardMs > RETENTION_MS);
     }
 
-    private static Phase phase(String s) {
+    private static Phase parsePhase(String s) {
         return switch (s) {
             case "waiting" -> Phase.WAITING;
             case "running" -> Phase.RUNNING;
--- a/src/main/java/birchusher/pool/Hosts.java
+++ b/src/main/java/birchusher/pool/HostInventory.java
@@ -9,13 +9,13 @@
  *
  * @param leaseMs how long a host's tasks may live without an answer from the pool
  */
-public record Hosts(List<Type> types, Map<String, Host> hosts, long leaseMs) {
+public record HostInventory(List<HostType> types, Map<String, Host> hosts, long leaseMs) {
     public static final int MAX_HOSTS = 2_000;
 
     /** A kind of host. {@code price} is per hour and in whatever the operators count in, 0 for "already paid". */
-    public record Type(String name, double cpus, double gpus, double memGb, double price) {
-        public Type {
-            if (!(cpus >= 0) || !(gpus >= 0) || !(memGb > 0) || !(price >= 0)) {
+    public record HostType(String name, double cpus, double gpus, double memoryGb, double price) {
+        public HostType {
+            if (!(cpus >= 0) || !(gpus >= 0) || !(memoryGb > 0) || !(price >= 0)) {
                 throw new IllegalArgumentException("type " + name + ": cpus, gpus and price 0 or more, memory above 0");
             }
         }
@@ -24,7 +24,7 @@
     /** A host as the operator lists it. */
     public record Host(String name, String type, String zone) {}
 
-    public Hosts {
+    public HostInventory {
         types = List.copyOf(types);
         hosts = java.util.Collections.unmodifiableMap(new LinkedHashMap<>(hosts));
         if (hosts.isEmpty() || hosts.size() > MAX_HOSTS) {
@@ -37,7 +37,7 @@
         }
     }
 
-    Type type(String name) {
+    HostType type(String name) {
         return types.stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow();
     }
 
--- a/src/main/java/birchusher/pool/Outbox.java
+++ b/src/main/java/birchusher/pool/Outbox.java
@@ -12,40 +12,40 @@
     public sealed interface Output {}
 
     /** Answers a request. {@code retryAfterS} 0: no such header. */
-    public record Answer(long exchange, int status, Map<String, ?> body, int retryAfterS) implements Output {}
+    public record Response(long exchange, int status, Map<String, ?> body, int retryAfterS) implements Output {}
 
     /** Rows to be made durable together; a null value removes one. {@link Outbox#written} is told what became of it. */
     public record Write(long id, Map<String, Map<String, ?>> rows) implements Output {}
 
-    private final Map<Long, Consumer<Boolean>> writing = new HashMap<>();
-    private List<Output> out = new ArrayList<>();
-    private long nextWrite = 1;
+    private final Map<Long, Consumer<Boolean>> pendingWrites = new HashMap<>();
+    private List<Output> pendingOutputs = new ArrayList<>();
+    private long nextWriteId = 1;
 
     void answer(long exchange, int status, Map<String, ?> body) {
-        out.add(new Answer(exchange, status, body, 0));
+        pendingOutputs.add(new Response(exchange, status, body, 0));
     }
 
     void refuse(long exchange, int status, String why, int retryAfterS) {
-        out.add(new Answer(exchange, status, Map.of("error", why), retryAfterS));
+        pendingOutputs.add(new Response(exchange, status, Map.of("error", why), retryAfterS));
     }
 
     /** @param then is told whether the rows are durable; false means that they may or may not be after a restart */
     void write(Map<String, Map<String, ?>> rows, Consumer<Boolean> then) {
-        long id = nextWrite++;
-        writing.put(id, then);
-        out.add(new Write(id, rows));
+        long id = nextWriteId++;
+        pendingWrites.put(id, then);
+        pendingOutputs.add(new Write(id, rows));
     }
 
-    public void written(long id, boolean durable) {
-        Consumer<Boolean> then = writing.remove(id);
+    public void onWritten(long id, boolean durable) {
+        Consumer<Boolean> then = pendingWrites.remove(id);
         if (then != null) {
             then.accept(durable);
         }
     }
 
     public List<Output> drain() {
-        List<Output> o = out;
-        out = new ArrayList<>();
+        List<Output> o = pendingOutputs;
+        pendingOutputs = new ArrayList<>();
         return o;
     }
 }
--- a/src/test/java/birchusher/agent/WorkerTest.java
+++ b/src/test/java/birchusher/agent/WorkerTest.java
@@ -13,40 +13,40 @@
 
 /** The worker's machine, told in traces: what it is told on the left, what it wants done on the right. */
 class WorkerTest {
-    private static final Action.Key KEY = new Action.Key("wk-1", 0, 1);
+    private static final Action.AttemptKey KEY = new Action.AttemptKey("wk-1", 0, 1);
 
     private final Worker worker = new Worker("h:1", new SplittableRandom(1));
-    private final List<String> did = new ArrayList<>();
-    private Action.Report report;
+    private final List<String> performed = new ArrayList<>();
+    private Action.SendReport report;
 
-    private void act(List<Action> actions) {
+    private void perform(List<Action> actions) {
         for (Action a : actions) {
-            if (a instanceof Action.Report r) {
+            if (a instanceof Action.SendReport r) {
                 report = r;
-                did.add("report " + brief(r.body()));
-            } else if (a instanceof Action.Answer x) {
-                did.add("answer " + x.status());
-            } else if (a instanceof Action.Fetch f) {
-                did.add("fetch " + f.job());
-            } else if (a instanceof Action.Run r) {
-                did.add("run " + r.key().piece());
-            } else if (a instanceof Action.Signal s) {
-                did.add(s.name() + " " + s.key().piece());
-            } else if (a instanceof Action.Kill k) {
-                did.add("kill " + k.key().piece());
-            } else if (a instanceof Action.KillAll) {
-                did.add("kill all");
-            } else if (a instanceof Action.Forget f) {
-                did.add("forget " + f.key().piece());
-            } else if (a instanceof Action.Say s) {
-                did.add("say " + s.phase());
-            } else if (a instanceof Action.Lease l) {
-                did.add("lease " + l.remainingMs());
+                performed.add("report " + summary(r.body()));
+            } else if (a instanceof Action.SendResponse x) {
+                performed.add("answer " + x.status());
+            } else if (a instanceof Action.FetchDescription f) {
+                performed.add("fetch " + f.jobId());
+            } else if (a instanceof Action.StartProcess r) {
+                performed.add("run " + r.key().taskName());
+            } else if (a instanceof Action.SendSignal s) {
+                performed.add(s.name() + " " + s.key().taskName());
+            } else if (a instanceof Action.KillTask k) {
+                performed.add("kill " + k.key().taskName());
+            } else if (a instanceof Action.KillAllTasks) {
+                performed.add("kill all");
+            } else if (a instanceof Action.DeleteWorkDir f) {
+                performed.add("forget " + f.key().taskName());
+            } else if (a instanceof Action.SendGangStatus s) {
+                performed.add("say " + s.phase());
+            } else if (a instanceof Action.ExtendSupervisorLease l) {
+                performed.add("lease " + l.remainingMs());
             }
         }
     }
 
-    private static String brief(Map<String, ?> body) {
+    private static String summary(Map<String, ?> body) {
         List<String> l = new ArrayList<>();
         for (Object o : (List<?>) body.get("pieces")) {
             Map<?, ?> m = (Map<?, ?>) o;
@@ -56,9 +56,9 @@
         return body.get("host") + " " + body.get("tenure") + " " + l;
     }
 
-    private String took() {
-        String s = String.join(", ", did);
-        did.clear();
+    private String drainPerformed() {
+        String s = String.join(", ", performed);
+        performed.clear();
         return s;
     }
 
@@ -76,8 +76,8 @@
                 List.of(new Assignment.Controller("p", "c:1"), new Assignment.Controller("q", "c:2")));
     }
 
-    private static Description job(String shape, int tasks, double cpus, boolean saves) {
-        return new Description(
+    private static JobDescription jobDescription(String shape, int tasks, double cpus, boolean saves) {
+        return new JobDescription(
                 "wk-1",
                 tasks,
                 shape.equals("gang"),
@@ -92,175 +92,200 @@
                 "USR1");
     }
 
-    private static Map<String, Object> orders(long baton, Object... orders) {
+    private static Map<String, Object> response(long baton, Object... orders) {
         Map<String, Object> m = new HashMap<>();
         m.put("baton", baton);
         m.put("orders", List.of(orders));
         return m;
     }
 
-    private static Map<String, Object> start(String piece, long attempt) {
+    private static Map<String, Object> startCommand(String piece, long attempt) {
         return Map.of("verb", "start", "piece", piece, "try", attempt);
     }
 
-    private static Map<String, Object> stop(String piece, double grace) {
+    private static Map<String, Object> stopCommand(String piece, double grace) {
         return Map.of("verb", "stop", "piece", piece, "try", 1L, "wind_down_s", grace);
     }
 
     /** Running as n-1 at 1,000 with one task running since 1,100. */
-    private void running(Description job) {
-        act(worker.assigned(1_000, 900, assignment("n-1")));
-        act(worker.tick(1_000));
-        act(worker.answered(1_050, report.id(), 200, orders(5, start("wk-1/0", 1))));
-        act(worker.described(1_100, "wk-1", job));
-        did.clear();
+    private void startRunning(JobDescription job) {
+        perform(worker.onAssignment(1_000, 900, assignment("n-1")));
+        perform(worker.tick(1_000));
+        perform(worker.onReportResponse(1_050, report.id(), 200, response(5, startCommand("wk-1/0", 1))));
+        perform(worker.onDescription(1_100, "wk-1", job));
+        performed.clear();
     }
 
     private void report(long at) {
-        act(worker.tick(at));
+        perform(worker.tick(at));
     }
 
     @Test
-    void aTaskFromItsStartToItsReap() {
-        act(worker.assigned(1_000, 900, assignment("n-1")));
-        assertThat(took()).isEqualTo("lease 18400");
-        act(worker.tick(1_000));
-        assertThat(took()).isEqualTo("report n-1 1 []");
-        act(worker.answered(1_050, report.id(), 200, orders(5, start("wk-1/0", 1), start("wk-1/0", 1))));
-        assertThat(took()).isEqualTo("lease 18350, fetch wk-1");
+    void taskLifecycleFromStartToReap() {
+        perform(worker.onAssignment(1_000, 900, assignment("n-1")));
+        assertThat(drainPerformed()).isEqualTo("lease 18400");
+        perform(worker.tick(1_000));
+        assertThat(drainPerformed()).isEqualTo("report n-1 1 []");
+        perform(worker.onReportResponse(
+                1_050, report.id(), 200, response(5, startCommand("wk-1/0", 1), startCommand("wk-1/0", 1))));
+        assertThat(drainPerformed()).isEqualTo("lease 18350, fetch wk-1");
         report(1_500);
-        assertThat(took()).isEqualTo("report n-1 1 [wk-1/0#1 fetching]");
-        act(worker.described(1_600, "wk-1", job("sweep", 1, 1, false)));
-        act(worker.answered(1_700, report.id(), 200, orders(5)));
-        assertThat(took()).isEqualTo("run wk-1/0, lease 17700");
-        act(worker.exited(2_500, KEY, 0));
+        assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 fetching]");
+        perform(worker.onDescription(1_600, "wk-1", jobDescription("sweep", 1, 1, false)));
+        perform(worker.onReportResponse(1_700, report.id(), 200, response(5)));
+        assertThat(drainPerformed()).isEqualTo("run wk-1/0, lease 17700");
+        perform(worker.onTaskExit(2_500, KEY, 0));
         report(2_600);
-        assertThat(took()).isEqualTo("report n-1 1 [wk-1/0#1 exited done]");
-        act(worker.answered(2_650, report.id(), 200, orders(5, Map.of("verb", "reap", "piece", "wk-1/0", "try", 1L))));
-        assertThat(took()).isEqualTo("lease 16750, forget wk-1/0");
+        assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 exited done]");
+        perform(worker.onReportResponse(
+                2_650, report.id(), 200, response(5, Map.of("verb", "reap", "piece", "wk-1/0", "try", 1L))));
+        assertThat(drainPerformed()).isEqualTo("lease 16750, forget wk-1/0");
     }
 
     @Test
-    void oneDescriptionServesAllTasksOfAJobAndIsAskedForAgainIfNoneComes() {
-        act(worker.assigned(1_000, 900, assignment("n-1")));
-        act(worker.tick(1_000));
-        did.clear();
-        act(worker.answered(
-                1_050, report.id(), 200, orders(5, start("wk-1/0", 1), start("wk-1/1", 1), start("wk-2/0", 1))));
-        assertThat(took()).isEqualTo("lease 18350, fetch wk-1, fetch wk-2");
-        act(worker.tick(5_050));
-        assertThat(took()).contains("fetch wk-1, fetch wk-2").doesNotContain("fetch wk-1, fetch wk-1");
-        act(worker.described(5_100, "wk-1", job("sweep", 2, 1, false)));
-        assertThat(took()).isEqualTo("run wk-1/0, run wk-1/1");
+    void descriptionIsFetchedOncePerJobAndRetried() {
+        perform(worker.onAssignment(1_000, 900, assignment("n-1")));
+        perform(worker.tick(1_000));
+        performed.clear();
+        perform(worker.onReportResponse(
+                1_050,
+                report.id(),
+                200,
+                response(5, startCommand("wk-1/0", 1), startCommand("wk-1/1", 1), startCommand("wk-2/0", 1))));
+        assertThat(drainPerformed()).isEqualTo("lease 18350, fetch wk-1, fetch wk-2");
+        perform(worker.tick(5_050));
+        assertThat(drainPerformed()).contains("fetch wk-1, fetch wk-2").doesNotContain("fetch wk-1, fetch wk-1");
+        perform(worker.onDescription(5_100, "wk-1", jobDescription("sweep", 2, 1, false)));
+        assertThat(drainPerformed()).isEqualTo("run wk-1/0, run wk-1/1");
     }
 
     @Test
-    void answersThatMustBeDroppedNeitherRenewNorCommand() {
-        running(job("sweep", 1, 1, false));
+    void staleOrInvalidResponsesNeitherRenewTheLeaseNorCommand() {
+        startRunning(jobDescription("sweep", 1, 1, false));
         report(2_000);
-        act(worker.answered(2_100, report.id(), 200, orders(4, stop("wk-1/0", 0))));
+        perform(worker.onReportResponse(2_100, report.id(), 200, response(4, stopCommand("wk-1/0", 0))));
         report(5_000);
-        act(worker.answered(5_100, report.id(), 200, Map.of("orders", List.of(stop("wk-1/0", 0)))));
-        act(worker.answered(5_100, report.id() - 1, 200, orders(9, stop("wk-1/0", 0))));
-        act(worker.direct(
-                5_200, 1, "POST", "/do", Map.of("baton", 4L, "tenure", 1L, "orders", List.of(stop("wk-1/0", 0)))));
-        act(worker.direct(
-                5_200, 2, "POST", "/do", Map.of("baton", 9L, "tenure", 2L, "orders", List.of(stop("wk-1/0", 0)))));
-        assertThatThrownBy(() -> worker.direct(5_200, 3, "POST", "/do", Map.of("baton", 9L)))
+        perform(worker.onReportResponse(5_100, report.id(), 200, Map.of("orders", List.of(stopCommand("wk-1/0", 0)))));
+        perform(worker.onReportResponse(5_100, report.id() - 1, 200, response(9, stopCommand("wk-1/0", 0))));
+        perform(worker.onDirectRequest(
+                5_200,
+                1,
+                "POST",
+                "/do",
+                Map.of("baton", 4L, "tenure", 1L, "orders", List.of(stopCommand("wk-1/0", 0)))));
+        perform(worker.onDirectRequest(
+                5_200,
+                2,
+                "POST",
+                "/do",
+                Map.of("baton", 9L, "tenure", 2L, "orders", List.of(stopCommand("wk-1/0", 0)))));
+        assertThatThrownBy(() -> worker.onDirectRequest(5_200, 3, "POST", "/do", Map.of("baton", 9L)))
                 .isInstanceOf(InvalidInputException.class);
-        assertThat(took())
+        assertThat(drainPerformed())
                 .isEqualTo("report n-1 1 [wk-1/0#1 running], report n-1 1 [wk-1/0#1 running], answer 409, answer 409");
-        act(worker.assigned(6_000, 5_900, assignment("n-1")));
+        perform(worker.onAssignment(6_000, 5_900, assignment("n-1")));
         // The lease counts from the sending of the report that was answered as it should be, at 1,000.
-        act(worker.tick(19_499));
-        assertThat(took()).contains("report");
-        act(worker.tick(19_501));
-        assertThat(took()).isEqualTo("kill all");
+        perform(worker.tick(19_499));
+        assertThat(drainPerformed()).contains("report");
+        perform(worker.tick(19_501));
+        assertThat(drainPerformed()).isEqualTo("kill all");
     }
 
     @Test
-    void aLapsedLeaseEndsEverythingBeforeAnythingIsSaidAgain() {
-        running(job("sweep", 1, 1, false));
-        act(worker.assigned(19_000, 18_900, assignment("n-1")));
-        did.clear();
-        act(worker.tick(19_600));
-        act(worker.tick(22_000));
-        act(worker.exited(22_100, KEY, 137));
-        act(worker.direct(22_200, 1, "GET", "/show", null));
-        assertThat(took()).isEqualTo("kill all, answer 503");
-        act(worker.cleared(23_000));
-        act(worker.tick(23_000));
-        assertThat(took()).isEqualTo("forget wk-1/0, report n-1 2 []");
-        act(worker.answered(23_050, report.id(), 200, orders(5, start("wk-1/0", 1))));
-        assertThat(took()).contains("fetch wk-1");
+    void expiredLeaseKillsAllTasksBeforeTheNextReport() {
+        startRunning(jobDescription("sweep", 1, 1, false));
+        perform(worker.onAssignment(19_000, 18_900, assignment("n-1")));
+        performed.clear();
+        perform(worker.tick(19_600));
+        perform(worker.tick(22_000));
+        perform(worker.onTaskExit(22_100, KEY, 137));
+        perform(worker.onDirectRequest(22_200, 1, "GET", "/show", null));
+        assertThat(drainPerformed()).isEqualTo("kill all, answer 503");
+        perform(worker.onAllKilled(23_000));
+        perform(worker.tick(23_000));
+        assertThat(drainPerformed()).isEqualTo("forget wk-1/0, report n-1 2 []");
+        perform(worker.onReportResponse(23_050, report.id(), 200, response(5, startCommand("wk-1/0", 1))));
+        assertThat(drainPerformed()).contains("fetch wk-1");
     }
 
     @Test
-    void aPoolThatIsNotHeardEndsTheMachineAndItsSessionsGoOnAfterwards() {
-        running(job("sweep", 1, 1, false));
+    void expiredPoolLeaseEndsTheMachineAndSessionNumbersContinue() {
+        startRunning(jobDescription("sweep", 1, 1, false));
         report(18_000);
-        act(worker.answered(18_100, report.id(), 200, orders(5)));
-        did.clear();
-        act(worker.tick(19_500));
-        act(worker.cleared(19_600));
-        act(worker.tick(19_700));
-        assertThat(worker.runs()).isNull();
-        assertThat(took()).isEqualTo("kill all, forget wk-1/0");
-        act(worker.assigned(30_000, 29_900, assignment("n-1")));
-        act(worker.tick(30_000));
-        assertThat(took()).isEqualTo("lease 18400, report n-1 2 []");
-        act(worker.assigned(31_000, 30_900, assignment("n-2")));
-        assertThat(took()).isEqualTo("kill all");
-        assertThat(worker.runs()).as("until all is gone").isEqualTo("n-1");
-        act(worker.cleared(31_100));
-        act(worker.tick(31_100));
-        assertThat(took()).isEqualTo("report n-2 1 []");
+        perform(worker.onReportResponse(18_100, report.id(), 200, response(5)));
+        performed.clear();
+        perform(worker.tick(19_500));
+        perform(worker.onAllKilled(19_600));
+        perform(worker.tick(19_700));
+        assertThat(worker.currentMachine()).isNull();
+        assertThat(drainPerformed()).isEqualTo("kill all, forget wk-1/0");
+        perform(worker.onAssignment(30_000, 29_900, assignment("n-1")));
+        perform(worker.tick(30_000));
+        assertThat(drainPerformed()).isEqualTo("lease 18400, report n-1 2 []");
+        perform(worker.onAssignment(31_000, 30_900, assignment("n-2")));
+        assertThat(drainPerformed()).isEqualTo("kill all");
+        assertThat(worker.currentMachine()).as("until all is gone").isEqualTo("n-1");
+        perform(worker.onAllKilled(31_100));
+        perform(worker.tick(31_100));
+        assertThat(drainPerformed()).isEqualTo("report n-2 1 []");
     }
 
     @Test
-    void aStopSavesIfThereIsTimeAndNeverCallsWorkDone() {
-        running(job("sweep", 1, 1, true));
-        act(worker.direct(
-                2_000, 1, "POST", "/do", Map.of("baton", 5L, "tenure", 1L, "orders", List.of(stop("wk-1/0", 4)))));
-        assertThat(took()).isEqualTo("USR1 wk-1/0, answer 200");
-        act(worker.exited(3_000, KEY, Worker.SAVED));
+    void stopWithEnoughGraceSavesAndIsNeverReportedDone() {
+        startRunning(jobDescription("sweep", 1, 1, true));
+        perform(worker.onDirectRequest(
+                2_000,
+                1,
+                "POST",
+                "/do",
+                Map.of("baton", 5L, "tenure", 1L, "orders", List.of(stopCommand("wk-1/0", 4)))));
+        assertThat(drainPerformed()).isEqualTo("USR1 wk-1/0, answer 200");
+        perform(worker.onTaskExit(3_000, KEY, Worker.SAVED_EXIT_CODE));
         report(3_000);
-        assertThat(took()).isEqualTo("report n-1 1 [wk-1/0#1 exited halted kept]");
+        assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 exited halted kept]");
     }
 
     @Test
-    void aProgramThatIgnoresItsStopIsKilledWhenItsTimeIsOver() {
-        running(job("sweep", 1, 1, true));
-        act(worker.direct(
-                2_000, 1, "POST", "/do", Map.of("baton", 5L, "tenure", 1L, "orders", List.of(stop("wk-1/0", 4)))));
-        did.clear();
-        act(worker.tick(5_900));
-        assertThat(took()).isEqualTo("report n-1 1 [wk-1/0#1 flushing]");
-        act(worker.tick(6_000));
-        assertThat(took()).isEqualTo("kill wk-1/0");
-        act(worker.exited(6_100, KEY, 137));
-        act(worker.answered(6_100, report.id(), 503, Map.of()));
+    void programThatIgnoresItsStopIsKilledAfterTheGracePeriod() {
+        startRunning(jobDescription("sweep", 1, 1, true));
+        perform(worker.onDirectRequest(
+                2_000,
+                1,
+                "POST",
+                "/do",
+                Map.of("baton", 5L, "tenure", 1L, "orders", List.of(stopCommand("wk-1/0", 4)))));
+        performed.clear();
+        perform(worker.tick(5_900));
+        assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 flushing]");
+        perform(worker.tick(6_000));
+        assertThat(drainPerformed()).isEqualTo("kill wk-1/0");
+        perform(worker.onTaskExit(6_100, KEY, 137));
+        perform(worker.onReportResponse(6_100, report.id(), 503, Map.of()));
         report(8_000);
-        assertThat(took()).isEqualTo("report n-1 1 [wk-1/0#1 exited halted]");
+        assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 exited halted]");
         assertThat(report.address()).as("the next controller").isEqualTo("c:2");
     }
 
     @Test
-    void askedToEndAnExitWithZeroIsNotDone() {
-        running(job("sweep", 1, 1, false));
-        act(worker.direct(
-                2_000, 1, "POST", "/do", Map.of("baton", 5L, "tenure", 1L, "orders", List.of(stop("wk-1/0", 4)))));
-        assertThat(took()).startsWith("TERM wk-1/0");
-        act(worker.exited(2_100, KEY, 0));
+    void exitCodeZeroAfterAStopIsNotReportedDone() {
+        startRunning(jobDescription("sweep", 1, 1, false));
+        perform(worker.onDirectRequest(
+                2_000,
+                1,
+                "POST",
+                "/do",
+                Map.of("baton", 5L, "tenure", 1L, "orders", List.of(stopCommand("wk-1/0", 4)))));
+        assertThat(drainPerformed()).startsWith("TERM wk-1/0");
+        perform(worker.onTaskExit(2_100, KEY, 0));
         report(3_000);
-        assertThat(took()).isEqualTo("report n-1 1 [wk-1/0#1 exited halted]");
+        assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 exited halted]");
     }
 
     @Test
-    void startsThatCantBeSayWhy() {
-        running(job("sweep", 2, 3, false));
-        act(worker.answered(1_150, report.id(), 200, orders(5)));
-        act(worker.direct(
+    void rejectedStartsReportTheirCause() {
+        startRunning(jobDescription("sweep", 2, 3, false));
+        perform(worker.onReportResponse(1_150, report.id(), 200, response(5)));
+        perform(worker.onDirectRequest(
                 2_000,
                 1,
                 "POST",
@@ -272,67 +297,67 @@
                         1L,
                         "orders",
                         List.of(
-                                start("wk-1/0", 2),
-                                start("wk-1/1", 1),
-                                start("wk-2/0", 1),
-                                start("wk-1/7", 1),
-                                start("wk-3/0", 1)))));
-        act(worker.described(2_100, "wk-1", job("sweep", 2, 3, false)));
-        act(worker.described(2_100, "wk-2", null));
-        act(worker.described(
+                                startCommand("wk-1/0", 2),
+                                startCommand("wk-1/1", 1),
+                                startCommand("wk-2/0", 1),
+                                startCommand("wk-1/7", 1),
+                                startCommand("wk-3/0", 1)))));
+        perform(worker.onDescription(2_100, "wk-1", jobDescription("sweep", 2, 3, false)));
+        perform(worker.onDescription(2_100, "wk-2", null));
+        perform(worker.onDescription(
                 2_100,
                 "wk-3",
-                new Description("wk-3", 1, false, false, 1, 0, 1, false, 0, List.of(), Map.of(), "TERM")));
-        did.clear();
+                new JobDescription("wk-3", 1, false, false, 1, 0, 1, false, 0, List.of(), Map.of(), "TERM")));
+        performed.clear();
         report(3_500);
-        assertThat(took())
+        assertThat(drainPerformed())
                 .isEqualTo("report n-1 1 [wk-1/0#1 running, wk-1/0#2 exited in_use, wk-1/1#1 exited full, "
                         + "wk-2/0#1 exited no_such, wk-1/7#1 exited no_such, wk-3/0#1 exited error]");
         for (String piece : List.of("../0", "wk-1", "wk-1/x", "wk/../../1", "/1")) {
-            assertThatThrownBy(() -> worker.direct(
+            assertThatThrownBy(() -> worker.onDirectRequest(
                             4_000,
                             9,
                             "POST",
                             "/do",
-                            Map.of("baton", 5L, "tenure", 1L, "orders", List.of(start(piece, 1)))))
+                            Map.of("baton", 5L, "tenure", 1L, "orders", List.of(startCommand(piece, 1)))))
                     .as(piece)
                     .isInstanceOf(InvalidInputException.class);
         }
     }
 
     @Test
-    void aGangStartsTogetherEndsTogetherAndBreaksTogether() {
-        running(job("gang", 2, 1, false));
-        act(worker.tick(2_200));
-        assertThat(took()).contains("say waiting").doesNotContain("run");
-        act(worker.gangSaid(2_300, KEY, "go", List.of("h", "i")));
-        assertThat(took()).isEqualTo("run wk-1/0");
-        act(worker.exited(4_000, KEY, 0));
-        assertThat(took()).isEqualTo("say ended");
-        act(worker.gangSaid(4_100, KEY, "all", List.of()));
-        act(worker.answered(4_100, report.id(), 200, orders(5)));
+    void gangTaskStartsAndIsDoneOnlyWithItsGang() {
+        startRunning(jobDescription("gang", 2, 1, false));
+        perform(worker.tick(2_200));
+        assertThat(drainPerformed()).contains("say waiting").doesNotContain("run");
+        perform(worker.onGangInstruction(2_300, KEY, "go", List.of("h", "i")));
+        assertThat(drainPerformed()).isEqualTo("run wk-1/0");
+        perform(worker.onTaskExit(4_000, KEY, 0));
+        assertThat(drainPerformed()).isEqualTo("say ended");
+        perform(worker.onGangInstruction(4_100, KEY, "all", List.of()));
+        perform(worker.onReportResponse(4_100, report.id(), 200, response(5)));
         report(4_200);
-        assertThat(took()).contains("[wk-1/0#1 exited done]");
+        assertThat(drainPerformed()).contains("[wk-1/0#1 exited done]");
     }
 
     @Test
-    void aGangThatBreaksOrIsNeverWholeSaysWhich() {
-        running(job("gang", 2, 1, false));
-        act(worker.tick(6_200));
-        assertThat(took()).contains("say leaving");
-        act(worker.tick(6_800));
-        act(worker.answered(
+    void incompleteAndBrokenGangsExitWithDifferentCauses() {
+        startRunning(jobDescription("gang", 2, 1, false));
+        perform(worker.tick(6_200));
+        assertThat(drainPerformed()).contains("say leaving");
+        perform(worker.tick(6_800));
+        perform(worker.onReportResponse(
                 6_900,
                 report.id(),
                 200,
-                orders(5, Map.of("verb", "reap", "piece", "wk-1/0", "try", 1L), start("wk-1/0", 1))));
-        act(worker.described(7_000, "wk-1", job("gang", 2, 1, false)));
-        act(worker.gangSaid(7_100, KEY, "go", List.of()));
-        did.clear();
-        act(worker.gangSaid(7_200, KEY, "broken", List.of()));
-        assertThat(took()).isEqualTo("kill wk-1/0");
-        act(worker.exited(7_300, KEY, 137));
+                response(5, Map.of("verb", "reap", "piece", "wk-1/0", "try", 1L), startCommand("wk-1/0", 1))));
+        perform(worker.onDescription(7_000, "wk-1", jobDescription("gang", 2, 1, false)));
+        perform(worker.onGangInstruction(7_100, KEY, "go", List.of()));
+        performed.clear();
+        perform(worker.onGangInstruction(7_200, KEY, "broken", List.of()));
+        assertThat(drainPerformed()).isEqualTo("kill wk-1/0");
+        perform(worker.onTaskExit(7_300, KEY, 137));
         report(9_500);
-        assertThat(took()).contains("[wk-1/0#1 exited mates_gone]");
+        assertThat(drainPerformed()).contains("[wk-1/0#1 exited mates_gone]");
     }
 }
--- a/src/test/java/birchusher/pool/GangsTest.java
+++ b/src/test/java/birchusher/pool/GangCoordinatorTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.Test;
 
 /** The meeting point of gangs, and what is taken for a program. */
-class GangsTest {
-    private final Gangs gangs = new Gangs(5_000);
+class GangCoordinatorTest {
+    private final GangCoordinator gangs = new GangCoordinator(5_000);
 
-    private String say(long now, int index, String phase) {
-        return (String) full(now, index, phase).get("say");
+    private String instruction(long now, int index, String phase) {
+        return (String) sendStatus(now, index, phase).get("say");
     }
 
-    private Map<String, Object> full(long now, int index, String phase) {
-        return gangs.said(
+    private Map<String, Object> sendStatus(long now, int index, String phase) {
+        return gangs.handleStatus(
                 now,
                 Map.of(
                         "job",
@@ -36,73 +36,74 @@
     }
 
     @Test
-    void allStartTogetherAndAreDoneTogether() {
-        assertThat(say(0, 0, "waiting")).isEqualTo("wait");
-        assertThat(say(1_000, 0, "waiting")).isEqualTo("wait");
-        assertThat(full(1_500, 1, "waiting"))
+    void gangStartsAndIsDoneOnlyAsAWhole() {
+        assertThat(instruction(0, 0, "waiting")).isEqualTo("wait");
+        assertThat(instruction(1_000, 0, "waiting")).isEqualTo("wait");
+        assertThat(sendStatus(1_500, 1, "waiting"))
                 .containsEntry("say", "go")
                 .containsEntry("hosts", List.of("10.0.0.0", "10.0.0.1"));
-        assertThat(say(2_000, 0, "waiting")).isEqualTo("go");
-        assertThat(say(3_000, 0, "ended")).isEqualTo("go");
-        assertThat(say(4_000, 1, "ended")).isEqualTo("all");
-        assertThat(say(30_000, 0, "ended")).as("also told late").isEqualTo("all");
+        assertThat(instruction(2_000, 0, "waiting")).isEqualTo("go");
+        assertThat(instruction(3_000, 0, "ended")).isEqualTo("go");
+        assertThat(instruction(4_000, 1, "ended")).isEqualTo("all");
+        assertThat(instruction(30_000, 0, "ended")).as("also told late").isEqualTo("all");
     }
 
     @Test
-    void aTaskThatVanishesBreaksARunningGangAndNoWaitingOne() {
-        say(0, 0, "waiting");
-        say(0, 1, "waiting");
-        assertThat(say(1_000, 0, "running")).isEqualTo("go");
-        assertThat(say(6_500, 0, "running"))
+    void silentTaskBreaksARunningGangButNotAWaitingOne() {
+        instruction(0, 0, "waiting");
+        instruction(0, 1, "waiting");
+        assertThat(instruction(1_000, 0, "running")).isEqualTo("go");
+        assertThat(instruction(6_500, 0, "running"))
                 .as("task 1 was silent for longer than allowed")
                 .isEqualTo("broken");
-        Gangs other = new Gangs(5_000);
+        GangCoordinator other = new GangCoordinator(5_000);
         Map<String, Object> zero =
                 Map.of("job", "wk-1", "try", 1L, "index", 0L, "pieces", 2L, "phase", "waiting", "address", "x:1");
-        other.said(0, zero);
+        other.handleStatus(0, zero);
         Map<String, Object> one = new HashMap<>(zero);
         one.put("index", 1L);
         one.put("phase", "leaving");
-        assertThat(other.said(1_000, one).get("say")).isEqualTo("wait");
+        assertThat(other.handleStatus(1_000, one).get("say")).isEqualTo("wait");
         one.put("phase", "waiting");
-        assertThat(other.said(2_000, one).get("say"))
+        assertThat(other.handleStatus(2_000, one).get("say"))
                 .as("a replacement completes it")
                 .isEqualTo("go");
     }
 
     @Test
-    void afterARestartNobodyIsCalledMissingBeforeAllHadTimeToSpeak() {
-        assertThat(say(100_000, 0, "running")).isEqualTo("go");
-        assertThat(say(104_000, 0, "running")).isEqualTo("go");
-        assertThat(say(104_500, 1, "running")).isEqualTo("go");
-        assertThat(say(106_000, 0, "running")).isEqualTo("go");
-        Gangs fresh = new Gangs(5_000);
+    void afterARestartNoTaskIsMissingBeforeTheSilenceTimeout() {
+        assertThat(instruction(100_000, 0, "running")).isEqualTo("go");
+        assertThat(instruction(104_000, 0, "running")).isEqualTo("go");
+        assertThat(instruction(104_500, 1, "running")).isEqualTo("go");
+        assertThat(instruction(106_000, 0, "running")).isEqualTo("go");
+        GangCoordinator fresh = new GangCoordinator(5_000);
         Map<String, Object> zero =
                 Map.of("job", "wk-1", "try", 1L, "index", 0L, "pieces", 2L, "phase", "running", "address", "x:1");
-        fresh.said(0, zero);
-        assertThat(fresh.said(5_000, zero).get("say")).isEqualTo("broken");
+        fresh.handleStatus(0, zero);
+        assertThat(fresh.handleStatus(5_000, zero).get("say")).isEqualTo("broken");
     }
 
     @Test
-    void aProgramIsTakenOnceAndOnlyIfAllOfItIsKnown() {
+    void programIsStoredOnceAndOnlyIfValid() {
         Outbox out = new Outbox();
-        Programs programs = new Programs(out, Map.of());
+        ProgramStore programs = new ProgramStore(out, Map.of());
         Map<String, Object> program = Map.of("command", List.of("sh", "-c", "true"), "env", Map.of("A", "b"));
         programs.put(0, 1, "wk-1", program);
         programs.put(0, 2, "wk-1", program);
         List<Outbox.Output> l = out.drain();
-        assertThat(((Outbox.Answer) l.get(1)).status()).as("not durable yet").isEqualTo(503);
-        out.written(((Outbox.Write) l.get(0)).id(), true);
+        assertThat(((Outbox.Response) l.get(1)).status()).as("not durable yet").isEqualTo(503);
+        out.onWritten(((Outbox.Write) l.get(0)).id(), true);
         programs.put(0, 3, "wk-1", program);
         programs.put(0, 4, "wk-1", Map.of("command", List.of("other")));
-        assertThat(out.drain().stream().map(o -> ((Outbox.Answer) o).status())).containsExactly(201, 200, 409);
+        assertThat(out.drain().stream().map(o -> ((Outbox.Response) o).status()))
+                .containsExactly(201, 200, 409);
         // It goes once its job is over, not before.
-        assertThat(programs.old(1_000)).isNull();
-        assertThat(programs.old(700_000)).isEqualTo("wk-1");
-        programs.told(700_000, "wk-1", false, true);
+        assertThat(programs.nextToCheck(1_000)).isNull();
+        assertThat(programs.nextToCheck(700_000)).isEqualTo("wk-1");
+        programs.onJobStatus(700_000, "wk-1", false, true);
         assertThat(out.drain()).as("an upload whose job may still come").isEmpty();
-        programs.told(700_000, "wk-1", true, false);
-        out.written(((Outbox.Write) out.drain().get(0)).id(), true);
+        programs.onJobStatus(700_000, "wk-1", true, false);
+        out.onWritten(((Outbox.Write) out.drain().get(0)).id(), true);
         assertThat(programs.get("wk-1")).isNull();
         for (Map<String, Object> bad : List.<Map<String, Object>>of(
                 Map.of(),
@@ -113,7 +114,7 @@
                 Map.of("command", List.of("x"), "env", Map.of("BIRCHUSHER_TAG", "x")),
                 Map.of("command", List.of("x"), "save_signal", "KILL"),
                 Map.of("command", List.of("x".repeat(50_000))))) {
-            assertThatThrownBy(() -> Programs.checked(bad))
+            assertThatThrownBy(() -> ProgramStore.validate(bad))
                     .as(String.valueOf(bad.keySet()))
                     .isInstanceOf(InvalidInputException.class);
         }
--- a/src/test/java/birchusher/pool/PoolTest.java
+++ b/src/test/java/birchusher/pool/HostPoolTest.java
@@ -17,40 +17,41 @@
 import org.junit.jupiter.api.Test;
 
 /** A pool of fixed hosts: never rented twice, never called gone while something of it may run. */
-class PoolTest {
+class HostPoolTest {
     private static final long LEASE_MS = 10_000;
-    private static final Hosts HOSTS = new Hosts(
-            List.of(new Hosts.Type("small", 4, 0, 8, 1)),
-            new TreeMap<>(Map.of("a", new Hosts.Host("a", "small", "z"), "b", new Hosts.Host("b", "small", "z"))),
+    private static final HostInventory INVENTORY = new HostInventory(
+            List.of(new HostInventory.HostType("small", 4, 0, 8, 1)),
+            new TreeMap<>(Map.of(
+                    "a", new HostInventory.Host("a", "small", "z"), "b", new HostInventory.Host("b", "small", "z"))),
             LEASE_MS);
 
     private final Map<String, Map<String, Object>> rows = new HashMap<>();
-    private final Map<Long, Outbox.Answer> answers = new HashMap<>();
+    private final Map<Long, Outbox.Response> responses = new HashMap<>();
     private Outbox outbox;
-    private Pool pool;
-    private long now = 1_000;
-    private long exchange;
-    private long message;
+    private HostPool pool;
+    private long nowMs = 1_000;
+    private long lastExchange;
+    private long lastSequence;
     /** Of the next writes: kept and told; not kept and told so; kept, but told otherwise. */
-    private int writes;
+    private int writeOutcome;
 
     @BeforeEach
-    void start() {
+    void restartPool() {
         outbox = new Outbox();
-        pool = new Pool(HOSTS, Map.of("lease_s", 10.0), outbox, rows, now);
+        pool = new HostPool(INVENTORY, Map.of("lease_s", 10.0), outbox, rows, nowMs);
     }
 
     @SuppressWarnings("unchecked")
-    private void act() {
+    private void perform() {
         for (List<Outbox.Output> l = outbox.drain(); !l.isEmpty(); l = outbox.drain()) {
             for (Outbox.Output o : l) {
-                if (o instanceof Outbox.Answer a) {
-                    assertThat(answers.put(a.exchange(), a))
+                if (o instanceof Outbox.Response a) {
+                    assertThat(responses.put(a.exchange(), a))
                             .as("answered twice")
                             .isNull();
                 } else {
                     Outbox.Write w = (Outbox.Write) o;
-                    if (writes != 1) {
+                    if (writeOutcome != 1) {
                         w.rows().forEach((k, v) -> {
                             if (v == null) {
                                 rows.remove(k);
@@ -59,53 +60,53 @@
                             }
                         });
                     }
-                    outbox.written(w.id(), writes == 0);
+                    outbox.onWritten(w.id(), writeOutcome == 0);
                 }
             }
         }
     }
 
-    private Outbox.Answer rent(String ask, long count) {
+    private Outbox.Response rent(String ask, long count) {
         pool.rent(
-                now,
-                50_000 + now,
-                ++exchange,
+                nowMs,
+                50_000 + nowMs,
+                ++lastExchange,
                 Map.of("ask", ask, "build", "small", "grove", "z", "loaners", false, "how_many", count));
-        act();
-        return answers.get(exchange);
+        perform();
+        return responses.get(lastExchange);
     }
 
     private long delete(String... names) {
-        pool.delete(now, ++exchange, Map.of("hosts", List.of(names)));
-        act();
-        return exchange;
+        pool.delete(nowMs, ++lastExchange, Map.of("hosts", List.of(names)));
+        perform();
+        return lastExchange;
     }
 
-    private Outbox.Answer poll(String host, String boot, String runs) {
-        return poll(host, boot, runs, null, ++message);
+    private Outbox.Response poll(String host, String boot, String runs) {
+        return poll(host, boot, runs, null, ++lastSequence);
     }
 
-    private Outbox.Answer poll(String host, String boot, String runs, String before, long number) {
+    private Outbox.Response poll(String host, String boot, String runs, String before, long number) {
         Map<String, Object> m = new HashMap<>(Map.of("agent", host, "boot", boot, "address", "h:1", "tick", number));
         m.put("host", runs);
         m.put("before", before);
-        pool.poll(now, ++exchange, m);
-        act();
-        return answers.get(exchange);
+        pool.handlePoll(nowMs, ++lastExchange, m);
+        perform();
+        return responses.get(lastExchange);
     }
 
-    private int status(long x) {
-        return answers.containsKey(x) ? answers.get(x).status() : 0;
+    private int responseStatus(long x) {
+        return responses.containsKey(x) ? responses.get(x).status() : 0;
     }
 
-    private List<Object> hosts(Outbox.Answer a) {
+    private List<Object> machines(Outbox.Response a) {
         return new ArrayList<>((List<?>) a.body().get("hosts"));
     }
 
     @SuppressWarnings("unchecked")
-    private Map<String, String> listed() {
+    private Map<String, String> statesByMachine() {
         Map<String, String> m = new LinkedHashMap<>();
-        for (Object o : (List<Object>) pool.list(now, "", 500).get("hosts")) {
+        for (Object o : (List<Object>) pool.listMachines(nowMs, "", 500).get("hosts")) {
             Map<String, Object> x = (Map<String, Object>) o;
             m.put((String) x.get("name_id"), (String) x.get("stage"));
         }
@@ -113,51 +114,51 @@
     }
 
     @Test
-    void aHostIsRentedOnceAndARepeatedRequestGetsTheSameAlsoAfterARestart() {
+    void repeatedRentalRequestReturnsTheSameMachinesAlsoAfterARestart() {
         assertThat(rent("r1", 2).body().get("error")).as("no agent is heard").isEqualTo("no capacity");
         poll("a", "boot-a", null);
         poll("b", "boot-b", null);
-        assertThat(hosts(rent("r1", 3))).containsExactly("n-000001", "n-000002");
-        assertThat(hosts(rent("r1", 3))).containsExactly("n-000001", "n-000002");
+        assertThat(machines(rent("r1", 3))).containsExactly("n-000001", "n-000002");
+        assertThat(machines(rent("r1", 3))).containsExactly("n-000001", "n-000002");
         assertThat(rent("r2", 1).status()).isEqualTo(503);
-        start();
-        assertThat(hosts(rent("r1", 3))).containsExactly("n-000001", "n-000002");
+        restartPool();
+        assertThat(machines(rent("r1", 3))).containsExactly("n-000001", "n-000002");
         assertThat(rent("r2", 1).status()).isEqualTo(503);
         assertThat(poll("a", "boot-a", "n-000001").body().get("host")).isEqualTo("n-000001");
-        assertThat(listed()).isEqualTo(Map.of("n-000001", "running", "n-000002", "starting"));
+        assertThat(statesByMachine()).isEqualTo(Map.of("n-000001", "running", "n-000002", "starting"));
     }
 
     @Test
-    void aMachineIsGoneOnlyWhenItsAgentSaysSoOrHasBeenSilentForALease() {
+    void deletionIsConfirmedOnlyByTheAgentOrAfterItsLease() {
         poll("a", "boot-a", null);
         rent("r1", 1);
         poll("a", "boot-a", "n-000001");
         long x = delete("n-000001", "n-000099");
-        assertThat(status(x)).isZero();
+        assertThat(responseStatus(x)).isZero();
         assertThat(rent("r2", 1).body().get("error")).as("it will be back soon").isEqualTo("trouble");
         assertThat(poll("a", "boot-a", "n-000001").body().get("host"))
                 .as("told to end it")
                 .isNull();
-        assertThat(status(x)).isZero();
+        assertThat(responseStatus(x)).isZero();
         poll("a", "boot-a", null);
-        assertThat(status(x)).isEqualTo(200);
-        assertThat(hosts(rent("r2", 1))).containsExactly("n-000002");
+        assertThat(responseStatus(x)).isEqualTo(200);
+        assertThat(machines(rent("r2", 1))).containsExactly("n-000002");
         // Now it falls silent: who deletes is told to come back, until the lease has passed.
         long y = delete("n-000002");
-        now += 4_000;
-        pool.tick(now);
-        act();
-        assertThat(answers.get(y).status()).isEqualTo(503);
-        assertThat(answers.get(y).retryAfterS()).isPositive();
-        now += LEASE_MS;
-        pool.tick(now);
-        act();
-        assertThat(status(delete("n-000002"))).isEqualTo(200);
-        assertThat(listed()).isEmpty();
+        nowMs += 4_000;
+        pool.tick(nowMs);
+        perform();
+        assertThat(responses.get(y).status()).isEqualTo(503);
+        assertThat(responses.get(y).retryAfterS()).isPositive();
+        nowMs += LEASE_MS;
+        pool.tick(nowMs);
+        perform();
+        assertThat(responseStatus(delete("n-000002"))).isEqualTo(200);
+        assertThat(statesByMachine()).isEmpty();
     }
 
     @Test
-    void aMessageThatArrivesLateParksNothing() {
+    void outdatedPollDoesNotParkAHost() {
         poll("a", "boot-a", null, null, 1);
         long late = 2;
         rent("r1", 1);
@@ -165,112 +166,114 @@
         long x = delete("n-000001");
         // "Runs nothing", sent before the agent was told to be the machine.
         assertThat(poll("a", "boot-a", null, null, late).status()).isEqualTo(409);
-        assertThat(status(x)).isZero();
+        assertThat(responseStatus(x)).isZero();
     }
 
     @Test
-    void twoAgentsOfOneNameNeverSpeakForOneHost() {
+    void onlyOneAgentControlsAHost() {
         poll("a", "boot-1", null);
         rent("r1", 1);
         poll("a", "boot-1", "n-000001");
         assertThat(poll("a", "boot-2", null).status()).isEqualTo(409);
         assertThat(poll("a", "boot-1", "n-000001").body().get("host")).isEqualTo("n-000001");
         // One that found the other dead, in its own directory, may take over at once; what that ran has failed.
-        assertThat(poll("a", "boot-2", null, "boot-1", ++message).body().get("host"))
+        assertThat(poll("a", "boot-2", null, "boot-1", ++lastSequence).body().get("host"))
                 .isNull();
-        assertThat(listed()).isEqualTo(Map.of("n-000001", "failed"));
+        assertThat(statesByMachine()).isEqualTo(Map.of("n-000001", "failed"));
         assertThat(poll("a", "boot-1", "n-000001").status()).isEqualTo(409);
         assertThat(rent("r2", 1).status()).isEqualTo(503);
-        assertThat(status(delete("n-000001"))).isEqualTo(200);
-        assertThat(hosts(rent("r2", 1))).containsExactly("n-000002");
+        assertThat(responseStatus(delete("n-000001"))).isEqualTo(200);
+        assertThat(machines(rent("r2", 1))).containsExactly("n-000002");
         // And one that knows nothing has to wait.
-        now += LEASE_MS / 2;
+        nowMs += LEASE_MS / 2;
         assertThat(poll("a", "boot-3", null).status()).isEqualTo(409);
-        now += LEASE_MS;
+        nowMs += LEASE_MS;
         assertThat(poll("a", "boot-3", null).status()).isEqualTo(200);
-        assertThat(listed()).isEqualTo(Map.of("n-000002", "failed"));
+        assertThat(statesByMachine()).isEqualTo(Map.of("n-000002", "failed"));
     }
 
     @Test
-    void whatCantBeKeptIsRefusedAndItsNumberNeverUsedAgain() {
+    void failedWriteIsRefusedAndItsMachineNumberNeverReused() {
         poll("a", "boot-a", null);
-        writes = 1;
+        writeOutcome = 1;
         assertThat(rent("r1", 1).status()).isEqualTo(503);
-        writes = 2;
+        writeOutcome = 2;
         assertThat(rent("r1", 1).status()).isEqualTo(503);
-        writes = 0;
-        assertThat(hosts(rent("r1", 1))).containsExactly("n-000003");
+        writeOutcome = 0;
+        assertThat(machines(rent("r1", 1))).containsExactly("n-000003");
         rows.put("host/gone", rows.get("host/a"));
-        assertThatThrownBy(this::start)
+        assertThatThrownBy(this::restartPool)
                 .isInstanceOf(InvalidInputException.class)
                 .hasMessageContaining("gone");
     }
 
     /** What one agent would do: it obeys answers, which may be lost, and ends its machine a lease after the last one. */
-    private static final class Agent {
+    private static final class SimulatedAgent {
         final String host;
         int boots;
-        long message;
-        String runs;
-        long asked;
-        long answered;
+        long sequence;
+        String machine;
+        long nextPollMs;
+        long lastResponseMs;
 
-        Agent(String host) {
+        SimulatedAgent(String host) {
             this.host = host;
         }
     }
 
     @Test
-    void whateverIsLostNoMachineIsCalledGoneWhileItRuns() {
+    void noMachineIsReportedGoneWhileItRuns() {
         int deleted = 0;
         for (int seed = 0; seed < 300; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             rows.clear();
-            answers.clear();
-            start();
-            List<Agent> agents = List.of(new Agent("a"), new Agent("b"));
+            responses.clear();
+            restartPool();
+            List<SimulatedAgent> agents = List.of(new SimulatedAgent("a"), new SimulatedAgent("b"));
             Map<Long, List<String>> deletions = new HashMap<>();
             Set<String> rented = new HashSet<>();
             Set<String> gone = new HashSet<>();
             for (int i = 0; i < 400; i++) {
-                now += 250;
-                writes = r.nextInt(20) == 0 ? 1 + r.nextInt(2) : 0;
-                for (Agent a : agents) {
-                    step(a, r);
+                nowMs += 250;
+                writeOutcome = r.nextInt(20) == 0 ? 1 + r.nextInt(2) : 0;
+                for (SimulatedAgent a : agents) {
+                    stepAgent(a, r);
                 }
                 if (r.nextInt(6) == 0) {
-                    Outbox.Answer got = rent("r" + i, 1);
+                    Outbox.Response got = rent("r" + i, 1);
                     if (got.status() == 200) {
-                        for (Object h : hosts(got)) {
+                        for (Object h : machines(got)) {
                             assertThat(rented.add((String) h))
                                     .as("a name given twice, seed " + seed)
                                     .isTrue();
                         }
                     }
                 }
-                List<String> names = new ArrayList<>(listed().keySet());
+                List<String> names = new ArrayList<>(statesByMachine().keySet());
                 if (r.nextInt(8) == 0 && !names.isEmpty()) {
                     deletions.put(delete(names.get(0)), List.of(names.get(0)));
                 }
                 if (r.nextInt(100) == 0) {
-                    start();
+                    restartPool();
                 }
-                pool.tick(now);
-                act();
+                pool.tick(nowMs);
+                perform();
                 deletions.forEach((x, l) -> {
-                    if (status(x) == 200) {
+                    if (responseStatus(x) == 200) {
                         gone.addAll(l);
                     }
                 });
-                for (Agent a : agents) {
-                    assertThat(a.runs == null || !gone.contains(a.runs))
-                            .as(a.runs + " runs and is gone, seed " + seed)
+                for (SimulatedAgent a : agents) {
+                    assertThat(a.machine == null || !gone.contains(a.machine))
+                            .as(a.machine + " runs and is gone, seed " + seed)
                             .isTrue();
-                    assertThat(a.runs == null || !"failed".equals(listed().get(a.runs)))
+                    assertThat(a.machine == null
+                                    || !"failed".equals(statesByMachine().get(a.machine)))
                             .as("failed and runs, " + seed)
                             .isTrue();
                 }
-                assertThat(agents.get(0).runs == null || !agents.get(0).runs.equals(agents.get(1).runs))
+                assertThat(agents.get(0).machine == null
+                                || !agents.get(0).machine.equals(agents.get(1).machine))
                         .isTrue();
             }
             deleted += gone.size();
@@ -278,28 +281,28 @@
         assertThat(deleted).isGreaterThan(3_000);
     }
 
-    private void step(Agent a, SplittableRandom r) {
-        if (a.runs != null && now - a.answered > LEASE_MS) {
-            a.runs = null;
+    private void stepAgent(SimulatedAgent a, SplittableRandom r) {
+        if (a.machine != null && nowMs - a.lastResponseMs > LEASE_MS) {
+            a.machine = null;
         }
         if (r.nextInt(120) == 0) {
             a.boots++;
-            a.runs = null;
-            a.message = 0;
+            a.machine = null;
+            a.sequence = 0;
         }
-        if (now < a.asked || r.nextInt(5) == 0) {
+        if (nowMs < a.nextPollMs || r.nextInt(5) == 0) {
             return;
         }
-        Outbox.Answer got =
-                poll(a.host, "boot-" + a.boots, a.runs, a.boots > 0 ? "boot-" + (a.boots - 1) : null, ++a.message);
+        Outbox.Response got =
+                poll(a.host, "boot-" + a.boots, a.machine, a.boots > 0 ? "boot-" + (a.boots - 1) : null, ++a.sequence);
         if (r.nextInt(4) == 0) {
             // The answer is lost; now and then for longer than a lease.
-            a.asked = now + (r.nextInt(10) == 0 ? 2 * LEASE_MS : 1_000);
+            a.nextPollMs = nowMs + (r.nextInt(10) == 0 ? 2 * LEASE_MS : 1_000);
             return;
         }
         if (got.status() == 200) {
-            a.answered = now;
-            a.runs = (String) got.body().get("host");
+            a.lastResponseMs = nowMs;
+            a.machine = (String) got.body().get("host");
         }
     }
 }
