--- a/src/main/java/birchusher/cli/Inspect.java
+++ b/src/main/java/birchusher/cli/ClientCommands.java
@@ -16,50 +16,52 @@
 import picocli.CommandLine.Parameters;
 
 /** The commands that look and those that cancel. */
-final class Inspect {
-    private Inspect() {}
+final class ClientCommands {
+    private ClientCommands() {}
 
     @Command(name = "status", description = "tell a job's state", mixinStandardHelpOptions = true)
-    static final class Status implements Callable<Integer> {
+    static final class StatusCommand implements Callable<Integer> {
         @CommandLine.Mixin
-        Talk talk;
+        ClientContext context;
 
         @Parameters(paramLabel = "ID", description = "the job's id")
-        String id;
+        String jobId;
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> state(talk, talk.call("GET", Wire.JOBS + "/" + Talk.checked(id), null)));
+            return Main.exitCodeOf(() -> printStateOrRefusal(
+                    context, context.call("GET", Wire.JOBS + "/" + ClientContext.requireJobId(jobId), null)));
         }
     }
 
     @Command(name = "cancel", description = "cancel a job", mixinStandardHelpOptions = true)
-    static final class Cancel implements Callable<Integer> {
+    static final class CancelCommand implements Callable<Integer> {
         @CommandLine.Mixin
-        Talk talk;
+        ClientContext context;
 
         @Parameters(paramLabel = "ID", description = "the job's id")
-        String id;
+        String jobId;
 
         @Override
         public Integer call() {
-            return Main.guarded(
-                    () -> state(talk, talk.call("POST", Wire.JOBS + "/" + Talk.checked(id) + Wire.CANCEL, null)));
+            return Main.exitCodeOf(() -> printStateOrRefusal(
+                    context,
+                    context.call("POST", Wire.JOBS + "/" + ClientContext.requireJobId(jobId) + Wire.CANCEL, null)));
         }
     }
 
-    private static int state(Talk talk, Caller.Got g) {
-        if (!g.fine()) {
-            return Talk.refused(g);
+    private static int printStateOrRefusal(ClientContext talk, RetryingClient.Response g) {
+        if (!g.isSuccess()) {
+            return ClientContext.printRefusal(g);
         }
-        talk.state(g.body());
+        talk.printState(g.body());
         return 0;
     }
 
     @Command(name = "list", description = "list jobs by their ids", mixinStandardHelpOptions = true)
-    static final class ListJobs implements Callable<Integer> {
+    static final class ListCommand implements Callable<Integer> {
         @CommandLine.Mixin
-        Talk talk;
+        ClientContext context;
 
         @Option(names = "--state", description = "queued, running, done or cancelled (default: all that are not over)")
         String state;
@@ -68,10 +70,10 @@
         String team;
 
         @Option(names = "--class", description = "only this class")
-        String cls;
+        String jobClass;
 
         @Option(names = "--after", paramLabel = "ID", description = "begin behind this id")
-        String after;
+        String afterId;
 
         @Option(
                 names = "--limit",
@@ -82,18 +84,19 @@
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> {
+            return Main.exitCodeOf(() -> {
                 List<Object> runs = new ArrayList<>();
-                String from = after == null ? "" : Talk.checked(after);
+                String from = afterId == null ? "" : ClientContext.requireJobId(afterId);
                 boolean more = true;
                 while (more && runs.size() < limit) {
-                    Caller.Got g = talk.call(
+                    RetryingClient.Response g = context.call(
                             "GET",
-                            Wire.JOBS + "?" + Wire.AFTER + "=" + from + param("--state", Wire.STATE, state)
-                                    + param("--team", Wire.TEAM, team) + param("--class", Wire.JOB_CLASS, cls),
+                            Wire.JOBS + "?" + Wire.AFTER + "=" + from + queryParameter("--state", Wire.STATE, state)
+                                    + queryParameter("--team", Wire.TEAM, team)
+                                    + queryParameter("--class", Wire.JOB_CLASS, jobClass),
                             null);
-                    if (!g.fine()) {
-                        return Talk.refused(g);
+                    if (!g.isSuccess()) {
+                        return ClientContext.printRefusal(g);
                     }
                     runs.addAll(Fields.list(g.body(), "runs"));
                     more = Boolean.TRUE.equals(g.body().get(Wire.HAS_MORE));
@@ -101,10 +104,10 @@
                 }
                 more |= runs.size() > limit;
                 List<Object> shown = runs.subList(0, Math.min(limit, runs.size()));
-                if (talk.json()) {
+                if (context.isJson()) {
                     System.out.println(Json.toText(Map.of("runs", shown, Wire.HAS_MORE, more), false));
                 } else {
-                    Talk.table(
+                    ClientContext.printTable(
                             shown,
                             new String[] {Wire.ID, Wire.STATE, Wire.DONE, Wire.RUNNING, Wire.TEAM, Wire.JOB_CLASS},
                             new String[] {"ID", "STATE", "DONE", "RUNNING", "TEAM", "CLASS"});
@@ -117,7 +120,7 @@
             });
         }
 
-        private static String param(String option, String name, String value) {
+        private static String queryParameter(String option, String name, String value) {
             if (value != null && !value.matches("[A-Za-z0-9_.-]+")) {
                 throw new InvalidInputException(option + ": letters, digits, - _ and .");
             }
@@ -126,49 +129,52 @@
     }
 
     @Command(name = "describe", description = "tell all about a job", mixinStandardHelpOptions = true)
-    static final class Describe implements Callable<Integer> {
+    static final class DescribeCommand implements Callable<Integer> {
         @CommandLine.Mixin
-        Talk talk;
+        ClientContext context;
 
         @Parameters(paramLabel = "ID", description = "the job's id")
-        String id;
+        String jobId;
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> {
-                Caller.Got g = talk.call("GET", Wire.JOBS + "/" + Talk.checked(id) + Wire.DESCRIBE, null);
-                if (!g.fine()) {
-                    return Talk.refused(g);
+            return Main.exitCodeOf(() -> {
+                RetryingClient.Response g =
+                        context.call("GET", Wire.JOBS + "/" + ClientContext.requireJobId(jobId) + Wire.DESCRIBE, null);
+                if (!g.isSuccess()) {
+                    return ClientContext.printRefusal(g);
                 }
                 Map<String, Object> m = new HashMap<>(g.body());
-                Caller.Got program = talk.call("GET", Wire.PROGRAMS + id, null);
-                if (program.fine()) {
+                RetryingClient.Response program = context.call("GET", Wire.PROGRAMS + jobId, null);
+                if (program.isSuccess()) {
                     m.put("program", program.body());
                 }
-                if (talk.json()) {
+                if (context.isJson()) {
                     System.out.println(Json.toText(m, true));
                     return 0;
                 }
-                talk.state(m);
+                context.printState(m);
                 if (m.get("job") != null) {
                     new TreeMap<>(Fields.map(m.get("job"), "job"))
                             .forEach((k, v) -> System.out.printf("  %-14s %s%n", k, v));
                 }
-                if (program.fine()) {
+                if (program.isSuccess()) {
                     System.out.printf("  %-14s %s%n", "command", program.body().get("command"));
                 }
                 if (m.get("pieces") instanceof List<?> l && !l.isEmpty()) {
-                    Talk.table(l, new String[] {"index", Wire.ATTEMPT, Wire.MACHINE, "held_s"}, new String[] {
-                        "TASK", "ATTEMPT", "MACHINE", "SINCE S"
-                    });
+                    ClientContext.printTable(
+                            l,
+                            new String[] {"index", Wire.ATTEMPT, Wire.MACHINE, "held_s"},
+                            new String[] {"TASK", "ATTEMPT", "MACHINE", "SINCE S"});
                     if (Boolean.TRUE.equals(m.get(Wire.HAS_MORE))) {
                         System.out.println("more tasks behind " + m.get("next"));
                     }
                 }
                 if (m.get("events") instanceof List<?> l && !l.isEmpty()) {
-                    Talk.table(l, new String[] {"ago_s", "index", Wire.ATTEMPT, Wire.MACHINE, "what"}, new String[] {
-                        "S AGO", "TASK", "ATTEMPT", "MACHINE", "WHAT"
-                    });
+                    ClientContext.printTable(
+                            l,
+                            new String[] {"ago_s", "index", Wire.ATTEMPT, Wire.MACHINE, "what"},
+                            new String[] {"S AGO", "TASK", "ATTEMPT", "MACHINE", "WHAT"});
                 }
                 return 0;
             });
@@ -176,14 +182,14 @@
     }
 
     @Command(name = "machines", description = "list the daemon's hosts", mixinStandardHelpOptions = true)
-    static final class Machines implements Callable<Integer> {
+    static final class MachinesCommand implements Callable<Integer> {
         @CommandLine.Mixin
-        Talk talk;
+        ClientContext context;
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> rows(
-                    talk,
+            return Main.exitCodeOf(() -> printRowsOrRefusal(
+                    context,
                     Wire.POOL_MACHINES,
                     "machines",
                     new String[] {"agent", Wire.STATE, Wire.MACHINE, Wire.TYPE, Wire.ZONE, "heard_s"},
@@ -192,14 +198,14 @@
     }
 
     @Command(name = "teams", description = "tell what teams use and may use", mixinStandardHelpOptions = true)
-    static final class Teams implements Callable<Integer> {
+    static final class TeamsCommand implements Callable<Integer> {
         @CommandLine.Mixin
-        Talk talk;
+        ClientContext context;
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> rows(
-                    talk,
+            return Main.exitCodeOf(() -> printRowsOrRefusal(
+                    context,
                     Wire.TEAMS,
                     "teams",
                     new String[] {Wire.TEAM, "cpus_used", "cpus", "cpus_max", "gpus_used", "gpus", "gpus_max"},
@@ -207,28 +213,29 @@
         }
     }
 
-    private static int rows(Talk talk, String path, String field, String[] fields, String[] names) throws Exception {
-        Caller.Got g = talk.call("GET", path, null);
-        if (!g.fine()) {
-            return Talk.refused(g);
+    private static int printRowsOrRefusal(
+            ClientContext talk, String path, String field, String[] fields, String[] names) throws Exception {
+        RetryingClient.Response g = talk.call("GET", path, null);
+        if (!g.isSuccess()) {
+            return ClientContext.printRefusal(g);
         }
-        if (talk.json()) {
+        if (talk.isJson()) {
             System.out.println(Json.toText(g.body(), false));
         } else {
-            Talk.table(Fields.list(g.body(), field), fields, names);
+            ClientContext.printTable(Fields.list(g.body(), field), fields, names);
         }
         return 0;
     }
 
     @Command(name = "logs", description = "print what a task has printed", mixinStandardHelpOptions = true)
-    static final class LogsOf implements Callable<Integer> {
-        private static final long FOLLOW_MS = 1_000;
+    static final class LogsCommand implements Callable<Integer> {
+        private static final long FOLLOW_INTERVAL_MS = 1_000;
 
         @CommandLine.Mixin
-        Talk talk;
+        ClientContext context;
 
         @Parameters(index = "0", paramLabel = "ID", description = "the job's id")
-        String id;
+        String jobId;
 
         @Parameters(
                 index = "1",
@@ -236,7 +243,7 @@
                 arity = "0..1",
                 defaultValue = "0",
                 description = "the task's index (default: 0)")
-        int task;
+        int taskIndex;
 
         @Option(
                 names = "--attempt",
@@ -251,22 +258,22 @@
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> {
-                String path = Wire.TASK_LOGS + Talk.checked(id) + "/" + task;
+            return Main.exitCodeOf(() -> {
+                String path = Wire.TASK_LOGS + ClientContext.requireJobId(jobId) + "/" + taskIndex;
                 Map<String, Object> log = null;
                 long from = 0;
                 while (true) {
-                    boolean over = over();
+                    boolean over = isJobOver();
                     if (log == null) {
-                        log = find(path);
+                        log = findLog(path);
                     }
                     if (log != null) {
-                        from = print(path, log, from);
+                        from = printFrom(path, log, from);
                     }
                     if (!follow || over) {
                         break;
                     }
-                    Thread.sleep(FOLLOW_MS);
+                    Thread.sleep(FOLLOW_INTERVAL_MS);
                 }
                 if (log == null) {
                     System.err.println("birchusher: no log of this task is kept on a host that answers");
@@ -276,16 +283,16 @@
             });
         }
 
-        private boolean over() throws Exception {
-            Caller.Got g = talk.call("GET", Wire.JOBS + "/" + id, null);
+        private boolean isJobOver() throws Exception {
+            RetryingClient.Response g = context.call("GET", Wire.JOBS + "/" + jobId, null);
             Object stage = g.body().get(Wire.STATE);
-            return !g.fine() || Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage);
+            return !g.isSuccess() || Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage);
         }
 
-        private Map<String, Object> find(String path) throws Exception {
-            Caller.Got g = talk.call("GET", path, null);
-            if (!g.fine()) {
-                throw new InvalidInputException(g.error());
+        private Map<String, Object> findLog(String path) throws Exception {
+            RetryingClient.Response g = context.call("GET", path, null);
+            if (!g.isSuccess()) {
+                throw new InvalidInputException(g.errorMessage());
             }
             Map<String, Object> best = null;
             for (Map.Entry<String, Object> host :
@@ -302,13 +309,13 @@
             return best;
         }
 
-        private long print(String path, Map<String, Object> log, long from) throws Exception {
+        private long printFrom(String path, Map<String, Object> log, long from) throws Exception {
             long at = from;
             while (true) {
-                Caller.Got g = talk.call(
+                RetryingClient.Response g = context.call(
                         "GET", path + "?host=" + log.get("host") + "&try=" + log.get("try") + "&from=" + at, null);
-                if (!g.fine()) {
-                    throw new InvalidInputException(g.error());
+                if (!g.isSuccess()) {
+                    throw new InvalidInputException(g.errorMessage());
                 }
                 if (Boolean.TRUE.equals(g.body().get("cut"))) {
                     System.out.println("\n[... the middle is not kept ...]");
--- a/src/main/java/birchusher/cli/Talk.java
+++ b/src/main/java/birchusher/cli/ClientContext.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 
 /** What all commands share that talk to a server: where it is, how long to try, how to print. */
-final class Talk {
+final class ClientContext {
     enum Output {
         table,
         json
@@ -41,23 +41,23 @@
             description = "${COMPLETION-CANDIDATES}; json is for scripts (default: ${DEFAULT-VALUE})")
     Output output;
 
-    private Caller caller;
+    private RetryingClient client;
 
-    Caller.Got call(String method, String path, Object body) throws Exception {
+    RetryingClient.Response call(String method, String path, Object body) throws Exception {
         if (!(deadlineS > 0 && deadlineS <= 86_400)) {
             throw new InvalidInputException("--deadline: above 0, at most 86400");
         }
-        if (caller == null) {
-            caller = new Caller(server, deadlineS);
+        if (client == null) {
+            client = new RetryingClient(server, deadlineS);
         }
-        return caller.call(method, path, body);
+        return client.call(method, path, body);
     }
 
-    boolean json() {
+    boolean isJson() {
         return output == Output.json;
     }
 
-    static String checked(String id) {
+    static String requireJobId(String id) {
         if (!JobCodec.isJobId(id)) {
             throw new InvalidInputException("ID: not a job id, expected " + Wire.JOB_ID_PREFIX + "...");
         }
@@ -65,14 +65,14 @@
     }
 
     /** Prints a server's refusal; the exit code for it. */
-    static int refused(Caller.Got g) {
-        System.err.println("birchusher: " + g.error());
+    static int printRefusal(RetryingClient.Response g) {
+        System.err.println("birchusher: " + g.errorMessage());
         return 1;
     }
 
     /** A job's state, as a script or a person reads it. */
-    void state(Map<String, Object> m) {
-        if (json()) {
+    void printState(Map<String, Object> m) {
+        if (isJson()) {
             System.out.println(Json.toText(m, false));
         } else {
             System.out.println(m.get(Wire.ID) + " " + m.get(Wire.STATE)
@@ -83,14 +83,15 @@
     }
 
     /** Rows of the same fields, under the names given. */
-    static void table(List<?> rows, String[] fields, String[] names) {
+    static void printTable(List<?> rows, String[] fields, String[] names) {
         Column[] columns = new Column[fields.length];
         int[] widths = new int[fields.length];
         for (int i = 0; i < fields.length; i++) {
             widths[i] = names[i].length();
             for (Object r : rows) {
                 widths[i] = Math.max(
-                        widths[i], cell(Fields.map(r, "row").get(fields[i])).length());
+                        widths[i],
+                        formatCell(Fields.map(r, "row").get(fields[i])).length());
             }
             columns[i] = new Column(widths[i] + 2, 0, Column.Overflow.SPAN);
         }
@@ -99,14 +100,14 @@
         for (Object r : rows) {
             String[] cells = new String[fields.length];
             for (int i = 0; i < fields.length; i++) {
-                cells[i] = cell(Fields.map(r, "row").get(fields[i]));
+                cells[i] = formatCell(Fields.map(r, "row").get(fields[i]));
             }
             t.addRowValues(cells);
         }
         System.out.print(t.toString().replaceAll("(?m) +$", ""));
     }
 
-    private static String cell(Object o) {
+    private static String formatCell(Object o) {
         return o == null ? "-" : o instanceof Double d ? String.format("%.1f", d) : String.valueOf(o);
     }
 }
--- a/src/main/java/birchusher/cli/Main.java
+++ b/src/main/java/birchusher/cli/Main.java
@@ -24,10 +24,10 @@
         mixinStandardHelpOptions = true,
         version = "birchusher 0.1.0",
         description = "A cluster scheduler that leases tasks for a fixed term renewed by progress.",
-        subcommands = {Main.Serve.class, Main.Check.class})
+        subcommands = {Main.ServeCommand.class, Main.CheckConfigCommand.class})
 public final class Main implements Runnable {
     @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+    CommandLine.Model.CommandSpec commandSpec;
 
     static {
         String level = System.getenv("LOG_LEVEL");
@@ -41,54 +41,54 @@
 
     public static void main(String[] args) {
         boolean light = args.length > 0 && (args[0].equals("serve") || args[0].equals("check-config"));
-        System.exit((light ? new CommandLine(new Main()) : all()).execute(args));
+        System.exit((light ? new CommandLine(new Main()) : fullCommandLine()).execute(args));
     }
 
-    static CommandLine all() {
+    static CommandLine fullCommandLine() {
         CommandLine line = new CommandLine(new Main());
         List.of(
-                        new Serving.RunDaemon(),
-                        new Serving.RunAgent(),
-                        new Serving.RunRepair(),
-                        new Submit(),
-                        new Inspect.Status(),
-                        new Inspect.ListJobs(),
-                        new Inspect.Describe(),
-                        new Inspect.LogsOf(),
-                        new Wait(),
-                        new Inspect.Cancel(),
-                        new Inspect.Machines(),
-                        new Inspect.Teams(),
-                        new Serving.Completion())
+                        new OperatorCommands.DaemonCommand(),
+                        new OperatorCommands.AgentCommand(),
+                        new OperatorCommands.RepairCommand(),
+                        new SubmitCommand(),
+                        new ClientCommands.StatusCommand(),
+                        new ClientCommands.ListCommand(),
+                        new ClientCommands.DescribeCommand(),
+                        new ClientCommands.LogsCommand(),
+                        new WaitCommand(),
+                        new ClientCommands.CancelCommand(),
+                        new ClientCommands.MachinesCommand(),
+                        new ClientCommands.TeamsCommand(),
+                        new OperatorCommands.CompletionCommand())
                 .forEach(line::addSubcommand);
         return line;
     }
 
     @Override
     public void run() {
-        spec.commandLine().usage(System.out);
+        commandSpec.commandLine().usage(System.out);
     }
 
     /** The two files every controller starts from. */
-    static class Files2 {
+    static class ControllerFiles {
         @Option(
                 names = "--config",
                 required = true,
                 paramLabel = "FILE",
                 description = "the platform's settings (JSON)")
-        Path config;
+        Path configFile;
 
         @Option(names = "--properties", paramLabel = "FILE", description = "the operators' own settings")
-        Path properties;
+        Path propertiesFile;
 
-        Settings settings() throws IOException {
-            return SettingsReader.read(Files.readAllBytes(config));
+        Settings readSettings() throws IOException {
+            return SettingsReader.read(Files.readAllBytes(configFile));
         }
 
-        Tuning tuning() throws IOException {
+        Tuning readTuning() throws IOException {
             Tuning t = new Tuning();
-            if (properties != null) {
-                try (Reader r = Files.newBufferedReader(properties)) {
+            if (propertiesFile != null) {
+                try (Reader r = Files.newBufferedReader(propertiesFile)) {
                     t.withOverrides(r);
                 }
             }
@@ -96,17 +96,17 @@
         }
     }
 
-    interface Body {
+    interface CommandBody {
         int run() throws Exception;
     }
 
-    static int guarded(Body body) {
+    static int exitCodeOf(CommandBody body) {
         try {
             return body.run();
         } catch (InvalidInputException e) {
             System.err.println("birchusher: " + e.getMessage());
             return 2;
-        } catch (Caller.Unreachable e) {
+        } catch (RetryingClient.DeadlineExceededException e) {
             System.err.println("birchusher: " + e.getMessage());
             return 3;
         } catch (IOException e) {
@@ -119,14 +119,14 @@
     }
 
     @Command(name = "serve", description = "run a controller", mixinStandardHelpOptions = true)
-    static final class Serve implements Callable<Integer> {
+    static final class ServeCommand implements Callable<Integer> {
         @CommandLine.Mixin
-        Files2 files;
+        ControllerFiles files;
 
         @Override
         public Integer call() {
-            return guarded(() -> {
-                new ControllerServer(files.settings(), files.tuning()).run();
+            return exitCodeOf(() -> {
+                new ControllerServer(files.readSettings(), files.readTuning()).run();
                 return 0;
             });
         }
@@ -136,15 +136,15 @@
             name = "check-config",
             description = "check the settings and say what is wrong",
             mixinStandardHelpOptions = true)
-    static final class Check implements Callable<Integer> {
+    static final class CheckConfigCommand implements Callable<Integer> {
         @CommandLine.Mixin
-        Files2 files;
+        ControllerFiles files;
 
         @Override
         public Integer call() {
-            return guarded(() -> {
-                Settings s = files.settings();
-                files.tuning();
+            return exitCodeOf(() -> {
+                Settings s = files.readSettings();
+                files.readTuning();
                 System.out.println("ok: " + s.member() + " in " + s.zone() + ", "
                         + (s.peers().size() + 1) + " controllers, " + s.teams().size() + " teams");
                 return 0;
--- a/src/main/java/birchusher/cli/Serving.java
+++ b/src/main/java/birchusher/cli/OperatorCommands.java
@@ -20,17 +20,17 @@
 import picocli.CommandLine.Option;
 
 /** The commands of an operator of hosts: the daemon, agents, and the way out of a damaged log. */
-final class Serving {
-    private Serving() {}
+final class OperatorCommands {
+    private OperatorCommands() {}
 
-    private static DaemonSettings settings(Path properties) throws IOException {
+    private static DaemonSettings readSettings(Path properties) throws IOException {
         try (Reader r = Files.newBufferedReader(properties)) {
             return DaemonSettings.read(r);
         }
     }
 
     /** Runs on SIGTERM and the like, before the process goes. */
-    private static void atEnd(Callable<Void> body) {
+    private static void onShutdown(Callable<Void> body) {
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -47,16 +47,16 @@
             name = "daemon",
             description = "run controller, state service and pool on this host",
             mixinStandardHelpOptions = true)
-    static final class RunDaemon implements Callable<Integer> {
+    static final class DaemonCommand implements Callable<Integer> {
         @Option(
                 names = "--properties",
                 required = true,
                 paramLabel = "FILE",
                 description = "as deploy/daemon.properties")
-        Path properties;
+        Path propertiesFile;
 
         @Option(names = "--check", description = "only check the file")
-        boolean check;
+        boolean checkOnly;
 
         @Option(
                 names = "--local",
@@ -64,27 +64,27 @@
                 arity = "0..1",
                 fallbackValue = "",
                 description = "start the agent of this host beside it (default: the first host listed)")
-        String local;
+        String localHost;
 
         @Option(
                 names = "--local-listen",
                 paramLabel = "HOST:PORT",
                 defaultValue = "127.0.0.1:7075",
                 description = "where that agent listens (default: ${DEFAULT-VALUE})")
-        String localListen;
+        String localAgentAddress;
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> {
-                DaemonSettings d = settings(properties);
-                if (check) {
+            return Main.exitCodeOf(() -> {
+                DaemonSettings d = readSettings(propertiesFile);
+                if (checkOnly) {
                     System.out.println("ok: " + d.hosts().hosts().size() + " hosts, "
                             + d.settings().teams().size() + " teams");
                     return 0;
                 }
                 Daemon daemon = new Daemon(d);
                 Process[] agent = new Process[1];
-                atEnd(() -> {
+                onShutdown(() -> {
                     if (agent[0] != null) {
                         agent[0].destroy();
                         agent[0].waitFor();
@@ -93,17 +93,17 @@
                     return null;
                 });
                 daemon.start();
-                if (local != null) {
-                    agent[0] = agent(d);
+                if (localHost != null) {
+                    agent[0] = startLocalAgent(d);
                 }
                 return daemon.await() ? 0 : 1;
             });
         }
 
         /** A process of its own, so that its tasks live on if this one is killed. */
-        private Process agent(DaemonSettings d) throws IOException {
+        private Process startLocalAgent(DaemonSettings d) throws IOException {
             String host =
-                    local.isEmpty() ? d.hosts().hosts().keySet().iterator().next() : local;
+                    localHost.isEmpty() ? d.hosts().hosts().keySet().iterator().next() : localHost;
             if (!d.hosts().hosts().containsKey(host)) {
                 throw new InvalidInputException("--local: no host " + host + " is listed");
             }
@@ -118,7 +118,7 @@
                     "--host",
                     host,
                     "--listen",
-                    localListen,
+                    localAgentAddress,
                     "--dir",
                     d.dataDir().resolve("agent-" + host).toString()));
             Process p = new ProcessBuilder(command).inheritIO().start();
@@ -132,7 +132,7 @@
     }
 
     @Command(name = "agent", description = "run tasks on this host for a daemon", mixinStandardHelpOptions = true)
-    static final class RunAgent implements Callable<Integer> {
+    static final class AgentCommand implements Callable<Integer> {
         @Option(names = "--server", required = true, paramLabel = "HOST:PORT", description = "the daemon's address")
         String server;
 
@@ -141,42 +141,42 @@
                 required = true,
                 paramLabel = "NAME",
                 description = "the name that the daemon lists this host under")
-        String host;
+        String hostName;
 
         @Option(
                 names = "--listen",
                 required = true,
                 paramLabel = "HOST:PORT",
                 description = "where the daemon reaches this agent")
-        String listen;
+        String listenAddress;
 
         @Option(
                 names = "--dir",
                 required = true,
                 paramLabel = "DIR",
                 description = "for its state, logs and working directories")
-        Path dir;
+        Path dataDir;
 
         @Option(
                 names = "--checkpoints",
                 paramLabel = "DIR",
                 description =
                         "where tasks save; shared by all hosts if tasks are to go on elsewhere (default: in --dir)")
-        Path checkpoints;
+        Path checkpointDir;
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> {
-                Address a = SettingsReader.parseAddress(listen, "--listen");
+            return Main.exitCodeOf(() -> {
+                Address a = SettingsReader.parseAddress(listenAddress, "--listen");
                 SettingsReader.parseAddress(server, "--server");
                 Agent agent = new Agent(new Agent.Options(
                         server,
-                        host,
+                        hostName,
                         a.host(),
                         a.port(),
-                        dir,
-                        checkpoints == null ? dir.resolve("checkpoints") : checkpoints));
-                atEnd(() -> {
+                        dataDir,
+                        checkpointDir == null ? dataDir.resolve("checkpoints") : checkpointDir));
+                onShutdown(() -> {
                     agent.stop();
                     agent.close();
                     return null;
@@ -192,31 +192,31 @@
             description = "say what of a damaged log can be kept, and with --yes keep it",
             mixinStandardHelpOptions = true,
             footer = {"", "Without --yes nothing is changed. Restore a backup instead if you have one."})
-    static final class RunRepair implements Callable<Integer> {
+    static final class RepairCommand implements Callable<Integer> {
         @Option(
                 names = "--dir",
                 required = true,
                 paramLabel = "DIR",
                 description = "the damaged directory: DATA/state or DATA/pool")
-        Path dir;
+        Path damagedDir;
 
         @Option(names = "--yes", description = "do it; the old files stay beside the new ones")
-        boolean yes;
+        boolean confirmed;
 
         @Override
         public Integer call() {
-            return Main.guarded(() -> {
-                if (!Files.isDirectory(dir)) {
-                    throw new InvalidInputException("--dir: " + dir + " is no directory");
+            return Main.exitCodeOf(() -> {
+                if (!Files.isDirectory(damagedDir)) {
+                    throw new InvalidInputException("--dir: " + damagedDir + " is no directory");
                 }
-                try (LockedDirectory disk = new LockedDirectory(dir)) {
+                try (LockedDirectory disk = new LockedDirectory(damagedDir)) {
                     Repair.Plan plan = Repair.plan(disk);
                     if (plan == null) {
                         System.out.println("nothing is damaged");
                         return 0;
                     }
                     plan.summaryLines().forEach(System.out::println);
-                    if (yes) {
+                    if (confirmed) {
                         Repair.apply(disk, plan);
                         System.out.println("done");
                         return 0;
@@ -232,13 +232,14 @@
             name = "completion",
             description = "print a completion script for bash or zsh",
             mixinStandardHelpOptions = true)
-    static final class Completion implements Callable<Integer> {
+    static final class CompletionCommand implements Callable<Integer> {
         @CommandLine.Spec
-        CommandLine.Model.CommandSpec spec;
+        CommandLine.Model.CommandSpec commandSpec;
 
         @Override
         public Integer call() {
-            System.out.print(picocli.AutoComplete.bash("birchusher", spec.root().commandLine()));
+            System.out.print(
+                    picocli.AutoComplete.bash("birchusher", commandSpec.root().commandLine()));
             return 0;
         }
     }
--- a/src/main/java/birchusher/cli/Caller.java
+++ b/src/main/java/birchusher/cli/RetryingClient.java
@@ -19,76 +19,76 @@
  * Calls a daemon or a controller, again and again until a deadline: every request of the protocol may be repeated. Refusals for
  * the moment (429, 5xx) and lost connections are tried again with growing, jittered pauses.
  */
-final class Caller {
-    private static final int TIMEOUT_MS = 5_000;
-    private static final long LEAST_PAUSE_MS = 200;
-    private static final long MOST_PAUSE_MS = 2_000;
-    private static final int MAX_ANSWER = 1 << 20;
+final class RetryingClient {
+    private static final int SOCKET_TIMEOUT_MS = 5_000;
+    private static final long MIN_RETRY_DELAY_MS = 200;
+    private static final long MAX_RETRY_DELAY_MS = 2_000;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     /** A whole answer that is final for this request. */
-    record Got(int status, Map<String, Object> body) {
-        boolean fine() {
+    record Response(int status, Map<String, Object> body) {
+        boolean isSuccess() {
             return status == 200 || status == 201;
         }
 
         /** What the server says is wrong. */
-        String error() {
+        String errorMessage() {
             return status + " " + body.getOrDefault("error", "");
         }
     }
 
     /** No final answer before the deadline: whether the request was executed is not known. */
-    static final class Unreachable extends IOException {
+    static final class DeadlineExceededException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Unreachable(String message) {
+        DeadlineExceededException(String message) {
             super(message);
         }
     }
 
     private final String server;
-    private final Address to;
+    private final Address address;
     private final long deadlineMs;
     private final SplittableRandom random = new SplittableRandom();
 
     /** @param deadlineS for each call, its repetitions included */
-    Caller(String server, double deadlineS) {
+    RetryingClient(String server, double deadlineS) {
         this.server = server;
-        this.to = SettingsReader.parseAddress(server, "--server");
+        this.address = SettingsReader.parseAddress(server, "--server");
         this.deadlineMs = Math.round(deadlineS * 1000);
     }
 
-    Got call(String method, String path, Object body) throws IOException, InterruptedException {
+    Response call(String method, String path, Object body) throws IOException, InterruptedException {
         byte[] bytes = body == null ? new byte[0] : MessagePackCodec.encode(body);
         long end = System.nanoTime() / 1_000_000 + deadlineMs;
-        long pause = LEAST_PAUSE_MS;
+        long pause = MIN_RETRY_DELAY_MS;
         while (true) {
             String trouble;
             try {
-                Got g = once(method, path, bytes);
+                Response g = callOnce(method, path, bytes);
                 if (g.status() != 429 && g.status() < 500) {
                     return g;
                 }
-                trouble = g.error();
+                trouble = g.errorMessage();
             } catch (IOException e) {
                 trouble = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
             }
             long wait = pause / 2 + random.nextLong(pause / 2 + 1);
             if (System.nanoTime() / 1_000_000 + wait > end) {
-                throw new Unreachable(server + ": " + trouble.trim());
+                throw new DeadlineExceededException(server + ": " + trouble.trim());
             }
             Thread.sleep(wait);
-            pause = Math.min(MOST_PAUSE_MS, pause * 2);
+            pause = Math.min(MAX_RETRY_DELAY_MS, pause * 2);
         }
     }
 
-    private Got once(String method, String path, byte[] body) throws IOException {
+    private Response callOnce(String method, String path, byte[] body) throws IOException {
         try (Socket s = new Socket()) {
-            s.connect(new InetSocketAddress(to.host(), to.port()), TIMEOUT_MS);
-            s.setSoTimeout(TIMEOUT_MS);
+            s.connect(new InetSocketAddress(address.host(), address.port()), SOCKET_TIMEOUT_MS);
+            s.setSoTimeout(SOCKET_TIMEOUT_MS);
             s.getOutputStream()
                     .write(HttpWriter.request(method, path, server, body).array());
-            HttpParser parser = new HttpParser(false, MAX_ANSWER);
+            HttpParser parser = new HttpParser(false, MAX_RESPONSE_BYTES);
             byte[] buffer = new byte[4096];
             InputStream in = s.getInputStream();
             while (true) {
@@ -98,7 +98,7 @@
                 }
                 HttpParser.Message m = parser.feed(ByteBuffer.wrap(buffer, 0, n));
                 if (m != null) {
-                    return new Got(
+                    return new Response(
                             m.status(),
                             m.body().length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(m.body()), "answer"));
                 }
--- a/src/main/java/birchusher/cli/Journal.java
+++ b/src/main/java/birchusher/cli/SubmissionJournal.java
@@ -21,16 +21,16 @@
  * Submissions that are not known to be accepted yet, a file each, on disk before the first byte is sent: after a crash the same
  * job is sent again under the same id, never a second one.
  */
-final class Journal {
-    private static final String END = ".json";
+final class SubmissionJournal {
+    private static final String FILE_SUFFIX = ".json";
 
     private final Path dir;
 
-    Journal(Path dir) throws IOException {
+    SubmissionJournal(Path dir) throws IOException {
         this.dir = Files.createDirectories(dir);
     }
 
-    void keep(String id, Map<String, ?> submission) throws IOException {
+    void write(String id, Map<String, ?> submission) throws IOException {
         Path aside = dir.resolve(id + ".aside");
         try (FileChannel c = FileChannel.open(
                 aside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -40,33 +40,33 @@
             }
             c.force(true);
         }
-        Files.move(aside, dir.resolve(id + END), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(aside, dir.resolve(id + FILE_SUFFIX), StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel c = FileChannel.open(dir, StandardOpenOption.READ)) {
             c.force(true);
         }
     }
 
     /** Its answer is known: the job is accepted, or can never be. */
-    void settled(String id) throws IOException {
-        Files.deleteIfExists(dir.resolve(id + END));
+    void remove(String id) throws IOException {
+        Files.deleteIfExists(dir.resolve(id + FILE_SUFFIX));
     }
 
-    List<String> open() throws IOException {
+    List<String> pendingIds() throws IOException {
         List<String> ids = new ArrayList<>();
         try (Stream<Path> files = Files.list(dir)) {
             files.map(p -> p.getFileName().toString())
-                    .filter(n -> n.endsWith(END))
+                    .filter(n -> n.endsWith(FILE_SUFFIX))
                     .sorted()
-                    .forEach(n -> ids.add(n.substring(0, n.length() - END.length())));
+                    .forEach(n -> ids.add(n.substring(0, n.length() - FILE_SUFFIX.length())));
         }
         return ids;
     }
 
     Map<String, Object> read(String id) throws IOException {
         try {
-            return Fields.map(SettingsReader.parseJson(Files.readAllBytes(dir.resolve(id + END))), id);
+            return Fields.map(SettingsReader.parseJson(Files.readAllBytes(dir.resolve(id + FILE_SUFFIX))), id);
         } catch (InvalidInputException e) {
-            throw new IOException(dir.resolve(id + END) + ": " + e.getMessage());
+            throw new IOException(dir.resolve(id + FILE_SUFFIX) + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/birchusher/cli/Submit.java
+++ b/src/main/java/birchusher/cli/SubmitCommand.java
@@ -29,24 +29,24 @@
             "The job's id is on disk before the job is sent: after a crash, 'submit --resume' sends the same job again.",
             "Exit codes: 0 accepted (with --wait: done), 1 refused (with --wait: cancelled), 2 wrong use, 3 not known in time."
         })
-final class Submit implements Callable<Integer> {
+final class SubmitCommand implements Callable<Integer> {
     @CommandLine.Mixin
-    Talk talk;
+    ClientContext context;
 
     @Option(
             names = "--file",
             paramLabel = "FILE",
             description = "a job as JSON; its field \"program\" says what to run")
-    Path file;
+    Path jobFile;
 
     @Option(names = "--id", paramLabel = "ID", description = "the job's id (default: a new one)")
-    String id;
+    String jobId;
 
     @Option(names = "--team", description = "whose guarantee and limit apply", defaultValue = "${BIRCHUSHER_TEAM}")
     String team;
 
     @Option(names = "--class", description = "the class of jobs it belongs to (default: batch)")
-    String cls;
+    String jobClass;
 
     @Option(
             names = "--shape",
@@ -66,25 +66,25 @@
     Double gpus;
 
     @Option(names = "--memory", paramLabel = "GB", description = "of each task (default: 0.5)")
-    Double memory;
+    Double memoryGb;
 
     @Option(names = "--zone", description = "the only allowed zone")
     String zone;
 
     @Option(names = "--expect", paramLabel = "S", description = "estimated run time of a task (default: 60)")
-    Double expectS;
+    Double estimateS;
 
     @Option(names = "--save-every", paramLabel = "S", description = "a task saves about so often (default: 0, never)")
-    Double saveEveryS;
+    Double checkpointIntervalS;
 
     @Option(names = "--save-take", paramLabel = "S", description = "time to save when stopped")
-    Double saveTakeS;
+    Double checkpointWriteS;
 
     @Option(names = "--env", paramLabel = "NAME=VALUE", description = "for the program's environment; may be repeated")
-    Map<String, String> env = new HashMap<>();
+    Map<String, String> environment = new HashMap<>();
 
     @Option(names = "--wait", description = "wait until the job is done or cancelled")
-    boolean wait;
+    boolean waitForEnd;
 
     @Option(names = "--resume", description = "send again what is not known to be accepted")
     boolean resume;
@@ -104,88 +104,88 @@
 
     @Override
     public Integer call() {
-        return Main.guarded(() -> {
-            Journal journal = new Journal(journalDir);
+        return Main.exitCodeOf(() -> {
+            SubmissionJournal journal = new SubmissionJournal(journalDir);
             if (resume) {
                 return resume(journal);
             }
-            if (file == null && command.size() == 1 && command.get(0).endsWith(".json")) {
-                file = Path.of(command.get(0));
+            if (jobFile == null && command.size() == 1 && command.get(0).endsWith(".json")) {
+                jobFile = Path.of(command.get(0));
                 command = List.of();
             }
-            Map<String, Object> submission = submission();
+            Map<String, Object> submission = buildSubmission();
             String made = Fields.text(Fields.map(submission.get("job"), "job"), Wire.ID);
-            journal.keep(made, submission);
+            journal.write(made, submission);
             int code = send(journal, made, submission);
-            return code == 0 && wait ? Wait.until(talk, List.of(made), 0) : code;
+            return code == 0 && waitForEnd ? WaitCommand.waitForEnd(context, List.of(made), 0) : code;
         });
     }
 
-    private int resume(Journal journal) throws Exception {
+    private int resume(SubmissionJournal journal) throws Exception {
         int code = 0;
-        for (String open : journal.open()) {
+        for (String open : journal.pendingIds()) {
             code = Math.max(code, send(journal, open, journal.read(open)));
         }
         return code;
     }
 
-    private int send(Journal journal, String made, Map<String, Object> submission) throws Exception {
-        Caller.Got g = null;
+    private int send(SubmissionJournal journal, String made, Map<String, Object> submission) throws Exception {
+        RetryingClient.Response g = null;
         if (submission.get("program") != null) {
-            g = talk.call("POST", Wire.PROGRAMS + made, submission.get("program"));
+            g = context.call("POST", Wire.PROGRAMS + made, submission.get("program"));
         }
-        if (g == null || g.fine()) {
-            g = talk.call("POST", Wire.JOBS, submission.get("job"));
+        if (g == null || g.isSuccess()) {
+            g = context.call("POST", Wire.JOBS, submission.get("job"));
         }
-        journal.settled(made);
-        if (!g.fine()) {
-            return Talk.refused(g);
+        journal.remove(made);
+        if (!g.isSuccess()) {
+            return ClientContext.printRefusal(g);
         }
-        talk.state(g.body());
+        context.printState(g.body());
         return 0;
     }
 
-    private Map<String, Object> submission() throws IOException {
-        Map<String, Object> job = defaults();
+    private Map<String, Object> buildSubmission() throws IOException {
+        Map<String, Object> job = defaultJobFields();
         Map<String, Object> program = null;
-        if (file != null) {
+        if (jobFile != null) {
             Map<String, Object> read =
-                    new HashMap<>(Fields.map(SettingsReader.parseJson(Files.readAllBytes(file)), "job"));
+                    new HashMap<>(Fields.map(SettingsReader.parseJson(Files.readAllBytes(jobFile)), "job"));
             Object p = read.remove("program");
             program = p == null ? null : new HashMap<>(Fields.map(p, "program"));
             job.putAll(read);
         }
-        set(job, Wire.ID, id);
-        set(job, Wire.TEAM, team);
-        set(job, Wire.JOB_CLASS, cls);
-        set(job, Wire.SHAPE, shape);
-        set(job, Wire.PRIORITY, priority);
-        set(job, Wire.TASKS, tasks);
-        set(job, Wire.CPUS, cpus);
-        set(job, Wire.GPUS, gpus);
-        set(job, Wire.MEMORY_GB, memory);
-        set(job, Wire.ZONE, zone);
-        set(job, Wire.ESTIMATE_S, expectS);
-        set(job, Wire.CHECKPOINT_INTERVAL_S, saveEveryS);
-        set(job, Wire.CHECKPOINT_WRITE_S, saveTakeS);
+        putIfSet(job, Wire.ID, jobId);
+        putIfSet(job, Wire.TEAM, team);
+        putIfSet(job, Wire.JOB_CLASS, jobClass);
+        putIfSet(job, Wire.SHAPE, shape);
+        putIfSet(job, Wire.PRIORITY, priority);
+        putIfSet(job, Wire.TASKS, tasks);
+        putIfSet(job, Wire.CPUS, cpus);
+        putIfSet(job, Wire.GPUS, gpus);
+        putIfSet(job, Wire.MEMORY_GB, memoryGb);
+        putIfSet(job, Wire.ZONE, zone);
+        putIfSet(job, Wire.ESTIMATE_S, estimateS);
+        putIfSet(job, Wire.CHECKPOINT_INTERVAL_S, checkpointIntervalS);
+        putIfSet(job, Wire.CHECKPOINT_WRITE_S, checkpointWriteS);
         if (job.get(Wire.TEAM) == null) {
             throw new InvalidInputException("--team: missing, and BIRCHUSHER_TEAM is not set");
         }
         if (job.get(Wire.ID) == null) {
             job.put(Wire.ID, Wire.JOB_ID_PREFIX + UUID.randomUUID());
         }
-        Talk.checked(Fields.text(job, Wire.ID));
+        ClientContext.requireJobId(Fields.text(job, Wire.ID));
         if (!command.isEmpty()) {
             program = program == null ? new HashMap<>() : program;
             program.put("command", command);
         }
-        if (!env.isEmpty()) {
+        if (!environment.isEmpty()) {
             if (program == null) {
                 throw new InvalidInputException("--env: without a command");
             }
             Map<String, Object> all =
                     new HashMap<>(program.get("env") == null ? Map.of() : Fields.map(program.get("env"), "env"));
-            all.putAll(env);
+            all.putAll(environment);
             program.put("env", all);
         }
         Map<String, Object> s = new LinkedHashMap<>();
@@ -194,7 +194,7 @@
         return s;
     }
 
-    private static Map<String, Object> defaults() {
+    private static Map<String, Object> defaultJobFields() {
         Map<String, Object> m = new HashMap<>();
         m.put(Wire.JOB_CLASS, "batch");
         m.put(Wire.SHAPE, "sweep");
@@ -214,7 +214,7 @@
         return m;
     }
 
-    private static void set(Map<String, Object> m, String field, Object value) {
+    private static void putIfSet(Map<String, Object> m, String field, Object value) {
         if (value != null && !value.equals("")) {
             m.put(field, value);
         }
--- a/src/main/java/birchusher/cli/Wait.java
+++ b/src/main/java/birchusher/cli/WaitCommand.java
@@ -17,12 +17,12 @@
         description = "wait until jobs are done or cancelled",
         mixinStandardHelpOptions = true,
         footer = {"", "Exit codes: 0 all done, 1 one cancelled or unknown, 2 wrong use, 3 time is over."})
-final class Wait implements Callable<Integer> {
-    private static final long LEAST_MS = 300;
-    private static final long MOST_MS = 5_000;
+final class WaitCommand implements Callable<Integer> {
+    private static final long MIN_POLL_INTERVAL_MS = 300;
+    private static final long MAX_POLL_INTERVAL_MS = 5_000;
 
     @CommandLine.Mixin
-    Talk talk;
+    ClientContext context;
 
     @Option(
             names = "--timeout",
@@ -32,39 +32,39 @@
     double timeoutS;
 
     @Parameters(paramLabel = "ID", arity = "1..*", description = "the jobs' ids")
-    List<String> ids;
+    List<String> jobIds;
 
     @Override
     public Integer call() {
-        return Main.guarded(() -> {
+        return Main.exitCodeOf(() -> {
             if (!(timeoutS >= 0)) {
                 throw new InvalidInputException("--timeout: 0 or more");
             }
-            ids.forEach(Talk::checked);
-            return until(talk, ids, timeoutS);
+            jobIds.forEach(ClientContext::requireJobId);
+            return waitForEnd(context, jobIds, timeoutS);
         });
     }
 
-    static int until(Talk talk, List<String> ids, double timeoutS) throws Exception {
+    static int waitForEnd(ClientContext talk, List<String> ids, double timeoutS) throws Exception {
         long from = System.nanoTime();
         List<String> open = new ArrayList<>(ids);
-        boolean person = System.console() != null && !talk.json();
+        boolean person = System.console() != null && !talk.isJson();
         int code = 0;
-        long pause = LEAST_MS;
+        long pause = MIN_POLL_INTERVAL_MS;
         while (true) {
             for (String id : List.copyOf(open)) {
-                Caller.Got g = talk.call("GET", Wire.JOBS + "/" + id, null);
-                if (!g.fine()) {
-                    return Talk.refused(g);
+                RetryingClient.Response g = talk.call("GET", Wire.JOBS + "/" + id, null);
+                if (!g.isSuccess()) {
+                    return ClientContext.printRefusal(g);
                 }
                 Object stage = g.body().get(Wire.STATE);
                 if (Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage)) {
                     open.remove(id);
-                    progress(person, "");
-                    talk.state(g.body());
+                    showProgress(person, "");
+                    talk.printState(g.body());
                     code = Wire.DONE.equals(stage) ? code : 1;
                 } else if (person && open.size() == 1) {
-                    progress(true, line(g.body()));
+                    showProgress(true, progressLine(g.body()));
                 }
             }
             double passed = (System.nanoTime() - from) / 1e9;
@@ -72,21 +72,22 @@
                 return code;
             }
             if (timeoutS > 0 && passed >= timeoutS) {
-                progress(person, "");
-                throw new Caller.Unreachable(String.join(", ", open) + ": not over after " + Math.round(passed) + " s");
+                showProgress(person, "");
+                throw new RetryingClient.DeadlineExceededException(
+                        String.join(", ", open) + ": not over after " + Math.round(passed) + " s");
             }
             Thread.sleep(pause);
-            pause = Math.min(MOST_MS, pause * 5 / 4);
+            pause = Math.min(MAX_POLL_INTERVAL_MS, pause * 5 / 4);
         }
     }
 
-    private static String line(Map<String, Object> m) {
+    private static String progressLine(Map<String, Object> m) {
         return m.get(Wire.ID) + " " + m.get(Wire.STATE) + ", " + m.get(Wire.DONE) + " done, " + m.get(Wire.RUNNING)
                 + " running";
     }
 
     /** One line that is written over; nothing where nobody looks. */
-    private static void progress(boolean person, String line) {
+    private static void showProgress(boolean person, String line) {
         if (person) {
             System.err.print("\r" + line + "\u001b[K");
             System.err.flush();
--- a/src/test/java/birchusher/KnownRed.java
+++ b/src/test/java/birchusher/KnownRed.java
@@ -18,7 +18,7 @@
  * so that its line can go.
  */
 public final class KnownRed implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
-    private static final List<Entry> ENTRIES = entries();
+    private static final List<Entry> ENTRIES = loadEntries();
 
     /**
      * One line of the list.
@@ -32,7 +32,7 @@
                 "(?<test>[\\w.]+)(\\[(?<parameters>[^\\]]+)\\])?: mvn [^:]+: [^:\"]+: \"(?<failure>[^\"]+)\"[^\"]*: issue \\d+");
 
         /** {@code package.Class.method[parameters]: mvn command: seed: "part of the failure" what was seen: issue N}. */
-        static Entry read(String line) {
+        static Entry parse(String line) {
             Matcher form = FORM.matcher(line);
             if (!form.matches()) {
                 throw new IllegalStateException(
@@ -42,44 +42,44 @@
         }
 
         /** Whether this line is about a test's run; a case's display name begins with its number in brackets. */
-        boolean names(String ranTest, String displayName) {
+        boolean matchesTest(String ranTest, String displayName) {
             return test.equals(ranTest)
                     && (parameters == null
                             || displayName.replaceFirst("^\\[\\d+\\] ", "").equals(parameters));
         }
 
-        boolean describes(Throwable thrown) {
+        boolean matchesFailure(Throwable thrown) {
             return thrown instanceof AssertionError
                     && String.valueOf(thrown.getMessage()).contains(failure);
         }
     }
 
-    private static List<Entry> entries() {
+    private static List<Entry> loadEntries() {
         Path list = Path.of("KNOWN-RED.txt");
         try {
-            return Files.exists(list) ? read(Files.readAllLines(list)) : List.of();
+            return Files.exists(list) ? parseLines(Files.readAllLines(list)) : List.of();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    static List<Entry> read(List<String> lines) {
-        return lines.stream().filter(line -> !line.isBlank()).map(Entry::read).toList();
+    static List<Entry> parseLines(List<String> lines) {
+        return lines.stream().filter(line -> !line.isBlank()).map(Entry::parse).toList();
     }
 
-    private static Entry listed(ExtensionContext context) {
+    private static Entry findEntry(ExtensionContext context) {
         String test = context.getRequiredTestClass().getName() + "."
                 + context.getRequiredTestMethod().getName();
         return ENTRIES.stream()
-                .filter(entry -> entry.names(test, context.getDisplayName()))
+                .filter(entry -> entry.matchesTest(test, context.getDisplayName()))
                 .findFirst()
                 .orElse(null);
     }
 
     @Override
     public void handleTestExecutionException(ExtensionContext context, Throwable thrown) throws Throwable {
-        Entry entry = listed(context);
-        if (entry == null || !entry.describes(thrown)) {
+        Entry entry = findEntry(context);
+        if (entry == null || !entry.matchesFailure(thrown)) {
             throw thrown;
         }
         System.out.println("KNOWN RED, passed over: " + entry.line());
@@ -88,7 +88,7 @@
 
     @Override
     public void afterTestExecution(ExtensionContext context) {
-        Entry entry = listed(context);
+        Entry entry = findEntry(context);
         if (entry != null && context.getExecutionException().isEmpty()) {
             System.out.println("KNOWN RED, but it passed; its line may go: " + entry.line());
         }
--- a/src/test/java/birchusher/KnownRedTest.java
+++ b/src/test/java/birchusher/KnownRedTest.java
@@ -16,27 +16,28 @@
             "a.BTest.c[7, 2]: mvn -B test -Dtest=BTest#c: seed 7: \"taken once\" was taken 3 times: issue 1";
 
     @Test
-    void onlyTheCaseThatALineNamesIsPassedOver() {
-        KnownRed.Entry entry = KnownRed.Entry.read(LINE);
-        assertThat(entry.names("a.BTest.c", "[4] 7, 2")).isTrue();
-        assertThat(entry.names("a.BTest.c", "[4] 7, 20")).isFalse();
-        assertThat(entry.names("a.BTest.c", "c()")).isFalse();
-        assertThat(entry.names("a.BTest.cd", "[4] 7, 2")).isFalse();
-        assertThat(entry.names("BTest.c", "[4] 7, 2")).isFalse();
-        assertThat(KnownRed.Entry.read(LINE.replace("[7, 2]", "")).names("a.BTest.c", "c()"))
+    void entryMatchesOnlyTheNamedTestCase() {
+        KnownRed.Entry entry = KnownRed.Entry.parse(LINE);
+        assertThat(entry.matchesTest("a.BTest.c", "[4] 7, 2")).isTrue();
+        assertThat(entry.matchesTest("a.BTest.c", "[4] 7, 20")).isFalse();
+        assertThat(entry.matchesTest("a.BTest.c", "c()")).isFalse();
+        assertThat(entry.matchesTest("a.BTest.cd", "[4] 7, 2")).isFalse();
+        assertThat(entry.matchesTest("BTest.c", "[4] 7, 2")).isFalse();
+        assertThat(KnownRed.Entry.parse(LINE.replace("[7, 2]", "")).matchesTest("a.BTest.c", "c()"))
                 .isTrue();
     }
 
     /** A broken rule, or anything but the assertion that the line quotes, is another fault. */
     @Test
-    void anUnexpectedKindOfFailureIsNotPassedOver() {
-        KnownRed.Entry entry = KnownRed.Entry.read(LINE);
-        assertThat(entry.describes(new AssertionError("[each is taken once] but was 3")))
+    void entryMatchesOnlyTheQuotedAssertionFailure() {
+        KnownRed.Entry entry = KnownRed.Entry.parse(LINE);
+        assertThat(entry.matchesFailure(new AssertionError("[each is taken once] but was 3")))
                 .isTrue();
-        assertThat(entry.describes(new AssertionError("expected no broken rule but was ran_twice")))
+        assertThat(entry.matchesFailure(new AssertionError("expected no broken rule but was ran_twice")))
+                .isFalse();
+        assertThat(entry.matchesFailure(new AssertionError())).isFalse();
+        assertThat(entry.matchesFailure(new IllegalStateException("taken once")))
                 .isFalse();
-        assertThat(entry.describes(new AssertionError())).isFalse();
-        assertThat(entry.describes(new IllegalStateException("taken once"))).isFalse();
     }
 
     @ParameterizedTest
@@ -48,15 +49,15 @@
                 "a.BTest.c: seed 7: \"taken once\" was taken 3 times: issue 1",
                 "a.BTest.c: cause: issue 1"
             })
-    void aLineWithoutOneOfItsPartsFails(String line) {
-        assertThatThrownBy(() -> KnownRed.read(List.of(line))).hasMessageContaining("KNOWN-RED.txt");
+    void incompleteLineIsRejected(String line) {
+        assertThatThrownBy(() -> KnownRed.parseLines(List.of(line))).hasMessageContaining("KNOWN-RED.txt");
     }
 
     /** A line whose test is gone passes over nothing and hides that. */
     @Test
-    void eachLineNamesATestThatIsThere() throws IOException, ReflectiveOperationException {
+    void eachLineNamesAnExistingTest() throws IOException, ReflectiveOperationException {
         Path list = Path.of("KNOWN-RED.txt");
-        for (KnownRed.Entry entry : KnownRed.read(Files.exists(list) ? Files.readAllLines(list) : List.of())) {
+        for (KnownRed.Entry entry : KnownRed.parseLines(Files.exists(list) ? Files.readAllLines(list) : List.of())) {
             int dot = entry.test().lastIndexOf('.');
             assertThat(Class.forName(entry.test().substring(0, dot)).getDeclaredMethods())
                     .anyMatch(method -> method.getName().equals(entry.test().substring(dot + 1)));
--- a/src/test/java/birchusher/cli/ClientTest.java
+++ b/src/test/java/birchusher/cli/CommandLineTest.java
@@ -26,16 +26,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The client's verbs by what they send, print and return; and the daemon's properties. */
-class ClientTest {
+class CommandLineTest {
     @TempDir
     Path dir;
 
     private String server;
-    private final List<String> asked = new CopyOnWriteArrayList<>();
-    private String printed;
+    private final List<String> receivedRequests = new CopyOnWriteArrayList<>();
+    private String consoleOutput;
 
     /** A server that answers so many requests with 503 first, and then what its path suggests. */
-    private EventLoop serve(int refusals) throws IOException {
+    private EventLoop startServer(int refusals) throws IOException {
         int port;
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = s.getLocalPort();
@@ -46,7 +46,7 @@
         int[] left = {refusals};
         http[0] = new HttpServer(loop, "127.0.0.1", port, 100, 65_536, (x, method, target, body) -> {
             Map<String, Object> m = body.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(body), "body");
-            asked.add(method + " " + target + (m.containsKey("name_id") ? " " + m.get("name_id") : ""));
+            receivedRequests.add(method + " " + target + (m.containsKey("name_id") ? " " + m.get("name_id") : ""));
             if (left[0]-- > 0) {
                 http[0].answer(x, 503, MessagePackCodec.encode(Map.of("error", "later")), 1);
             } else if (target.startsWith("/v2/runs?")) {
@@ -99,71 +99,76 @@
         return loop;
     }
 
-    private int run(String... args) {
+    private int runCommand(String... args) {
         List<String> all = new ArrayList<>(List.of(args));
         all.addAll(1, List.of("--server", server, "--deadline", "2"));
         PrintStream before = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
         try {
-            return Main.all().execute(all.toArray(new String[0]));
+            return Main.fullCommandLine().execute(all.toArray(new String[0]));
         } finally {
             System.setOut(before);
-            printed = out.toString(StandardCharsets.UTF_8);
+            consoleOutput = out.toString(StandardCharsets.UTF_8);
         }
     }
 
     @Test
-    void aSubmissionThatIsNotKnownToBeAcceptedIsSentAgainUnderTheSameId() throws IOException {
-        EventLoop loop = serve(1_000);
+    void resumeSendsUnconfirmedSubmissionUnderTheSameId() throws IOException {
+        EventLoop loop = startServer(1_000);
         String journal = dir.toString();
-        assertThat(run("submit", "--journal", journal, "--team", "t", "--", "true"))
+        assertThat(runCommand("submit", "--journal", journal, "--team", "t", "--", "true"))
                 .isEqualTo(3);
         loop.stop();
-        List<String> kept = new Journal(dir).open();
+        List<String> kept = new SubmissionJournal(dir).pendingIds();
         assertThat(kept).hasSize(1);
-        asked.clear();
-        EventLoop other = serve(0);
-        assertThat(run("submit", "--journal", journal, "--resume")).isZero();
-        assertThat(asked).containsExactly("POST /v2/programs/" + kept.get(0), "POST /v2/runs " + kept.get(0));
-        assertThat(new Journal(dir).open()).isEmpty();
+        receivedRequests.clear();
+        EventLoop other = startServer(0);
+        assertThat(runCommand("submit", "--journal", journal, "--resume")).isZero();
+        assertThat(receivedRequests)
+                .containsExactly("POST /v2/programs/" + kept.get(0), "POST /v2/runs " + kept.get(0));
+        assertThat(new SubmissionJournal(dir).pendingIds()).isEmpty();
         other.stop();
     }
 
     @Test
-    void exitCodesSayWhatBecameOfIt() throws IOException {
-        EventLoop loop = serve(1);
-        assertThat(run("status", "wk-a")).as("after one refusal").isZero();
-        assertThat(printed).isEqualTo("wk-a cancelled\n");
-        assertThat(run("status", "wk-no")).isEqualTo(1);
-        assertThat(run("status", "nonsense")).isEqualTo(2);
-        assertThat(run("wait", "wk-a")).as("cancelled is not done").isEqualTo(1);
-        assertThat(run("cancel", "-o", "json", "wk-a")).isZero();
-        assertThat(printed).isEqualTo("{\"done\":0,\"name_id\":\"wk-a\",\"running\":0,\"stage\":\"cancelled\"}\n");
-        assertThat(run("list")).isZero();
-        assertThat(printed.lines()).hasSize(3).last().asString().startsWith("wk-c");
-        assertThat(run("list", "--team", "a&b")).isEqualTo(2);
-        asked.clear();
-        assertThat(run("submit", "--journal", dir.toString(), "--team", "", "--", "true"))
+    void exitCodesTellSuccessRefusalWrongUseAndNoAnswer() throws IOException {
+        EventLoop loop = startServer(1);
+        assertThat(runCommand("status", "wk-a")).as("after one refusal").isZero();
+        assertThat(consoleOutput).isEqualTo("wk-a cancelled\n");
+        assertThat(runCommand("status", "wk-no")).isEqualTo(1);
+        assertThat(runCommand("status", "nonsense")).isEqualTo(2);
+        assertThat(runCommand("wait", "wk-a")).as("cancelled is not done").isEqualTo(1);
+        assertThat(runCommand("cancel", "-o", "json", "wk-a")).isZero();
+        assertThat(consoleOutput)
+                .isEqualTo("{\"done\":0,\"name_id\":\"wk-a\",\"running\":0,\"stage\":\"cancelled\"}\n");
+        assertThat(runCommand("list")).isZero();
+        assertThat(consoleOutput.lines()).hasSize(3).last().asString().startsWith("wk-c");
+        assertThat(runCommand("list", "--team", "a&b")).isEqualTo(2);
+        receivedRequests.clear();
+        assertThat(runCommand("submit", "--journal", dir.toString(), "--team", "", "--", "true"))
                 .as("no team")
                 .isEqualTo(2);
-        assertThat(run("submit", "--journal", dir.toString(), "--team", "t", "--env", "BIRCHUSHER_X=1", "--", "true"))
+        assertThat(runCommand(
+                        "submit", "--journal", dir.toString(), "--team", "t", "--env", "BIRCHUSHER_X=1", "--", "true"))
                 .isEqualTo(2);
-        assertThat(asked).isEmpty();
-        assertThat(new Journal(dir).open()).as("what is wrong is not kept").isEmpty();
+        assertThat(receivedRequests).isEmpty();
+        assertThat(new SubmissionJournal(dir).pendingIds())
+                .as("what is wrong is not kept")
+                .isEmpty();
         loop.stop();
         server = "127.0.0.1:1";
-        assertThat(run("status", "wk-a")).isEqualTo(3);
+        assertThat(runCommand("status", "wk-a")).isEqualTo(3);
     }
 
-    private static DaemonSettings read(String text) throws IOException {
+    private static DaemonSettings readDaemonSettings(String text) throws IOException {
         return DaemonSettings.read(new StringReader(text));
     }
 
     @Test
-    void theDaemonsPropertiesAreCheckedByTheirNames() throws IOException {
+    void daemonPropertyErrorsNameTheProperty() throws IOException {
         String good = Files.readString(Path.of("deploy/daemon.properties"));
-        DaemonSettings d = read(good);
+        DaemonSettings d = readDaemonSettings(good);
         assertThat(d.hosts().hosts()).containsOnlyKeys("local");
         assertThat(d.tuning().value("fleet.linger-boots")).isEqualTo(20);
         Map<String, String> bad = Map.of(
@@ -187,11 +192,12 @@
                 "peers",
                 "workers.quarantine-s=-1",
                 "workers.quarantine-s");
-        bad.forEach((line, named) -> assertThatThrownBy(() -> read(good + "\n" + line))
+        bad.forEach((line, named) -> assertThatThrownBy(() -> readDaemonSettings(good + "\n" + line))
                 .as(line)
                 .isInstanceOf(InvalidInputException.class)
                 .hasMessageContaining(named));
-        assertThat(read(good + "\npeers=p/here/10.0.0.2:1/10.0.0.2:2").controllers())
+        assertThat(readDaemonSettings(good + "\npeers=p/here/10.0.0.2:1/10.0.0.2:2")
+                        .controllers())
                 .containsOnlyKeys("daemon", "p");
     }
 }
--- a/src/test/java/birchusher/cli/DaemonMeasure.java
+++ b/src/test/java/birchusher/cli/DaemonLoadGenerator.java
@@ -23,18 +23,18 @@
  * HOST:PORT CLIENTS SECONDS}: jobs that nothing can run yet, from so many clients at once, each with one connection a request.
  * {@code state}: the same number of clients straight at the state service, a row of 400 bytes each.
  */
-final class DaemonMeasure {
-    private DaemonMeasure() {}
+final class DaemonLoadGenerator {
+    private DaemonLoadGenerator() {}
 
     public static void main(String[] args) throws Exception {
         if (args[0].equals("fill")) {
-            fill(Path.of(args[1]), Integer.parseInt(args[2]));
+            writeEndedJobs(Path.of(args[1]), Integer.parseInt(args[2]));
         } else {
-            submit(args[1], Integer.parseInt(args[2]), Double.parseDouble(args[3]), args[0].equals("state"));
+            generateLoad(args[1], Integer.parseInt(args[2]), Double.parseDouble(args[3]), args[0].equals("state"));
         }
     }
 
-    private static void fill(Path dir, int jobs) throws IOException {
+    private static void writeEndedJobs(Path dir, int jobs) throws IOException {
         byte[] ended = MessagePackCodec.encode(StoreView.endedJobRow(true, 1));
         try (DurableStore k = DurableStore.open(
                 new LockedDirectory(dir.resolve("state")),
@@ -55,7 +55,8 @@
         }
     }
 
-    private static void submit(String server, int clients, double seconds, boolean state) throws InterruptedException {
+    private static void generateLoad(String server, int clients, double seconds, boolean state)
+            throws InterruptedException {
         Map<String, Object> job = new HashMap<>(Map.of(
                 "lane",
                 "l",
@@ -98,7 +99,7 @@
         for (int i = 0; i < clients; i++) {
             int n = i;
             threads[i] = new Thread(() -> {
-                Caller c = new Caller(server, 60);
+                RetryingClient c = new RetryingClient(server, 60);
                 try {
                     for (int j = 0; System.nanoTime() < end; j++) {
                         Map<String, Object> mine = new HashMap<>(job);
@@ -107,7 +108,7 @@
                         Map<String, Object> row =
                                 Map.of("writes", List.of(Map.of("set", "m/" + mine.get(Wire.ID), "value", mine)));
                         if (c.call("POST", state ? Wire.TRANSACTIONS : Wire.JOBS, state ? row : mine)
-                                .fine()) {
+                                .isSuccess()) {
                             accepted.incrementAndGet();
                             ms.recordValue(Math.min(60_000, (System.nanoTime() - from) / 1_000_000));
                         }
--- a/src/test/java/birchusher/cli/Plant.java
+++ b/src/test/java/birchusher/cli/DaemonProcesses.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.TimeUnit;
 
 /** A daemon and agents as processes of their own on loopback, to be killed. */
-final class Plant implements AutoCloseable {
+final class DaemonProcesses implements AutoCloseable {
     final Path dir;
     final String server;
-    private final Path properties;
+    private final Path propertiesFile;
     private final Map<String, Integer> agentPorts = new HashMap<>();
-    private final Map<String, Process> processes = new ConcurrentHashMap<>();
+    private final Map<String, Process> processByName = new ConcurrentHashMap<>();
 
     /** @param more further lines of properties */
-    Plant(Path dir, List<String> hosts, String... more) throws IOException {
+    DaemonProcesses(Path dir, List<String> hosts, String... more) throws IOException {
         this.dir = dir;
-        int[] ports = free(5 + hosts.size());
+        int[] ports = freePorts(5 + hosts.size());
         server = "127.0.0.1:" + ports[0];
         List<String> l = new ArrayList<>(List.of(
                 "data.dir=" + dir.resolve("data"),
@@ -45,14 +45,14 @@
             agentPorts.put(hosts.get(i), ports[5 + i]);
         }
         l.addAll(List.of(more));
-        properties = Files.write(dir.resolve("daemon.properties"), l);
+        propertiesFile = Files.write(dir.resolve("daemon.properties"), l);
     }
 
     /**
      * Ports below those that the host gives to outgoing connections: a daemon that was killed must get its own again, and a
      * client that calls meanwhile could have been given one of them.
      */
-    private static int[] free(int n) {
+    private static int[] freePorts(int n) {
         SplittableRandom random = new SplittableRandom(ProcessHandle.current().pid() * 31 + System.nanoTime());
         int[] ports = new int[n];
         for (int i = 0; i < n; ) {
@@ -72,7 +72,7 @@
         return ports;
     }
 
-    private void start(String name, String... args) throws IOException {
+    private void startProcess(String name, String... args) throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 ProcessHandle.current().info().command().orElse("java"),
                 "-Xmx128m",
@@ -87,15 +87,15 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(
                         dir.resolve(name + ".log").toFile()));
         b.environment().put("LOG_LEVEL", "info");
-        processes.put(name, b.start());
+        processByName.put(name, b.start());
     }
 
-    void daemon() throws IOException {
-        start("daemon", "daemon", "--properties", properties.toString());
+    void startDaemon() throws IOException {
+        startProcess("daemon", "daemon", "--properties", propertiesFile.toString());
     }
 
-    void agent(String host) throws IOException {
-        start(
+    void startAgent(String host) throws IOException {
+        startProcess(
                 host,
                 "agent",
                 "--server",
@@ -112,14 +112,14 @@
 
     /** With force, as a power cut of that process would. */
     void kill(String name) {
-        Process p = processes.remove(name);
+        Process p = processByName.remove(name);
         p.destroyForcibly();
         p.onExit().join();
     }
 
     /** In order, as a service manager would. */
-    int end(String name) throws InterruptedException {
-        Process p = processes.remove(name);
+    int terminate(String name) throws InterruptedException {
+        Process p = processByName.remove(name);
         p.destroy();
         if (!p.waitFor(60, TimeUnit.SECONDS)) {
             p.destroyForcibly();
@@ -128,12 +128,12 @@
         return p.exitValue();
     }
 
-    Caller caller() {
-        return new Caller(server, 120);
+    RetryingClient newClient() {
+        return new RetryingClient(server, 120);
     }
 
     /** What went on, for a failed test. */
-    String log() throws IOException {
+    String logTail() throws IOException {
         StringBuilder sb = new StringBuilder();
         for (String name : List.of("daemon", "a", "b")) {
             Path p = dir.resolve(name + ".log");
@@ -150,7 +150,7 @@
 
     @Override
     public void close() {
-        for (String name : List.copyOf(processes.keySet())) {
+        for (String name : List.copyOf(processByName.keySet())) {
             kill(name);
         }
     }
