--- a/src/test/java/birchusher/sim/AnswerHistory.java
+++ b/src/test/java/birchusher/sim/AnswerHistory.java
@@ -5,67 +5,67 @@
  * Questions may overlap: each is held against what was known when it was sent. Of done and cancelled only one may ever be told.
  */
 final class AnswerHistory {
-    enum Kind {
+    enum RequestKind {
         SUBMIT,
         POLL,
         CANCEL
     }
 
     /** What had been told when it was sent. */
-    record Question(Kind kind, boolean accepted, boolean ended) {}
+    record SentRequest(RequestKind kind, boolean acceptedBefore, boolean endedBefore) {}
 
     private boolean accepted;
-    private String end;
-    private String last;
-    private int answers;
+    private String finalStage;
+    private String lastStage;
+    private int answerCount;
 
-    Question ask(Kind kind) {
-        return new Question(kind, accepted, end != null);
+    SentRequest requestSent(RequestKind kind) {
+        return new SentRequest(kind, accepted, finalStage != null);
     }
 
     /** Takes an answer; the rule that it breaks, or null. */
-    String answered(Question q, int status, String stage) {
-        answers++;
+    String checkAnswer(SentRequest q, int status, String stage) {
+        answerCount++;
         if (status == 404) {
-            return q.accepted ? "forgotten, called unknown" : null;
+            return q.acceptedBefore ? "forgotten, called unknown" : null;
         }
         if (status == 400 || status == 422) {
-            return q.accepted ? "forgotten, refused with " + status : "refused with " + status;
+            return q.acceptedBefore ? "forgotten, refused with " + status : "refused with " + status;
         }
         if (status != 200 && status != 201) {
             return status == 503 || status == 429 ? null : "answered with " + status;
         }
-        if (status == 201 && q.accepted) {
+        if (status == 201 && q.acceptedBefore) {
             return "accepted twice";
         }
         accepted = true;
         boolean isEnd = "done".equals(stage) || "cancelled".equals(stage);
-        if (q.kind == Kind.CANCEL && !isEnd) {
+        if (q.kind == RequestKind.CANCEL && !isEnd) {
             return "cancellation answered with " + stage;
         }
-        if (isEnd && end != null && !end.equals(stage)) {
-            return "went_back from " + end + " to " + stage;
+        if (isEnd && finalStage != null && !finalStage.equals(stage)) {
+            return "went_back from " + finalStage + " to " + stage;
         }
-        if (!isEnd && q.ended) {
-            return "went_back from " + end + " to " + stage;
+        if (!isEnd && q.endedBefore) {
+            return "went_back from " + finalStage + " to " + stage;
         }
         if (isEnd) {
-            end = stage;
+            finalStage = stage;
         }
-        last = end != null ? end : stage;
+        lastStage = finalStage != null ? finalStage : stage;
         return null;
     }
 
-    boolean ended() {
-        return end != null;
+    boolean hasEnded() {
+        return finalStage != null;
     }
 
     /** The newest that was told; null: nothing yet. */
-    String last() {
-        return last;
+    String lastStage() {
+        return lastStage;
     }
 
-    int answers() {
-        return answers;
+    int answerCount() {
+        return answerCount;
     }
 }
--- a/src/test/java/birchusher/sim/CancelledMeansGoneTest.java
+++ b/src/test/java/birchusher/sim/CancelledMeansGoneTest.java
@@ -14,7 +14,7 @@
  * than a cancellation has. The tasks are gone in time all the same, and an outage that is everybody's from its start costs no lease.
  */
 class CancelledMeansGoneTest {
-    private static final long OUTAGE_MS = World.CANCEL_MS + 12_000;
+    private static final long OUTAGE_MS = World.CANCEL_DEADLINE_MS + 12_000;
     private static final int SERVICES = 4;
 
     @BeforeAll
@@ -42,28 +42,28 @@
                 .filter(x -> x.tasks.values().stream().anyMatch(t -> t.key.startsWith(round) && !t.exited()))
                 .findFirst()
                 .orElseThrow();
-        return w.owner(m);
+        return w.ownerOf(m);
     }
 
     private static void cancelAll(World w, int through, String round) {
         for (int i = 0; i < SERVICES; i++) {
-            assertThat(w.withdraw(through, round + i)).as("confirmed").isTrue();
+            assertThat(w.cancelAndWait(through, round + i)).as("confirmed").isTrue();
         }
     }
 
     /** Lets the time that a cancellation has pass in an outage, and ends it. */
     private static void outLasts(World w) {
         w.run(OUTAGE_MS);
-        assertThat(w.broken).isEmpty();
-        w.store.outage(false, w.now);
-        java.util.Arrays.fill(w.refused, false);
+        assertThat(w.violations).isEmpty();
+        w.store.setOutage(false, w.nowMs);
+        java.util.Arrays.fill(w.refusedByStore, false);
     }
 
     private static void endsWell(World w) {
         w.run(60_000);
-        assertThat(w.broken).isEmpty();
-        assertThat(w.unanswered(10_000)).isEmpty();
-        assertThat(w.state("wk-stay")).isEqualTo("running");
+        assertThat(w.violations).isEmpty();
+        assertThat(w.unansweredJobs(10_000)).isEmpty();
+        assertThat(w.reportedState("wk-stay")).isEqualTo("running");
     }
 
     /** As on the users' day, twice 80 s apart: the refusal ends in the outage, a hair before it (negative), as it begins, or after it. */
@@ -88,22 +88,22 @@
         World w = world(seed, controllers);
         for (String round : new String[] {"wk-one", "wk-two"}) {
             int owner = owner(w, round);
-            w.refused[owner] = true;
+            w.refusedByStore[owner] = true;
             w.run(1_000);
             cancelAll(w, (owner + 1) % controllers, round);
             if (refusedFor < 0) {
-                w.refused[owner] = false;
+                w.refusedByStore[owner] = false;
                 w.run(-refusedFor);
             }
-            w.store.outage(true, w.now);
+            w.store.setOutage(true, w.nowMs);
             long ends = Math.max(0, Math.min(refusedFor, OUTAGE_MS));
             w.run(ends);
-            w.refused[owner] &= refusedFor > OUTAGE_MS;
+            w.refusedByStore[owner] &= refusedFor > OUTAGE_MS;
             w.run(OUTAGE_MS - ends);
-            assertThat(w.broken).isEmpty();
-            w.store.outage(false, w.now);
+            assertThat(w.violations).isEmpty();
+            w.store.setOutage(false, w.nowMs);
             w.run(4_000);
-            w.refused[owner] = false;
+            w.refusedByStore[owner] = false;
             w.run(34_000);
         }
         endsWell(w);
@@ -115,12 +115,12 @@
     void anOwnerThatNobodyTellsLeavesItsWorkersInTime(long seed, int controllers) {
         World w = world(seed, controllers);
         int owner = owner(w, "wk-one");
-        w.lonely(owner, true);
+        w.setIsolated(owner, true);
         w.run(800);
         cancelAll(w, (owner + 1) % controllers, "wk-one");
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         outLasts(w);
-        w.lonely(owner, false);
+        w.setIsolated(owner, false);
         endsWell(w);
     }
 
@@ -140,12 +140,12 @@
         World w = world(seed, controllers);
         int owner = owner(w, "wk-one");
         int other = (owner + 1) % controllers;
-        w.refused[owner] = true;
+        w.refusedByStore[owner] = true;
         w.run(700);
         // The old owner hears nothing of it before the crash.
-        w.holdMesh(other, 50_000);
+        w.holdPeerRecords(other, 50_000);
         cancelAll(w, other, "wk-one");
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         w.run(300);
         for (int i = 0; i < controllers; i++) {
             if (i == other || allOthers && i != owner) {
@@ -163,12 +163,12 @@
         World w = world(seed, controllers);
         int owner = owner(w, "wk-one");
         int other = (owner + 1) % controllers;
-        w.refused[owner] = true;
+        w.refusedByStore[owner] = true;
         w.run(500);
-        w.holdMesh(other, heldFor);
+        w.holdPeerRecords(other, heldFor);
         w.run(1_200);
         cancelAll(w, other, "wk-one");
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         outLasts(w);
         endsWell(w);
     }
@@ -179,14 +179,14 @@
     void aShardThatMovedJustBeforeIsNoExcuse(long seed, int controllers) {
         World w = world(seed, controllers);
         int owner = owner(w, "wk-one");
-        String term = w.term();
-        w.refused[owner] = true;
+        String term = w.latestTermRow();
+        w.refusedByStore[owner] = true;
         w.run(1_500);
         cancelAll(w, (owner + 1) % controllers, "wk-one");
-        for (int i = 0; i < 1_000 && w.term().equals(term); i++) {
+        for (int i = 0; i < 1_000 && w.latestTermRow().equals(term); i++) {
             w.run(10);
         }
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         outLasts(w);
         endsWell(w);
     }
@@ -201,24 +201,25 @@
         World w = world(seed, controllers);
         int owner = owner(w, "wk-one");
         List<FakeWorker> orphans = w.workers.values().stream()
-                .filter(m -> m.node == owner && m.tasks.values().stream().anyMatch(t -> t.key.startsWith("wk-one")))
+                .filter(m -> m.controllerIndex == owner
+                        && m.tasks.values().stream().anyMatch(t -> t.key.startsWith("wk-one")))
                 .toList();
-        String term = w.term();
+        String term = w.latestTermRow();
         w.crash(owner, 60_000);
         w.run(50);
         cancelAll(w, (owner + 1) % controllers, "wk-one");
         w.run(2_300);
-        w.readsHeld = true;
-        for (int i = 0; i < 8_000 && w.term().equals(term); i++) {
+        w.storeReadsHeld = true;
+        for (int i = 0; i < 8_000 && w.latestTermRow().equals(term); i++) {
             w.run(1);
         }
-        assertThat(w.term()).isNotEqualTo(term);
-        w.store.outage(true, w.now);
+        assertThat(w.latestTermRow()).isNotEqualTo(term);
+        w.store.setOutage(true, w.nowMs);
         w.run(20);
         int stopped = 0;
         for (FakeWorker m : orphans) {
             for (int i = 0; i < controllers; i++) {
-                String told = i == owner ? "" : w.tell(i, "POST", "/hello", m.report());
+                String told = i == owner ? "" : w.requestAndWait(i, "POST", "/hello", m.report());
                 if (m.tasks.values().stream().anyMatch(t -> t.key.startsWith("wk-one") && !t.exited())) {
                     // One that has obeyed its own report's answer by now shows nothing that could be stopped.
                     assertThat(told).as("renewed and not stopped").doesNotMatch("200");
@@ -228,7 +229,7 @@
         }
         assertThat(stopped).as("machines of the shard that moved").isPositive();
         outLasts(w);
-        w.readsHeld = false;
+        w.storeReadsHeld = false;
         endsWell(w);
     }
 
@@ -244,16 +245,16 @@
         }
         w.submit("wk-stay", "standing", 2, "production", true, false);
         w.run(40_000);
-        w.workers.values().forEach(m -> m.recallS = 300);
+        w.workers.values().forEach(m -> m.reclaimNoticeS = 300);
         w.run(8_000);
-        assertThat(w.tasksOf("wk-save0")).as("saving").isPositive();
+        assertThat(w.unfinishedTaskCount("wk-save0")).as("saving").isPositive();
         for (int i = 0; i < 3; i++) {
-            w.withdraw(i % controllers, "wk-save" + i);
+            w.cancelAndWait(i % controllers, "wk-save" + i);
         }
-        w.store.outage(outage, w.now);
-        w.run(World.CANCEL_MS + 3_000);
-        assertThat(w.broken).isEmpty();
-        assertThat(w.tasksOf("wk-save0")).isZero();
+        w.store.setOutage(outage, w.nowMs);
+        w.run(World.CANCEL_DEADLINE_MS + 3_000);
+        assertThat(w.violations).isEmpty();
+        assertThat(w.unfinishedTaskCount("wk-save0")).isZero();
     }
 
     /** Tasks that fetch, wait for their gang, or whose start is on its way to a machine that hangs, in the same meeting. */
@@ -265,14 +266,17 @@
         w.submit("wk-gang", "gang", 3, "urgent", false, false);
         w.submit("wk-late", "sweep", 6, "urgent", false, false);
         w.run(after);
-        w.refused[owner] = true;
-        w.workers.values().stream().filter(m -> m.node == owner).limit(2).forEach(m -> m.hungUntil = w.now + 8_500);
+        w.refusedByStore[owner] = true;
+        w.workers.values().stream()
+                .filter(m -> m.controllerIndex == owner)
+                .limit(2)
+                .forEach(m -> m.hungUntilMs = w.nowMs + 8_500);
         w.run(300);
         int other = (owner + 1) % controllers;
-        w.withdraw(other, "wk-gang");
-        w.withdraw(other, "wk-late");
+        w.cancelAndWait(other, "wk-gang");
+        w.cancelAndWait(other, "wk-late");
         cancelAll(w, other, "wk-one");
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         outLasts(w);
         endsWell(w);
     }
@@ -285,15 +289,15 @@
         w.submit("wk-busy", "sweep", 20, "standard", false, false);
         w.run(9_000 + seed * 7);
         for (int i = 0; i < SERVICES; i++) {
-            w.withdraw(i % controllers, "wk-one" + i);
+            w.cancelAndWait(i % controllers, "wk-one" + i);
         }
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         w.run(36_000);
         assertThat(w.workers.values())
                 .isNotEmpty()
                 .allSatisfy(m -> assertThat(m.session).as(m.name).isEqualTo(1));
-        assertThat(w.broken).isEmpty();
-        w.store.outage(false, w.now);
+        assertThat(w.violations).isEmpty();
+        w.store.setOutage(false, w.nowMs);
         endsWell(w);
     }
 
@@ -301,20 +305,20 @@
     @ParameterizedTest
     @CsvSource({"71, 3, 12000", "72, 3, 9000", "73, 7, 14000", "74, 7, 5000"})
     void whereLeasesAreTooLongACancellationIsToldWhenItsTasksAreGone(long seed, int controllers, long cancelMs) {
-        World w = started(new World(seed, controllers, 24, World.LEASE_MS, cancelMs));
+        World w = started(new World(seed, controllers, 24, World.WORKER_LEASE_MS, cancelMs));
         int owner = owner(w, "wk-one");
-        w.lonely(owner, true);
+        w.setIsolated(owner, true);
         w.run(700);
         for (int i = 0; i < SERVICES; i++) {
-            w.cancel("wk-one" + i);
+            w.requestCancellation("wk-one" + i);
         }
         w.run(2_500);
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         outLasts(w);
-        w.lonely(owner, false);
+        w.setIsolated(owner, false);
         w.run(60_000);
         for (int i = 0; i < SERVICES; i++) {
-            assertThat(w.cancelled("wk-one" + i)).as("told in the end").isTrue();
+            assertThat(w.isCancelled("wk-one" + i)).as("told in the end").isTrue();
         }
         endsWell(w);
     }
@@ -329,51 +333,51 @@
     /** For searches by hand: {@code -Dgone.from=1000 -Dgone.seeds=500}. */
     @org.junit.jupiter.api.Test
     void aSearchOverSeedsByHand() {
-        SeedSearch.over("gone", CancelledMeansGoneTest::drawn);
+        SeedSearch.forEachSeed("gone", CancelledMeansGoneTest::drawn);
     }
 
     private static void drawn(long seed) {
         int controllers = seed % 3 == 0 ? 7 : 3;
         World w = world(seed, controllers);
         java.util.Random r = new java.util.Random(seed * 17);
-        w.loss = r.nextBoolean() ? 0 : 0.01;
+        w.messageLossRate = r.nextBoolean() ? 0 : 0.01;
         for (String round : new String[] {"wk-one", "wk-two"}) {
             int owner = owner(w, round);
             int other = (owner + 1 + r.nextInt(controllers - 1)) % controllers;
-            w.refused[owner] = true;
+            w.refusedByStore[owner] = true;
             if (r.nextInt(3) == 0) {
-                w.cutMesh(owner, other, true);
+                w.setPeerLinkDown(owner, other, true);
             }
             w.run(r.nextInt(3_000));
             if (r.nextInt(3) == 0) {
-                w.holdMesh(other, r.nextInt(40_000));
+                w.holdPeerRecords(other, r.nextInt(40_000));
             }
             for (int i = 0; i < SERVICES; i++) {
-                w.withdraw(other, round + i);
+                w.cancelAndWait(other, round + i);
             }
             w.workers.values().stream().filter(m -> r.nextInt(6) == 0).forEach(m -> {
-                m.deaf = r.nextBoolean();
-                m.hungUntil = m.deaf ? 0 : w.now + r.nextInt(12_000);
+                m.cannotReceive = r.nextBoolean();
+                m.hungUntilMs = m.cannotReceive ? 0 : w.nowMs + r.nextInt(12_000);
             });
             w.run(r.nextInt(600));
-            w.store.outage(true, w.now);
+            w.store.setOutage(true, w.nowMs);
             w.run(r.nextInt(4_000));
-            w.refused[owner] &= r.nextBoolean();
+            w.refusedByStore[owner] &= r.nextBoolean();
             if (r.nextInt(3) == 0) {
                 w.crash(other, 300 + r.nextInt(2_000));
             }
             w.run(r.nextInt(8_000));
-            w.cutMesh(owner, other, r.nextBoolean());
+            w.setPeerLinkDown(owner, other, r.nextBoolean());
             w.run(OUTAGE_MS);
-            w.store.outage(false, w.now);
-            w.cutMesh(owner, other, false);
+            w.store.setOutage(false, w.nowMs);
+            w.setPeerLinkDown(owner, other, false);
             w.run(r.nextInt(6_000));
-            w.refused[owner] = false;
-            w.workers.values().forEach(m -> m.deaf = false);
-            assertThat(w.broken).isEmpty();
+            w.refusedByStore[owner] = false;
+            w.workers.values().forEach(m -> m.cannotReceive = false);
+            assertThat(w.violations).isEmpty();
             w.run(40_000);
         }
-        w.loss = 0;
+        w.messageLossRate = 0;
         endsWell(w);
     }
 }
--- a/src/test/java/birchusher/sim/CoreTraceTest.java
+++ b/src/test/java/birchusher/sim/CoreTraceTest.java
@@ -47,7 +47,7 @@
                             yield "";
                         }
                         case "outage" -> {
-                            w.store.outage(c[1].equals("on"), w.now);
+                            w.store.setOutage(c[1].equals("on"), w.nowMs);
                             yield "";
                         }
                         case "crash" -> {
@@ -55,24 +55,24 @@
                             yield "";
                         }
                         case "refuse" -> {
-                            w.refused[ownerOf(w, c[1])] = true;
+                            w.refusedByStore[ownerOf(w, c[1])] = true;
                             yield "";
                         }
                         case "lonely" -> {
-                            w.lonely(ownerOf(w, c[1]), true);
+                            w.setIsolated(ownerOf(w, c[1]), true);
                             yield "";
                         }
-                        case "tasks" -> String.valueOf(w.tasksOf(c[1]));
+                        case "tasks" -> String.valueOf(w.unfinishedTaskCount(c[1]));
                         case "post" -> {
-                            Map<String, Object> body = World.body(c[2], c[3], Integer.parseInt(c[4]), c[5]);
-                            w.foreign(body);
-                            yield w.tell(Integer.parseInt(c[1]), "POST", "/v2/runs", body)
+                            Map<String, Object> body = World.submission(c[2], c[3], Integer.parseInt(c[4]), c[5]);
+                            w.registerUnpolledJob(body);
+                            yield w.requestAndWait(Integer.parseInt(c[1]), "POST", "/v2/runs", body)
                                     .split(" ")[0];
                         }
-                        case "get" -> w.tell(Integer.parseInt(c[1]), "GET", "/v2/runs/" + c[2], null);
-                        case "withdraw" -> w.tell(
+                        case "get" -> w.requestAndWait(Integer.parseInt(c[1]), "GET", "/v2/runs/" + c[2], null);
+                        case "withdraw" -> w.requestAndWait(
                                 Integer.parseInt(c[1]), "POST", "/v2/runs/" + c[2] + "/withdraw", null);
-                        case "hello" -> hello(w, c);
+                        case "hello" -> sendReport(w, c);
                         default -> throw new IllegalArgumentException(line);
                     };
             if (halves.length > 1) {
@@ -82,20 +82,20 @@
                     assertThat(got).as(line).startsWith(halves[1]);
                 }
             }
-            assertThat(w.broken).as(line).isEmpty();
+            assertThat(w.violations).as(line).isEmpty();
         }
     }
 
     /** The controller that owns the machine on which a job runs. */
     private static int ownerOf(World w, String job) {
-        return w.owner(w.workers.values().stream()
+        return w.ownerOf(w.workers.values().stream()
                 .filter(m -> m.tasks.values().stream().anyMatch(t -> t.key.startsWith(job + "/")))
                 .findFirst()
                 .orElseThrow());
     }
 
     /** Reports to each controller until one does not send the worker on. */
-    private static String hello(World w, String[] c) {
+    private static String sendReport(World w, String[] c) {
         List<Object> pieces = new ArrayList<>();
         for (int i = 6; i < c.length; i++) {
             String[] p = c[i].split("[#:]");
@@ -114,7 +114,7 @@
         r.put("pieces", pieces);
         String got = "";
         for (int node = 0; node < 3; node++) {
-            got = w.tell(node, "POST", "/hello", r);
+            got = w.requestAndWait(node, "POST", "/hello", r);
             if (!got.startsWith("421")) {
                 return got;
             }
--- a/src/test/java/birchusher/sim/HoldingProxy.java
+++ b/src/test/java/birchusher/sim/DelayingProxy.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** Passes on the bytes of connections between two controllers on loopback; can hold them back, all of them or none, or reset all. */
-final class HoldingProxy implements AutoCloseable {
-    private static final int BUFFER = 16 * 1024;
+final class DelayingProxy implements AutoCloseable {
+    private static final int BUFFER_BYTES = 16 * 1024;
 
     private final ServerSocket listener;
-    private final int target;
+    private final int targetPort;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile long heldUntilNanos = System.nanoTime();
 
-    HoldingProxy(int port, int target) throws IOException {
-        this.target = target;
+    DelayingProxy(int port, int target) throws IOException {
+        this.targetPort = target;
         listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        start(this::accept);
+        startThread(this::accept);
     }
 
     /** What is sent from now on arrives only after so long, in order. */
@@ -30,7 +30,7 @@
     }
 
     void reset() {
-        sockets.forEach(HoldingProxy::close);
+        sockets.forEach(DelayingProxy::close);
         sockets.clear();
     }
 
@@ -39,10 +39,10 @@
             try {
                 Socket from = listener.accept();
                 sockets.add(from);
-                Socket to = new Socket(InetAddress.getLoopbackAddress(), target);
+                Socket to = new Socket(InetAddress.getLoopbackAddress(), targetPort);
                 sockets.add(to);
-                start(() -> pump(from, to));
-                start(() -> pump(to, from));
+                startThread(() -> forward(from, to));
+                startThread(() -> forward(to, from));
             } catch (IOException e) {
                 // The listener was closed, or the controller is down: whoever connects tries again.
                 continue;
@@ -50,8 +50,8 @@
         }
     }
 
-    private void pump(Socket from, Socket to) {
-        byte[] buffer = new byte[BUFFER];
+    private void forward(Socket from, Socket to) {
+        byte[] buffer = new byte[BUFFER_BYTES];
         try {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
@@ -74,7 +74,7 @@
         sockets.remove(to);
     }
 
-    private static void start(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "proxy");
         thread.setDaemon(true);
         thread.start();
--- a/src/test/java/birchusher/sim/FakeStore.java
+++ b/src/test/java/birchusher/sim/FakeStore.java
@@ -10,28 +10,29 @@
 
 /** A stand-in for the state service, by its published protocol. Answers go to a callback; watches may wait. */
 final class FakeStore {
-    private record Row(Object value, long stamp, long lease) {}
+    private record Row(Object value, long revision, long lease) {}
 
-    private record Event(String key, Object value, long stamp) {}
+    private record Event(String key, Object value, long revision) {}
 
-    private record Watch(String prefix, long since, long until, BiConsumer<Integer, Map<String, Object>> reply) {}
+    private record Watch(
+            String prefix, long sinceRevision, long untilMs, BiConsumer<Integer, Map<String, Object>> reply) {}
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private final List<Event> history = new ArrayList<>();
     private final Map<Long, long[]> leases = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private long epoch;
-    private long nextLease = 1;
-    private long outageSince = -1;
+    private long revision;
+    private long nextLeaseId = 1;
+    private long outageSinceMs = -1;
     /** Changes up to this revision are not kept any more. */
-    private long forgotten;
+    private long compactedRevision;
 
     /** The first transaction that writes a row with such a key is carried out and gets no answer; null: none, or it has come. */
-    String answerLostOf;
+    String loseReplyForKeyPrefix;
 
     /** Every watch from before now is too old: whoever lags has to read everything again. */
-    void forgetHistory() {
-        forgotten = epoch;
+    void compactHistory() {
+        compactedRevision = revision;
         history.clear();
     }
 
@@ -42,21 +43,21 @@
         return sb.toString();
     }
 
-    void outage(boolean on, long now) {
+    void setOutage(boolean on, long now) {
         if (on) {
-            outageSince = now;
+            outageSinceMs = now;
         } else {
             leases.values().forEach(l -> l[1] = now + l[0]);
-            outageSince = -1;
+            outageSinceMs = -1;
         }
     }
 
-    boolean out() {
-        return outageSince >= 0;
+    boolean inOutage() {
+        return outageSinceMs >= 0;
     }
 
     void tick(long now) {
-        if (out()) {
+        if (inOutage()) {
             return;
         }
         leases.entrySet().removeIf(e -> {
@@ -70,43 +71,43 @@
                 }
             });
             if (!keys.isEmpty()) {
-                epoch++;
-                keys.forEach(k -> set(k, null, 0));
+                revision++;
+                keys.forEach(k -> putRow(k, null, 0));
             }
             return true;
         });
         for (Watch w : List.copyOf(watches)) {
-            List<Object> events = events(w.prefix, w.since);
-            if (!events.isEmpty() || now >= w.until) {
+            List<Object> events = eventsSince(w.prefix, w.sinceRevision);
+            if (!events.isEmpty() || now >= w.untilMs) {
                 watches.remove(w);
-                w.reply.accept(200, Map.of("epoch", epoch, "events", events));
+                w.reply.accept(200, Map.of("epoch", revision, "events", events));
             }
         }
     }
 
-    private void set(String key, Object value, long lease) {
+    private void putRow(String key, Object value, long lease) {
         if (value == null) {
             rows.remove(key);
         } else {
-            rows.put(key, new Row(value, epoch, lease));
+            rows.put(key, new Row(value, revision, lease));
         }
-        history.add(new Event(key, value, epoch));
+        history.add(new Event(key, value, revision));
     }
 
-    private List<Object> events(String prefix, long since) {
+    private List<Object> eventsSince(String prefix, long since) {
         List<Object> l = new ArrayList<>();
         for (Event e : history) {
-            if (e.stamp > since && e.key.startsWith(prefix)) {
+            if (e.revision > since && e.key.startsWith(prefix)) {
                 l.add(
                         e.value == null
-                                ? Map.of("remove", e.key, "stamp", e.stamp)
-                                : Map.of("set", e.key, "value", e.value, "stamp", e.stamp));
+                                ? Map.of("remove", e.key, "stamp", e.revision)
+                                : Map.of("set", e.key, "value", e.value, "stamp", e.revision));
             }
         }
         return l;
     }
 
-    private static Map<String, String> query(String target) {
+    private static Map<String, String> queryParameters(String target) {
         Map<String, String> q = new HashMap<>();
         int i = target.indexOf('?');
         if (i >= 0) {
@@ -119,58 +120,59 @@
     }
 
     /** As in the world's settings. */
-    private static final int TXN_OPS = 12;
+    private static final int MAX_TRANSACTION_WRITES = 12;
 
     /** Transactions that lack a condition the safety argument rests on; luck with timing must not hide one. */
-    final List<String> unsafe = new ArrayList<>();
+    final List<String> unsafeTransactions = new ArrayList<>();
     /** Reads of single rows. */
-    int gets;
+    int rowReads;
     /** Listings that are still to be refused, as over the limit; the first page of a reading is always answered. */
-    int refusedPages;
+    int listingsToRefuse;
     /** Listings answered, and rows of each at most. */
-    int pages;
+    int listingsAnswered;
 
-    int pageRows = 1_000;
+    int maxRowsPerListing = 1_000;
 
     /** A row as some other version of us, or a mistake, might leave it. */
-    void plant(String key, Object value) {
-        epoch++;
-        set(key, value, 0);
+    void injectRow(String key, Object value) {
+        revision++;
+        putRow(key, value, 0);
     }
 
     /** Jobs with zone rules and several rows: of two claims for them one must fail if it does not know of the other. */
-    final java.util.Set<String> zoned = new java.util.HashSet<>();
+    final java.util.Set<String> jobsWithZoneRules = new java.util.HashSet<>();
 
     /** Rows in transactions sent, applied or not. */
-    int written;
+    int rowsWritten;
 
     @SuppressWarnings("unchecked")
-    private void audit(Map<String, Object> body) {
-        written += ((List<Object>) body.get("writes")).size();
+    private void checkTransaction(Map<String, Object> body) {
+        rowsWritten += ((List<Object>) body.get("writes")).size();
         java.util.Set<String> on = new java.util.HashSet<>();
         ((List<Object>) body.get("if")).forEach(c -> on.add((String) ((Map<String, Object>) c).get("path")));
         for (Object o : (List<Object>) body.get("writes")) {
             Map<String, Object> w = (Map<String, Object>) o;
             String key = (String) (w.get("set") != null ? w.get("set") : w.get("remove"));
             if (!on.contains(key)) {
-                unsafe.add("unconditional write of " + key);
+                unsafeTransactions.add("unconditional write of " + key);
             }
             if (!key.startsWith("b/live/place/") || w.get("set") == null) {
                 continue;
             }
             if (on.stream().noneMatch(k -> k.startsWith("b/live/shard/"))) {
-                unsafe.add("placement without an owner's term: " + key);
+                unsafeTransactions.add("placement without an owner's term: " + key);
             }
             Row old = rows.get(key);
             long before = old == null ? 0 : (Long) ((Map<String, Object>) old.value).get("a");
             boolean claims = (Long) ((Map<String, Object>) w.get("value")).get("a") > before;
             String job = key.substring("b/live/place/".length(), key.lastIndexOf('/'));
-            if (claims && zoned.contains(job) && !on.contains("b/live/place/" + job + "/0")) {
-                unsafe.add("claim of a job whose zones are bound beside rows that it does not condition on: " + key);
+            if (claims && jobsWithZoneRules.contains(job) && !on.contains("b/live/place/" + job + "/0")) {
+                unsafeTransactions.add(
+                        "claim of a job whose zones are bound beside rows that it does not condition on: " + key);
             }
             if (claims
                     && !(on.contains("b/live/job/" + job) && on.stream().anyMatch(k -> k.startsWith("b/live/gate/")))) {
-                unsafe.add("claim without its job or its team's gate: " + key);
+                unsafeTransactions.add("claim without its job or its team's gate: " + key);
             }
         }
     }
@@ -182,9 +184,9 @@
             String target,
             Map<String, Object> body,
             BiConsumer<Integer, Map<String, Object>> reply) {
-        Map<String, String> q = query(target);
+        Map<String, String> q = queryParameters(target);
         if (target.startsWith("/watch")) {
-            if (Long.parseLong(q.get("since")) < forgotten && !out()) {
+            if (Long.parseLong(q.get("since")) < compactedRevision && !inOutage()) {
                 reply.accept(410, Map.of());
                 return;
             }
@@ -193,16 +195,16 @@
                     Long.parseLong(q.get("since")),
                     now + Long.parseLong(q.getOrDefault("wait_ms", "0")),
                     reply));
-            if (!out()) {
+            if (!inOutage()) {
                 tick(now);
             }
             return;
         }
-        if (out()) {
+        if (inOutage()) {
             reply.accept(503, Map.of());
         } else if (target.startsWith("/store?")) {
-            if (refusedPages > 0 && !q.getOrDefault("since", "").isEmpty()) {
-                refusedPages--;
+            if (listingsToRefuse > 0 && !q.getOrDefault("since", "").isEmpty()) {
+                listingsToRefuse--;
                 reply.accept(429, Map.of());
                 return;
             }
@@ -210,66 +212,66 @@
             boolean[] more = new boolean[1];
             rows.tailMap(q.getOrDefault("since", ""), false).forEach((k, r) -> {
                 if (k.startsWith(q.get("under"))) {
-                    more[0] |= l.size() >= pageRows;
-                    if (l.size() < pageRows) {
-                        l.add(Map.of("path", k, "value", r.value, "stamp", r.stamp));
+                    more[0] |= l.size() >= maxRowsPerListing;
+                    if (l.size() < maxRowsPerListing) {
+                        l.add(Map.of("path", k, "value", r.value, "stamp", r.revision));
                     }
                 }
             });
-            pages++;
-            reply.accept(200, Map.of("rows", l, "has_next", more[0], "epoch", epoch));
+            listingsAnswered++;
+            reply.accept(200, Map.of("rows", l, "has_next", more[0], "epoch", revision));
         } else if (target.startsWith("/store/")) {
-            gets++;
+            rowReads++;
             Row r = rows.get(target.substring(7));
             reply.accept(
                     r == null ? 404 : 200,
                     r == null
-                            ? Map.of("epoch", epoch)
-                            : Map.of("path", target.substring(7), "value", r.value, "stamp", r.stamp));
+                            ? Map.of("epoch", revision)
+                            : Map.of("path", target.substring(7), "value", r.value, "stamp", r.revision));
         } else if (target.equals("/multi")
-                && (((List<Object>) body.get("writes")).size() > TXN_OPS
-                        || ((List<Object>) body.get("if")).size() > 4 * TXN_OPS)) {
-            unsafe.add("more than a transaction may hold: " + ((List<Object>) body.get("writes")).size() + " writes, "
-                    + ((List<Object>) body.get("if")).size() + " conditions");
+                && (((List<Object>) body.get("writes")).size() > MAX_TRANSACTION_WRITES
+                        || ((List<Object>) body.get("if")).size() > 4 * MAX_TRANSACTION_WRITES)) {
+            unsafeTransactions.add("more than a transaction may hold: " + ((List<Object>) body.get("writes")).size()
+                    + " writes, " + ((List<Object>) body.get("if")).size() + " conditions");
             reply.accept(400, Map.of("error", "too many operations"));
         } else if (target.equals("/multi")) {
             List<String> failed = new ArrayList<>();
             for (Object o : (List<Object>) body.get("if")) {
                 Map<String, Object> c = (Map<String, Object>) o;
                 Row r = rows.get((String) c.get("path"));
-                if ((r == null ? 0 : r.stamp) != (Long) c.get("stamp")) {
+                if ((r == null ? 0 : r.revision) != (Long) c.get("stamp")) {
                     failed.add((String) c.get("path"));
                 }
             }
             if (!failed.isEmpty()) {
-                reply.accept(409, Map.of("failed", failed, "epoch", epoch));
+                reply.accept(409, Map.of("failed", failed, "epoch", revision));
                 return;
             }
-            audit(body);
-            epoch++;
+            checkTransaction(body);
+            revision++;
             for (Object o : (List<Object>) body.get("writes")) {
                 Map<String, Object> w = (Map<String, Object>) o;
                 if (w.get("set") != null) {
-                    set((String) w.get("set"), w.get("value"), w.get("hold") == null ? 0 : (Long) w.get("hold"));
+                    putRow((String) w.get("set"), w.get("value"), w.get("hold") == null ? 0 : (Long) w.get("hold"));
                 } else {
-                    set((String) w.get("remove"), null, 0);
+                    putRow((String) w.get("remove"), null, 0);
                 }
             }
-            String lost = answerLostOf;
+            String lost = loseReplyForKeyPrefix;
             if (lost != null
                     && ((List<Object>) body.get("writes"))
                             .stream()
                                     .anyMatch(o -> ((Map<String, Object>) o).get("set") instanceof String k
                                             && k.startsWith(lost))) {
-                answerLostOf = null;
+                loseReplyForKeyPrefix = null;
             } else {
-                reply.accept(200, Map.of("epoch", epoch));
+                reply.accept(200, Map.of("epoch", revision));
             }
             tick(now);
         } else if (target.equals("/leases")) {
             long ttl = (Long) body.get("life_ms");
-            leases.put(nextLease, new long[] {ttl, now + ttl});
-            reply.accept(200, Map.of("hold", nextLease++));
+            leases.put(nextLeaseId, new long[] {ttl, now + ttl});
+            reply.accept(200, Map.of("hold", nextLeaseId++));
         } else {
             long id = Long.parseLong(target.split("/")[2]);
             long[] l = leases.get(id);
--- a/src/test/java/birchusher/sim/FakeWorker.java
+++ b/src/test/java/birchusher/sim/FakeWorker.java
@@ -11,14 +11,14 @@
         final String key;
         final long attempt;
         String stage = "fetching";
-        String why;
-        long until;
+        String cause;
+        long phaseEndsMs;
         long ran;
 
         Task(String key, long attempt, long until) {
             this.key = key;
             this.attempt = attempt;
-            this.until = until;
+            this.phaseEndsMs = until;
         }
 
         boolean exited() {
@@ -30,36 +30,36 @@
     final String name;
     final String zone;
     final boolean spot;
-    final long upAt;
+    final long readyAtMs;
     /** Where direct commands reach it. */
     String address;
 
     final Map<String, Task> tasks = new LinkedHashMap<>();
     long session = 1;
-    long tick;
-    long token;
-    long leaseFrom;
-    int node;
+    long reportNumber;
+    long fencingToken;
+    long leaseStartMs;
+    int controllerIndex;
     boolean deleted;
     /** Its reports arrive; answers and commands don't reach it. */
-    boolean deaf;
+    boolean cannotReceive;
     /** It reaches no controller; direct commands reach it. */
-    boolean mute;
+    boolean cannotReport;
     /** The cloud's notice, in seconds; -1: none. */
-    double recallS = -1;
+    double reclaimNoticeS = -1;
 
-    long hungUntil;
+    long hungUntilMs;
     /** By how much its reports are held up on their way; the answers, and direct commands, are not. */
-    long reportsHeldMs;
+    long reportDelayMs;
     /** By how much direct commands to it are held up on their way; their answers are not. */
-    long commandsHeldMs;
+    long commandDelayMs;
     /** Which controllers' connections fail as soon as a report has reached them: it is carried out, the answer is lost at once. */
-    final java.util.Set<Integer> resetBy = new java.util.HashSet<>();
+    final java.util.Set<Integer> connectionsResetBy = new java.util.HashSet<>();
 
-    boolean reporting;
-    private final java.util.Set<String> reaped = new java.util.HashSet<>();
-    long nextReport;
-    private long tokenChangesAgain;
+    boolean reportInFlight;
+    private final java.util.Set<String> reapedAttempts = new java.util.HashSet<>();
+    long nextReportMs;
+    private long nextTokenChangeMs;
 
     FakeWorker(World world, String name, String zone, boolean spot, long upAt) {
         this.world = world;
@@ -67,9 +67,9 @@
         this.address = name + ":1";
         this.zone = zone;
         this.spot = spot;
-        this.upAt = upAt;
-        this.nextReport = upAt;
-        this.leaseFrom = upAt;
+        this.readyAtMs = upAt;
+        this.nextReportMs = upAt;
+        this.leaseStartMs = upAt;
     }
 
     Map<String, Object> report() {
@@ -79,27 +79,27 @@
             m.put("piece", t.key);
             m.put("try", t.attempt);
             m.put("stage", t.stage);
-            if (t.why != null) {
-                m.put("cause", t.why);
+            if (t.cause != null) {
+                m.put("cause", t.cause);
             }
             pieces.add(m);
         }
-        Map<String, Object> r = report(name, zone, ++tick);
+        Map<String, Object> r = report(name, zone, ++reportNumber);
         r.put("address", address);
         r.put("loaners", spot);
         r.put("tenure", session);
-        r.put("baton", token);
+        r.put("baton", fencingToken);
         r.put("pieces", pieces);
-        if (recallS >= 0) {
-            r.put("recall_s", recallS);
+        if (reclaimNoticeS >= 0) {
+            r.put("recall_s", reclaimNoticeS);
         }
         return r;
     }
 
     /** Nothing reaches it or leaves it any more. */
-    void cutOff(boolean on) {
-        deaf = on;
-        mute = on;
+    void setCutOff(boolean on) {
+        cannotReceive = on;
+        cannotReport = on;
     }
 
     /** The report of an ordinary machine in its first session, without tasks, that has seen no token. */
@@ -119,63 +119,63 @@
 
     /** Runs time forward; false while the machine hangs. */
     boolean advance(long now) {
-        if (deleted || now < upAt || now < hungUntil) {
+        if (deleted || now < readyAtMs || now < hungUntilMs) {
             return false;
         }
-        if (now - leaseFrom > world.leaseMs) {
+        if (now - leaseStartMs > world.workerLeaseMs) {
             tasks.clear();
             session++;
-            leaseFrom = now;
-            changed(now);
+            leaseStartMs = now;
+            reportSoon(now);
         }
         for (Task t : List.copyOf(tasks.values())) {
-            if (t.stage.equals("fetching") && now >= t.until) {
-                if (world.mistaken.contains(t.key.substring(0, t.key.indexOf('/')))) {
-                    world.errors++;
+            if (t.stage.equals("fetching") && now >= t.phaseEndsMs) {
+                if (world.failingJobs.contains(t.key.substring(0, t.key.indexOf('/')))) {
+                    world.taskErrors++;
                     t.stage = "exited";
-                    t.why = "error";
-                    changed(now);
+                    t.cause = "error";
+                    reportSoon(now);
                     continue;
                 }
                 boolean gang = world.isGang(t.key);
                 t.stage = gang ? "waiting" : "running";
-                t.until = gang ? Long.MAX_VALUE : now + world.runMs(t.key);
-                world.started(this, t);
-                changed(now);
-            } else if (t.stage.equals("flushing") && now >= t.until) {
+                t.phaseEndsMs = gang ? Long.MAX_VALUE : now + world.runTimeMs(t.key);
+                world.taskStarted(this, t);
+                reportSoon(now);
+            } else if (t.stage.equals("flushing") && now >= t.phaseEndsMs) {
                 t.stage = "exited";
-                t.why = "halted";
-                changed(now);
-            } else if (t.stage.equals("running") && !world.isGang(t.key) && now >= t.until) {
+                t.cause = "halted";
+                reportSoon(now);
+            } else if (t.stage.equals("running") && !world.isGang(t.key) && now >= t.phaseEndsMs) {
                 t.stage = "exited";
-                t.why = "done";
-                world.finished(t.key);
-                changed(now);
+                t.cause = "done";
+                world.taskFinished(t.key);
+                reportSoon(now);
             }
         }
         return true;
     }
 
     /** A change of its tasks or its session is reported soon; without one, a worker keeps its interval. */
-    private void changed(long now) {
-        nextReport = Math.min(nextReport, now + 500);
+    private void reportSoon(long now) {
+        nextReportMs = Math.min(nextReportMs, now + 500);
     }
 
     /** Within half of a lease, a higher token counts as a change at most once. */
     void tokenChanged(long now) {
-        if (now >= tokenChangesAgain) {
-            tokenChangesAgain = now + world.leaseMs / 2;
-            changed(now);
+        if (now >= nextTokenChangeMs) {
+            nextTokenChangeMs = now + world.workerLeaseMs / 2;
+            reportSoon(now);
         }
     }
 
     /** Whether the tasks are still there: a worker whose lease is over has dropped them, hanging or not. */
-    boolean alive(long now) {
-        return !deleted && now - leaseFrom <= world.leaseMs;
+    boolean holdsLease(long now) {
+        return !deleted && now - leaseStartMs <= world.workerLeaseMs;
     }
 
-    void advanceLeaseOnly(long now) {
-        if (!alive(now)) {
+    void exitTasksIfLeaseExpired(long now) {
+        if (!holdsLease(now)) {
             tasks.values().forEach(t -> t.stage = "exited");
         }
     }
@@ -191,22 +191,22 @@
             switch ((String) c.get("verb")) {
                 case "start" -> {
                     if (t == null) {
-                        if (reaped.contains(session + ":" + id)) {
-                            world.broken.add("started again after its reap: " + id + " on " + name);
+                        if (reapedAttempts.contains(session + ":" + id)) {
+                            world.violations.add("started again after its reap: " + id + " on " + name);
                         }
                         t = new Task(
                                 key, attempt, now + (world.imagesCached ? 100 : 1_000 + world.random.nextInt(2_000)));
-                        double cards = world.cards(key);
+                        double cards = world.gpusNeeded(key);
                         for (Task other : tasks.values()) {
                             if (other.key.equals(key) && !other.exited()) {
                                 t.stage = "exited";
-                                t.why = "in_use";
+                                t.cause = "in_use";
                             }
-                            cards += other.exited() ? 0 : world.cards(other.key);
+                            cards += other.exited() ? 0 : world.gpusNeeded(other.key);
                         }
                         if (cards > 4 && !t.exited()) {
                             t.stage = "exited";
-                            t.why = "full";
+                            t.cause = "full";
                             world.refusedStarts++;
                         }
                         tasks.put(id, t);
@@ -214,25 +214,25 @@
                 }
                 case "stop" -> {
                     double grace = c.get("wind_down_s") == null ? 0 : ((Number) c.get("wind_down_s")).doubleValue();
-                    double takes = world.saveS(key);
+                    double takes = world.checkpointSaveS(key);
                     if (t != null && t.stage.equals("running") && takes > 0 && grace >= takes) {
                         t.stage = "flushing";
-                        t.until = now + Math.round(takes * 1000);
+                        t.phaseEndsMs = now + Math.round(takes * 1000);
                     } else if (t != null && !t.exited() && !(t.stage.equals("flushing") && grace > 0)) {
                         t.stage = "exited";
-                        t.why = "halted";
+                        t.cause = "halted";
                     }
                 }
                 default -> {
                     if (t != null && t.exited()) {
                         tasks.remove(id);
-                        reaped.add(session + ":" + id);
+                        reapedAttempts.add(session + ":" + id);
                     }
                 }
             }
         }
         if (!orders.isEmpty()) {
-            changed(now);
+            reportSoon(now);
         }
     }
 }
--- a/src/test/java/birchusher/sim/FurtherMeetingsTest.java
+++ b/src/test/java/birchusher/sim/FurtherMeetingsTest.java
@@ -19,9 +19,9 @@
 
     private static void endsWell(World w, long ms) {
         w.run(ms);
-        assertThat(w.unanswered(10_000)).isEmpty();
-        assertThat(w.broken).isEmpty();
-        assertThat(w.state("wk-web")).as(w.store.dump()).isEqualTo("running");
+        assertThat(w.unansweredJobs(10_000)).isEmpty();
+        assertThat(w.violations).isEmpty();
+        assertThat(w.reportedState("wk-web")).as(w.store.dump()).isEqualTo("running");
     }
 
     /** The team is at its limit; what is cancelled runs on machines that hang, hear nobody or reach nobody, and their owner ends. */
@@ -32,31 +32,33 @@
         w.submit("wk-web", "standing", 3, "production", true, false);
         w.submit("wk-old", "standing", 9, "standard", false, false);
         w.run(45_000);
-        assertThat(w.tasksOf("wk-web") + w.tasksOf("wk-old")).as("at its limit").isEqualTo(12);
+        assertThat(w.unfinishedTaskCount("wk-web") + w.unfinishedTaskCount("wk-old"))
+                .as("at its limit")
+                .isEqualTo(12);
         w.submit("wk-new", "standing", 9, "standard", false, false);
         w.run(4_000);
         FakeWorker m = w.workers.values().stream()
                 .filter(x -> x.tasks.values().stream().anyMatch(t -> t.key.startsWith("wk-old")))
                 .findFirst()
                 .orElseThrow();
-        int owner = w.owner(m);
+        int owner = w.ownerOf(m);
         w.workers.values().forEach(x -> {
-            x.hungUntil = trouble.equals("hang") ? w.now + 9_500 : 0;
-            x.deaf = trouble.equals("deaf");
-            x.mute = trouble.equals("mute");
+            x.hungUntilMs = trouble.equals("hang") ? w.nowMs + 9_500 : 0;
+            x.cannotReceive = trouble.equals("deaf");
+            x.cannotReport = trouble.equals("mute");
         });
-        assertThat(w.withdraw((owner + 1) % controllers, "wk-old")).isTrue();
+        assertThat(w.cancelAndWait((owner + 1) % controllers, "wk-old")).isTrue();
         w.crash(owner, 2_500 + w.random.nextInt(4_000));
         for (int i = 0; i < 20; i++) {
             w.run(1_000);
-            assertThat(w.broken).isEmpty();
+            assertThat(w.violations).isEmpty();
         }
         w.workers.values().forEach(x -> {
-            x.deaf = false;
-            x.mute = false;
+            x.cannotReceive = false;
+            x.cannotReport = false;
         });
         w.run(90_000);
-        assertThat(w.tasksOf("wk-new")).as("its room is used again").isEqualTo(9);
+        assertThat(w.unfinishedTaskCount("wk-new")).as("its room is used again").isEqualTo(9);
         endsWell(w, 1_000);
     }
 
@@ -70,20 +72,20 @@
             w.submit("wk-c" + i, "standing", 1 + i % 2, "standard", false, false);
         }
         w.run(40_000);
-        w.lateAnswers = 0.3;
-        w.straightMs = seed % 2 == 0 ? 2_000 : 0;
-        w.lostAnswers = 0.1;
+        w.lateResponseRate = 0.3;
+        w.directCommandDelayMs = seed % 2 == 0 ? 2_000 : 0;
+        w.lostTransactionReplyRate = 0.1;
         Random r = new Random(seed);
         for (int i = 0; i < 12; i++) {
             int node = r.nextInt(controllers);
             switch (i % 4) {
                 case 0 -> w.crash(node, 300 + r.nextInt(3_000));
                 case 1 -> {
-                    w.lagging[node] = true;
-                    w.at(w.now + 3_500, () -> w.lagging[node] = false);
+                    w.viewLagging[node] = true;
+                    w.schedule(w.nowMs + 3_500, () -> w.viewLagging[node] = false);
                 }
-                case 2 -> w.lateWrites = 0.2;
-                default -> w.lateWrites = 0;
+                case 2 -> w.lateTransactionRate = 0.2;
+                default -> w.lateTransactionRate = 0;
             }
             // Six seconds after its return a controller is given its shards back.
             w.run(r.nextInt(4_500));
@@ -91,21 +93,22 @@
             w.run(r.nextInt(4_000));
             w.workers.values().stream()
                     .filter(x -> r.nextInt(4) == 0)
-                    .forEach(x -> x.hungUntil = w.now + r.nextInt(9_500));
-            w.cancel("wk-c" + i);
-            w.cancel("wk-g" + i);
+                    .forEach(x -> x.hungUntilMs = w.nowMs + r.nextInt(9_500));
+            w.requestCancellation("wk-c" + i);
+            w.requestCancellation("wk-g" + i);
             w.run(400);
-            assertThat(w.broken).isEmpty();
+            assertThat(w.violations).isEmpty();
         }
-        w.lateAnswers = 0;
-        w.straightMs = 0;
-        w.lostAnswers = 0;
-        w.lateWrites = 0;
-        w.run(World.CANCEL_MS + 15_000);
+        w.lateResponseRate = 0;
+        w.directCommandDelayMs = 0;
+        w.lostTransactionReplyRate = 0;
+        w.lateTransactionRate = 0;
+        w.run(World.CANCEL_DEADLINE_MS + 15_000);
         for (int i = 0; i < 12; i++) {
-            assertThat(w.cancelled("wk-c" + i)).isTrue();
-            assertThat(w.tasksOf("wk-c" + i) + w.tasksOf("wk-g" + i)).isZero();
-            assertThat(w.state("wk-g" + i)).isIn("done", "cancelled");
+            assertThat(w.isCancelled("wk-c" + i)).isTrue();
+            assertThat(w.unfinishedTaskCount("wk-c" + i) + w.unfinishedTaskCount("wk-g" + i))
+                    .isZero();
+            assertThat(w.reportedState("wk-g" + i)).isIn("done", "cancelled");
         }
         endsWell(w, 10_000);
     }
@@ -115,10 +118,10 @@
     @CsvSource({"21, 3", "22, 3", "23, 7", "24, 3"})
     void machinesThatAreUpAtOnceAreNeitherUsedTwiceNorForgotten(long seed, int controllers) {
         World w = new World(seed, controllers, 30);
-        w.upAtOnce = true;
-        w.cloudSlowMs = 2_400;
-        w.lateWrites = 0.15;
-        w.storeSlowMs = 400;
+        w.fastBoot = true;
+        w.maxCloudReplyDelayMs = 2_400;
+        w.lateTransactionRate = 0.15;
+        w.maxExtraStoreDelayMs = 400;
         w.submit("wk-web", "standing", 3, "production", true, false);
         for (int i = 0; i < 10; i++) {
             w.submit("wk-a" + i, "sweep", 5, "standard", false, false);
@@ -134,16 +137,18 @@
                 w.crash(autoscaler, 1_500 + w.random.nextInt(3_000));
             }
             w.run(3_500);
-            assertThat(w.broken).isEmpty();
+            assertThat(w.violations).isEmpty();
         }
-        w.lateWrites = 0;
-        w.storeSlowMs = 0;
-        w.cloudSlowMs = 0;
+        w.lateTransactionRate = 0;
+        w.maxExtraStoreDelayMs = 0;
+        w.maxCloudReplyDelayMs = 0;
         w.run(40_000);
         for (int i = 0; i < 10; i++) {
-            assertThat(w.state("wk-a" + i)).isEqualTo("done");
+            assertThat(w.reportedState("wk-a" + i)).isEqualTo("done");
         }
-        assertThat(w.returnedWithWork).as("a machine with work was returned").isZero();
+        assertThat(w.machinesReturnedWithTasks)
+                .as("a machine with work was returned")
+                .isZero();
         endsWell(w, 120_000);
         assertThat(w.workers.size()).as("what nobody needs has gone back").isLessThanOrEqualTo(3);
     }
@@ -156,14 +161,14 @@
     @CsvSource({"61, 3", "62, 3", "63, 7"})
     void aMachineThatReachesNobodySoonGetsNoNewWorkAlthoughItHears(long seed, int controllers) {
         World w = new World(seed, controllers, 40);
-        w.keepsAll = true;
+        w.cloudRefusesDeletions = true;
         w.submit("wk-web", "standing", 6, "production", true, false);
         w.run(30_000);
         List<FakeWorker> mute = w.workers.values().stream()
                 .filter(m -> !m.tasks.isEmpty())
                 .limit(2)
                 .toList();
-        mute.forEach(m -> m.mute = true);
+        mute.forEach(m -> m.cannotReport = true);
         // While reports are not missed yet it may get some, by commands that it answers.
         for (int i = 0; i < 7; i++) {
             w.submit("wk-b" + i, "sweep", 4, "standard", false, false);
@@ -180,8 +185,10 @@
                         .containsEntry(m.name + " " + t.key, t.attempt));
             }
         }
-        assertThat(w.tasksOf("wk-web")).as("its tasks run elsewhere").isEqualTo(6);
-        mute.forEach(m -> m.mute = false);
+        assertThat(w.unfinishedTaskCount("wk-web"))
+                .as("its tasks run elsewhere")
+                .isEqualTo(6);
+        mute.forEach(m -> m.cannotReport = false);
         endsWell(w, 60_000);
     }
 
@@ -194,7 +201,7 @@
         w.submit("wk-tied", "standing", 6, "standard", false, true);
         w.submit("wk-row", "sweep", 20, "standard", false, true);
         for (int t = 0; t < 20; t++) {
-            w.runs.put("wk-row/" + t, 25_000L);
+            w.fixedRunTimesMs.put("wk-row/" + t, 25_000L);
         }
         w.run(30_000);
         Random r = new Random(seed);
@@ -205,9 +212,9 @@
                     .toList();
             for (FakeWorker m : busy) {
                 switch (r.nextInt(4)) {
-                    case 0 -> m.hungUntil = w.now + 14_000;
-                    case 1 -> m.mute = true;
-                    case 2 -> m.recallS = 12;
+                    case 0 -> m.hungUntilMs = w.nowMs + 14_000;
+                    case 1 -> m.cannotReport = true;
+                    case 2 -> m.reclaimNoticeS = 12;
                     default -> {}
                 }
             }
@@ -217,17 +224,17 @@
             }
             w.run(9_000);
             w.workers.values().forEach(m -> {
-                m.mute = false;
-                m.recallS = -1;
+                m.cannotReport = false;
+                m.reclaimNoticeS = -1;
             });
             w.run(6_000);
-            assertThat(w.broken).isEmpty();
+            assertThat(w.violations).isEmpty();
         }
         w.run(80_000);
-        assertThat(w.state("wk-row")).isEqualTo("done");
-        assertThat(w.tasksOf("wk-tied")).isEqualTo(6);
+        assertThat(w.reportedState("wk-row")).isEqualTo("done");
+        assertThat(w.unfinishedTaskCount("wk-tied")).isEqualTo(6);
         for (int i = 0; i < 6; i++) {
-            assertThat(w.state("wk-g" + i)).isEqualTo("done");
+            assertThat(w.reportedState("wk-g" + i)).isEqualTo("done");
         }
         endsWell(w, 1_000);
     }
@@ -238,33 +245,33 @@
     void tenChangesOfLeaderInTwoMinutesForgetNothing(long seed, int controllers, boolean outage) {
         World w = new World(seed, controllers, 24);
         w.submit("wk-web", "standing", 4, "production", true, false);
-        w.runs.put("wk-long/0", 90_000L);
-        w.runs.put("wk-long/1", 70_000L);
+        w.fixedRunTimesMs.put("wk-long/0", 90_000L);
+        w.fixedRunTimesMs.put("wk-long/1", 70_000L);
         w.submit("wk-long", "sweep", 2, "urgent", false, false);
         w.run(30_000);
         for (int i = 0; i < 10; i++) {
             w.submit("wk-s" + i, "sweep", 3, "standard", false, false);
             w.submit("wk-c" + i, "standing", 1, "standard", false, false);
             w.run(2_000 + w.random.nextInt(1_500));
-            int owner = w.owner(w.workers.values().iterator().next());
+            int owner = w.ownerOf(w.workers.values().iterator().next());
             w.crash(owner < 0 ? i % controllers : owner, 1_000 + w.random.nextInt(5_000));
-            w.cancel("wk-c" + i);
+            w.requestCancellation("wk-c" + i);
             if (outage && i == 4) {
-                w.store.outage(true, w.now);
+                w.store.setOutage(true, w.nowMs);
             }
             if (outage && i == 6) {
-                w.store.outage(false, w.now);
+                w.store.setOutage(false, w.nowMs);
             }
             w.run(8_500);
-            assertThat(w.broken).isEmpty();
+            assertThat(w.violations).isEmpty();
         }
         w.run(60_000);
         for (int i = 0; i < 10; i++) {
-            assertThat(w.state("wk-s" + i)).as("wk-s" + i).isEqualTo("done");
-            assertThat(w.cancelled("wk-c" + i)).isTrue();
+            assertThat(w.reportedState("wk-s" + i)).as("wk-s" + i).isEqualTo("done");
+            assertThat(w.isCancelled("wk-c" + i)).isTrue();
         }
         endsWell(w, 90_000);
-        assertThat(w.state("wk-long")).isEqualTo("done");
+        assertThat(w.reportedState("wk-long")).isEqualTo("done");
     }
 
     /** A controller and its workers are cut off from everybody for longer than a lease, and come back; users cancel through the others. */
@@ -278,21 +285,21 @@
             w.submit("wk-c" + i, "standing", 2, "standard", false, false);
         }
         w.run(40_000);
-        int node = w.owner(w.workers.values().iterator().next());
-        w.maroon(node);
+        int node = w.ownerOf(w.workers.values().iterator().next());
+        w.isolateWithWorkers(node);
         w.run(1_500);
         for (int i = 0; i < 4; i++) {
-            w.withdraw((node + 1) % controllers, "wk-c" + i);
+            w.cancelAndWait((node + 1) % controllers, "wk-c" + i);
         }
-        w.run(2 * World.LEASE_MS + 15_000);
-        assertThat(w.broken).isEmpty();
-        w.rescue();
-        w.run(World.CANCEL_MS);
+        w.run(2 * World.WORKER_LEASE_MS + 15_000);
+        assertThat(w.violations).isEmpty();
+        w.endIsolation();
+        w.run(World.CANCEL_DEADLINE_MS);
         for (int i = 0; i < 4; i++) {
-            assertThat(w.cancelled("wk-c" + i)).isTrue();
-            assertThat(w.tasksOf("wk-c" + i)).isZero();
+            assertThat(w.isCancelled("wk-c" + i)).isTrue();
+            assertThat(w.unfinishedTaskCount("wk-c" + i)).isZero();
         }
-        assertThat(w.tasksOf("wk-one")).isEqualTo(4);
+        assertThat(w.unfinishedTaskCount("wk-one")).isEqualTo(4);
         endsWell(w, 30_000);
     }
 
@@ -303,48 +310,48 @@
         // Leases outlast the time without an owner, so that whatever starts anew was ended by a copy.
         World w = new World(seed, controllers, 16, 20_000, 60_000);
         w.submit("wk-web", "standing", 3, "production", true, false);
-        w.runs.put("wk-long/0", 150_000L);
-        w.runs.put("wk-long/1", 140_000L);
-        w.keepsReports = true;
+        w.fixedRunTimesMs.put("wk-long/0", 150_000L);
+        w.fixedRunTimesMs.put("wk-long/1", 140_000L);
+        w.keepReports = true;
         // Else the autoscaler deletes what is silent while nobody is heard, and that starts elsewhere.
-        w.keepsAll = true;
+        w.cloudRefusesDeletions = true;
         w.submit("wk-arr", "sweep", 10, "standard", false, false);
         w.submit("wk-long", "sweep", 2, "urgent", false, false);
         w.run(32_000);
-        w.keepsReports = false;
+        w.keepReports = false;
         w.run(8_000);
-        int starts = w.starts;
+        int starts = w.taskStarts;
         for (int round = 0; round < 3; round++) {
-            int owner = w.owner(w.workers.values().iterator().next());
+            int owner = w.ownerOf(w.workers.values().iterator().next());
             w.crash(owner, 9_000);
-            java.util.Arrays.fill(w.fromWorkers, true);
+            java.util.Arrays.fill(w.cutOffFromWorkers, true);
             for (int i = 0; i < 8; i++) {
                 w.run(350);
-                w.copiesToAll();
+                w.replayKeptReportsToAll();
             }
-            java.util.Arrays.fill(w.fromWorkers, false);
+            java.util.Arrays.fill(w.cutOffFromWorkers, false);
             for (int i = 0; i < 8; i++) {
                 w.run(500);
-                w.copiesToAll();
+                w.replayKeptReportsToAll();
             }
             w.run(12_000);
-            assertThat(w.broken).isEmpty();
+            assertThat(w.violations).isEmpty();
         }
-        assertThat(w.starts).as("nothing was started anew").isEqualTo(starts);
+        assertThat(w.taskStarts).as("nothing was started anew").isEqualTo(starts);
         endsWell(w, 100_000);
-        assertThat(w.state("wk-long")).isEqualTo("done");
+        assertThat(w.reportedState("wk-long")).isEqualTo("done");
     }
 
     /** Message by message: after the takeover an old copy first, then the newest report, then a copy again. */
     @Test
     void anOlderReportAfterANewerOneIsNotTakenForTheStateOfItsMachine() {
         World w = new World(41, 3, 16);
-        w.never = 1;
+        w.neverReadyRate = 1;
         w.run(6_000);
         ScriptedWorker x = new ScriptedWorker(w, "x-1");
-        Map<String, Object> old = x.message(Map.of());
-        x.takes("wk-x", "standing");
-        Map<String, Object> runs = ScriptedWorker.shows("wk-x/0", 1, "running", null);
+        Map<String, Object> old = x.nextReport(Map.of());
+        x.submitAndAwaitClaim("wk-x", "standing");
+        Map<String, Object> runs = ScriptedWorker.taskReport("wk-x/0", 1, "running", null);
         for (int i = 0; i < 6; i++) {
             w.run(500);
             x.report(runs);
@@ -353,47 +360,47 @@
         for (int i = 0; i < 12; i++) {
             w.run(400);
             for (int k = 0; k < 3; k++) {
-                w.copy(k, old);
+                w.sendDuplicateReport(k, old);
             }
         }
-        x.finds();
-        w.copy(x.owner, old);
+        x.findOwner();
+        w.sendDuplicateReport(x.owner, old);
         w.run(300);
-        assertThat(x.holds("wk-x"))
+        assertThat(x.holdsClaim("wk-x"))
                 .as("a copy of before the start proves nothing")
                 .isTrue();
         assertThat(x.report(runs)).startsWith("200");
         w.run(600);
         assertThat(x.report(runs)).as("it has our term now").startsWith("200");
-        w.copy(x.owner, old);
+        w.sendDuplicateReport(x.owner, old);
         w.run(1_500);
-        assertThat(x.holds("wk-x")).as("older than what was shown").isTrue();
-        assertThat(w.broken).isEmpty();
+        assertThat(x.holdsClaim("wk-x")).as("older than what was shown").isTrue();
+        assertThat(w.violations).isEmpty();
     }
 
     /** Reaped before its end is written, a task would run again if its owner ended now: the report is the only proof. */
     @Test
     void anExitIsReapedOnlyOnceItsEndIsWritten() {
         World w = new World(42, 3, 16);
-        w.never = 1;
+        w.neverReadyRate = 1;
         w.run(6_000);
         ScriptedWorker x = new ScriptedWorker(w, "x-1");
-        x.takes("wk-x", "sweep");
+        x.submitAndAwaitClaim("wk-x", "sweep");
         w.run(500);
-        x.report(ScriptedWorker.shows("wk-x/0", 1, "running", null));
+        x.report(ScriptedWorker.taskReport("wk-x/0", 1, "running", null));
         w.run(500);
-        w.store.outage(true, w.now);
-        Map<String, Object> done = ScriptedWorker.shows("wk-x/0", 1, "exited", "done");
-        w.finished("wk-x/0");
+        w.store.setOutage(true, w.nowMs);
+        Map<String, Object> done = ScriptedWorker.taskReport("wk-x/0", 1, "exited", "done");
+        w.taskFinished("wk-x/0");
         for (int i = 0; i < 8; i++) {
             assertThat(x.report(done)).as("the end can't be written").isEqualTo("200");
             w.run(700);
         }
-        w.store.outage(false, w.now);
+        w.store.setOutage(false, w.nowMs);
         w.run(4_000);
-        x.finds();
+        x.findOwner();
         assertThat(x.report(done)).isEqualTo("200 reap wk-x/0");
-        assertThat(w.tell(1, "GET", "/v2/runs/wk-x", null)).isEqualTo("200 done");
-        assertThat(w.broken).isEmpty();
+        assertThat(w.requestAndWait(1, "GET", "/v2/runs/wk-x", null)).isEqualTo("200 done");
+        assertThat(w.violations).isEmpty();
     }
 }
--- a/src/test/java/birchusher/sim/MeetingsTest.java
+++ b/src/test/java/birchusher/sim/MeetingsTest.java
@@ -28,12 +28,12 @@
     /** Nothing is broken, all that was accepted is answered by everybody who is ready, and runs or is done. */
     private static void endsWell(World w, String... finite) {
         w.run(90_000);
-        assertThat(w.unanswered(10_000)).isEmpty();
-        assertThat(w.broken).isEmpty();
+        assertThat(w.unansweredJobs(10_000)).isEmpty();
+        assertThat(w.violations).isEmpty();
         for (String id : finite) {
-            assertThat(w.state(id)).as(id + "\n" + w.store.dump()).isEqualTo("done");
+            assertThat(w.reportedState(id)).as(id + "\n" + w.store.dump()).isEqualTo("done");
         }
-        assertThat(w.state("wk-web")).as(w.store.dump()).isEqualTo("running");
+        assertThat(w.reportedState("wk-web")).as(w.store.dump()).isEqualTo("running");
     }
 
     /** Meeting 1: transactions that get no answer and come after newer ones, with crashes and cancellations between. */
@@ -42,21 +42,21 @@
     void transactionsCarriedOutLateHarmNothing(long seed, int controllers) {
         World w = world(seed, controllers);
         w.run(20_000);
-        w.lateWrites = 0.15;
+        w.lateTransactionRate = 0.15;
         for (int i = 0; i < 8; i++) {
             w.submit("wk-s" + i, i % 2 == 0 ? "sweep" : "gang", 2 + i % 2, "standard", false, i % 2 == 1);
             w.submit("wk-c" + i, "standing", 2, "standard", false, false);
             w.run(5_000);
-            w.cancel("wk-c" + i);
+            w.requestCancellation("wk-c" + i);
             if (i % 3 == 0) {
                 w.crash(i % controllers, 300 + 700L * i);
             }
             w.run(3_000);
         }
-        w.lateWrites = 0;
+        w.lateTransactionRate = 0;
         w.run(20_000);
         for (int i = 0; i < 8; i++) {
-            assertThat(w.cancelled("wk-c" + i)).isTrue();
+            assertThat(w.isCancelled("wk-c" + i)).isTrue();
         }
         endsWell(w, "wk-arr", "wk-gang", "wk-s0", "wk-s1", "wk-s6", "wk-s7");
     }
@@ -66,28 +66,28 @@
     @CsvSource({"81, 3, false", "82, 7, false", "83, 3, true", "84, 7, true", "85, 3, true"})
     void transactionsWhoseAnswersAreLostAreNotDoneTwice(long seed, int controllers, boolean crashes) {
         World w = world(seed, controllers);
-        w.closeLooks = true;
-        w.cancelAtEnd = 0.3;
-        w.lostAnswers = 0.2;
+        w.recheckAtAllControllers = true;
+        w.cancelAtCompletionRate = 0.3;
+        w.lostTransactionReplyRate = 0.2;
         w.run(20_000);
         for (int i = 0; i < 8; i++) {
             w.submit("wk-s" + i, i % 2 == 0 ? "sweep" : "gang", 2 + i % 2, "standard", false, i % 2 == 1);
             w.submit("wk-c" + i, "standing", 2, "standard", false, false);
             w.run(5_000);
-            w.cancel("wk-c" + i);
+            w.requestCancellation("wk-c" + i);
             if (crashes && i % 2 == 0) {
                 w.crash(i % controllers, 300 + 700L * i);
             }
             w.run(3_000);
         }
         w.run(20_000);
-        w.lostAnswers = 0;
+        w.lostTransactionReplyRate = 0;
         w.run(15_000);
         for (int i = 0; i < 8; i++) {
-            assertThat(w.cancelled("wk-c" + i)).isTrue();
-            assertThat(w.state("wk-s" + i)).isIn("done", "cancelled");
+            assertThat(w.isCancelled("wk-c" + i)).isTrue();
+            assertThat(w.reportedState("wk-s" + i)).isIn("done", "cancelled");
         }
-        w.closeLooks = false;
+        w.recheckAtAllControllers = false;
         endsWell(w);
     }
 
@@ -99,15 +99,15 @@
         for (int lost = 0; lost < 2; lost++) {
             World w = new World(seed, 3, 40);
             w.run(12_000);
-            int before = w.rented;
+            int before = w.machineRented;
             w.submit("wk-arr", "sweep", 24, "standard", false, false);
             if (lost == 1) {
-                w.store.answerLostOf = "b/live/ask/";
+                w.store.loseReplyForKeyPrefix = "b/live/ask/";
             }
             w.run(9_000);
-            rented[lost] = w.rented - before;
-            assertThat(w.store.answerLostOf).as("it came").isNull();
-            assertThat(w.broken).isEmpty();
+            rented[lost] = w.machineRented - before;
+            assertThat(w.store.loseReplyForKeyPrefix).as("it came").isNull();
+            assertThat(w.violations).isEmpty();
         }
         assertThat(rented[1]).isPositive().isLessThanOrEqualTo(rented[0]);
     }
@@ -119,15 +119,15 @@
         World w = new World(seed, controllers, 60);
         w.submit("wk-wide", "sweep", 240, "standard", false, true);
         w.submit("wk-even", "sweep", 240, "standard", true, false);
-        w.store.zoned.addAll(List.of("wk-wide", "wk-even"));
+        w.store.jobsWithZoneRules.addAll(List.of("wk-wide", "wk-even"));
         w.run(10_000);
-        w.lateWrites = 0.1;
+        w.lateTransactionRate = 0.1;
         w.run(60_000);
-        w.lateWrites = 0;
+        w.lateTransactionRate = 0;
         w.run(150_000);
-        assertThat(w.broken).isEmpty();
-        assertThat(w.state("wk-wide")).isEqualTo("done");
-        assertThat(w.state("wk-even")).isEqualTo("done");
+        assertThat(w.violations).isEmpty();
+        assertThat(w.reportedState("wk-wide")).isEqualTo("done");
+        assertThat(w.reportedState("wk-even")).isEqualTo("done");
     }
 
     /** Seen on a day of late writes: lost tasks of an array in many rows, on machines of all shards, in one claim. */
@@ -143,11 +143,11 @@
         for (int i = 0; i < 4; i++) {
             w.workers.values().stream()
                     .filter(m -> w.random.nextInt(3) == 0)
-                    .forEach(m -> m.hungUntil = w.now + 14_000);
-            w.lateWrites = 0.1;
+                    .forEach(m -> m.hungUntilMs = w.nowMs + 14_000);
+            w.lateTransactionRate = 0.1;
             w.run(25_000);
         }
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
     }
 
     /** Meeting 3: the reply to a direct command overtakes an answer that starts a task, and does not show it. */
@@ -156,7 +156,7 @@
     void anAnswerHeldUpStartsNothingThatRunsElsewhere(long seed, int controllers) {
         World w = world(seed, controllers);
         Random r = new Random(seed);
-        w.lateAnswers = 0.5;
+        w.lateResponseRate = 0.5;
         w.run(15_000);
         for (int i = 0; i < 14; i++) {
             w.submit("wk-g" + i, "gang", 3, "urgent", false, false);
@@ -164,16 +164,16 @@
             w.run(1_000 + r.nextInt(3_000));
             List<FakeWorker> all = List.copyOf(w.workers.values());
             FakeWorker m = all.get(r.nextInt(all.size()));
-            m.recallS = 20;
+            m.reclaimNoticeS = 20;
             w.run(r.nextInt(2_000));
             if (i % 4 == 0) {
-                all.get(r.nextInt(all.size())).hungUntil = w.now + r.nextInt(9_000);
+                all.get(r.nextInt(all.size())).hungUntilMs = w.nowMs + r.nextInt(9_000);
             }
             w.run(r.nextInt(3_000));
-            assertThat(w.broken).isEmpty();
+            assertThat(w.violations).isEmpty();
         }
-        w.workers.values().forEach(m -> m.recallS = -1);
-        w.lateAnswers = 0;
+        w.workers.values().forEach(m -> m.reclaimNoticeS = -1);
+        w.lateResponseRate = 0;
         w.run(60_000);
         endsWell(w, "wk-arr", "wk-gang", "wk-g13", "wk-s13");
     }
@@ -182,37 +182,40 @@
     @Test
     void aStartInAnAnswerThatMayStillBeCarriedOutKeepsItsClaim() {
         World w = new World(31, 3, 16);
-        w.never = 1;
+        w.neverReadyRate = 1;
         w.run(6_000);
         ScriptedWorker x = new ScriptedWorker(w, "x-1");
-        x.takes("wk-y", "standing");
-        x.takes("wk-x", "standing");
+        x.submitAndAwaitClaim("wk-y", "standing");
+        x.submitAndAwaitClaim("wk-x", "standing");
         w.run(300);
         String told = x.report();
         assertThat(told)
                 .as("a direct command is still unanswered, so the start goes with the answer")
                 .contains("start wk-x/0");
-        assertThat(w.tell(x.owner, "POST", "/v2/runs/wk-x/withdraw", null)).startsWith("200 cancelled");
+        assertThat(w.requestAndWait(x.owner, "POST", "/v2/runs/wk-x/withdraw", null))
+                .startsWith("200 cancelled");
         w.run(200);
         x.report();
         w.run(900);
-        assertThat(x.holds("wk-x")).as("the answer may still be on its way").isTrue();
+        assertThat(x.holdsClaim("wk-x"))
+                .as("the answer may still be on its way")
+                .isTrue();
         for (int i = 0; i < 12; i++) {
             w.run(500);
             x.report();
         }
         assertThat(w.store.dump()).doesNotContain("b/live/place/wk-x/");
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
     }
 
     /** Meeting 2: what a copy told of a notice counts from its arrival; the machine itself knows better. */
     @Test
     void aNoticeEndsWhenTheLaterReportSays() {
         World w = new World(32, 3, 16);
-        w.never = 1;
+        w.neverReadyRate = 1;
         w.run(6_000);
         ScriptedWorker x = new ScriptedWorker(w, "x-1");
-        x.takes("wk-y", "sweep");
+        x.submitAndAwaitClaim("wk-y", "sweep");
         w.run(300);
         assertThat(x.report(Map.of(
                         "pieces",
@@ -232,27 +235,27 @@
     @CsvSource({"41, 3", "42, 3", "43, 7"})
     void oldReportsAfterATakeoverEndNothing(long seed, int controllers) {
         World w = world(seed, controllers);
-        w.runs.put("wk-long/0", 120_000L);
-        w.runs.put("wk-long/1", 110_000L);
+        w.fixedRunTimesMs.put("wk-long/0", 120_000L);
+        w.fixedRunTimesMs.put("wk-long/1", 110_000L);
         w.submit("wk-long", "sweep", 2, "urgent", false, false);
         w.run(40_000);
         Map<String, Map<String, Object>> copies = new java.util.LinkedHashMap<>();
         w.workers.values().forEach(m -> copies.put(m.name, m.report()));
         w.run(15_000);
-        int starts = w.reruns;
+        int starts = w.rerunsOfFinishedTasks;
         for (int round = 0; round < 3; round++) {
             w.crash(round % controllers, 4_000);
             for (int i = 0; i < 12; i++) {
                 w.run(500);
                 for (Map<String, Object> c : copies.values()) {
                     for (int node = 0; node < controllers; node++) {
-                        w.copy(node, c);
+                        w.sendDuplicateReport(node, c);
                     }
                 }
             }
         }
         w.run(60_000);
-        assertThat(w.reruns).isEqualTo(starts);
+        assertThat(w.rerunsOfFinishedTasks).isEqualTo(starts);
         endsWell(w, "wk-long", "wk-arr", "wk-gang");
     }
 
@@ -262,21 +265,21 @@
     void aSlowStateServiceThatRefusesOneForgetsNoJob(long seed, int controllers) {
         World w = world(seed, controllers);
         w.run(30_000);
-        w.storeSlowMs = 1_500;
+        w.maxExtraStoreDelayMs = 1_500;
         w.run(8_000);
-        w.refused[(int) seed % controllers] = true;
+        w.refusedByStore[(int) seed % controllers] = true;
         w.submit("wk-more", "sweep", 6, "standard", false, false);
         w.submit("wk-gone", "standing", 2, "standard", false, false);
         w.run(10_000);
         w.crash((int) (seed + 1) % controllers, 3_000);
         w.run(9_000);
-        w.cancel("wk-gone");
+        w.requestCancellation("wk-gone");
         w.run(25_000);
-        assertThat(w.unanswered(20_000)).as("slow as it is").isEmpty();
-        w.refused[(int) seed % controllers] = false;
-        w.storeSlowMs = 0;
+        assertThat(w.unansweredJobs(20_000)).as("slow as it is").isEmpty();
+        w.refusedByStore[(int) seed % controllers] = false;
+        w.maxExtraStoreDelayMs = 0;
         w.run(10_000);
-        assertThat(w.cancelled("wk-gone")).isTrue();
+        assertThat(w.isCancelled("wk-gone")).isTrue();
         endsWell(w, "wk-more", "wk-arr", "wk-gang");
     }
 
@@ -288,7 +291,7 @@
         for (int k = 0; k < 4; k++) {
             int n = 2 + k % 2;
             for (int t = 0; t < n; t++) {
-                w.runs.put("wk-far" + k + "/" + t, t == n - 1 ? 70_000L : 4_000L + 900 * k);
+                w.fixedRunTimesMs.put("wk-far" + k + "/" + t, t == n - 1 ? 70_000L : 4_000L + 900 * k);
             }
             w.submit("wk-far" + k, "sweep", n, "urgent", false, false);
         }
@@ -301,7 +304,7 @@
             w.run(2_300 + 1_100 * i);
         }
         for (int k = 0; k < 4; k++) {
-            assertThat(w.state("wk-far" + k))
+            assertThat(w.reportedState("wk-far" + k))
                     .as("the last one has still to run")
                     .isNotEqualTo("done");
         }
@@ -310,7 +313,9 @@
             // Nobody's lease ended: every end was reported, and none is asked for again. Else an end may be lost with
             // its session, and
             // its task started once more; it then exits at once.
-            assertThat(w.reruns).as("what was done does not run again").isZero();
+            assertThat(w.rerunsOfFinishedTasks)
+                    .as("what was done does not run again")
+                    .isZero();
         }
         endsWell(w, "wk-far0", "wk-far1", "wk-far2", "wk-far3", "wk-arr", "wk-gang");
     }
@@ -320,24 +325,24 @@
     @CsvSource({"71, 3, true", "72, 3, false", "73, 7, true", "74, 7, false"})
     void longTasksOnMachinesThatCantBeReachedAsTheirOwnerEnds(long seed, int controllers, boolean deaf) {
         World w = world(seed, controllers);
-        w.runs.put("wk-long/0", 60_000L);
-        w.runs.put("wk-long/1", 60_000L);
-        w.runs.put("wk-long/2", 60_000L);
+        w.fixedRunTimesMs.put("wk-long/0", 60_000L);
+        w.fixedRunTimesMs.put("wk-long/1", 60_000L);
+        w.fixedRunTimesMs.put("wk-long/2", 60_000L);
         w.submit("wk-long", "sweep", 3, "urgent", false, false);
         w.run(30_000);
         FakeWorker m = w.workers.values().stream()
                 .filter(x -> x.tasks.values().stream().anyMatch(t -> t.key.startsWith("wk-long")))
                 .findFirst()
                 .orElseThrow();
-        int owner = w.owner(m);
-        w.workers.values().stream().filter(x -> x.node == owner).forEach(x -> {
-            x.deaf = deaf;
-            x.hungUntil = deaf ? 0 : w.now + 9_000;
+        int owner = w.ownerOf(m);
+        w.workers.values().stream().filter(x -> x.controllerIndex == owner).forEach(x -> {
+            x.cannotReceive = deaf;
+            x.hungUntilMs = deaf ? 0 : w.nowMs + 9_000;
         });
         w.crash(owner, 20_000);
         w.run(9_200);
         w.run(20_000);
-        w.workers.values().forEach(x -> x.deaf = false);
+        w.workers.values().forEach(x -> x.cannotReceive = false);
         w.run(100_000);
         endsWell(w, "wk-long", "wk-arr", "wk-gang");
     }
@@ -352,7 +357,7 @@
     /** For searches by hand: {@code -Dmeet.from=1000 -Dmeet.seeds=500}. */
     @Test
     void aSearchOverSeedsByHand() {
-        SeedSearch.over("meet", MeetingsTest::drawn);
+        SeedSearch.forEachSeed("meet", MeetingsTest::drawn);
     }
 
     private static void drawn(long seed) {
@@ -360,16 +365,16 @@
         World w = world(seed, controllers);
         Random r = new Random(seed * 29);
         for (int k = 0; k < 3; k++) {
-            w.runs.put("wk-far" + k + "/1", 60_000L + r.nextInt(60_000));
+            w.fixedRunTimesMs.put("wk-far" + k + "/1", 60_000L + r.nextInt(60_000));
             w.submit("wk-far" + k, "sweep", 2, "standard", false, false);
         }
         w.run(20_000);
-        w.loss = 0.005;
-        w.lateWrites = r.nextInt(3) * 0.06;
-        w.lateAnswers = r.nextInt(3) * 0.2;
-        w.copies = r.nextInt(3) * 0.2;
-        w.lateRecords = r.nextInt(2) * 0.05;
-        w.straightMs = r.nextInt(4) == 0 ? 2_500 : 0;
+        w.messageLossRate = 0.005;
+        w.lateTransactionRate = r.nextInt(3) * 0.06;
+        w.lateResponseRate = r.nextInt(3) * 0.2;
+        w.duplicateReportRate = r.nextInt(3) * 0.2;
+        w.duplicatePeerRecordRate = r.nextInt(2) * 0.05;
+        w.directCommandDelayMs = r.nextInt(4) == 0 ? 2_500 : 0;
         for (int step = 0; step < 22; step++) {
             w.run(1_000 + r.nextInt(6_000));
             int node = r.nextInt(controllers);
@@ -384,67 +389,67 @@
                     }
                 }
                 case 2 -> {
-                    w.lonely(node, true);
+                    w.setIsolated(node, true);
                     w.run(r.nextInt(6_000));
                     cancelOne(w, "wk-c" + step, r);
                     w.run(r.nextInt(25_000));
-                    w.lonely(node, false);
+                    w.setIsolated(node, false);
                 }
                 case 3, 4 -> {
-                    w.refused[node] = true;
+                    w.refusedByStore[node] = true;
                     w.run(r.nextInt(3_500));
                     cancelOne(w, "wk-c" + step, r);
                     w.run(r.nextInt(2_500));
-                    w.store.outage(true, w.now);
+                    w.store.setOutage(true, w.nowMs);
                     w.run(r.nextInt(10_000));
-                    w.refused[node] = r.nextBoolean();
+                    w.refusedByStore[node] = r.nextBoolean();
                     if (r.nextInt(3) == 0) {
                         w.crash(other, 50 + r.nextInt(3_000));
                     }
                     w.run(r.nextInt(40_000));
-                    w.store.outage(false, w.now);
+                    w.store.setOutage(false, w.nowMs);
                     w.run(r.nextInt(3_000));
-                    w.refused[node] = false;
+                    w.refusedByStore[node] = false;
                 }
                 case 5 -> {
                     if (m != null) {
-                        m.deaf = !m.deaf;
+                        m.cannotReceive = !m.cannotReceive;
                     }
                 }
                 case 6 -> {
                     if (m != null) {
-                        m.hungUntil = w.now + r.nextInt(25_000);
+                        m.hungUntilMs = w.nowMs + r.nextInt(25_000);
                     }
                 }
                 case 7 -> {
                     if (m != null) {
-                        m.recallS = m.recallS < 0 ? 15 : -1;
+                        m.reclaimNoticeS = m.reclaimNoticeS < 0 ? 15 : -1;
                     }
                 }
-                case 8 -> w.cutOneWay(node, other, r.nextBoolean());
-                case 9 -> w.still(node, r.nextInt(9_000));
+                case 8 -> w.setOneWayPeerLinkDown(node, other, r.nextBoolean());
+                case 9 -> w.pause(node, r.nextInt(9_000));
                 case 10 -> {
-                    w.storeSlowMs = r.nextBoolean() ? 0 : 1_200;
+                    w.maxExtraStoreDelayMs = r.nextBoolean() ? 0 : 1_200;
                     w.submit("wk-g" + step, "gang", 1 + r.nextInt(3), "urgent", false, r.nextBoolean());
                 }
                 default -> cancelOne(w, "wk-c" + step, r);
             }
         }
-        w.loss = 0;
-        w.lateWrites = 0;
-        w.lateAnswers = 0;
-        w.copies = 0;
-        w.lateRecords = 0;
-        w.straightMs = 0;
-        w.storeSlowMs = 0;
+        w.messageLossRate = 0;
+        w.lateTransactionRate = 0;
+        w.lateResponseRate = 0;
+        w.duplicateReportRate = 0;
+        w.duplicatePeerRecordRate = 0;
+        w.directCommandDelayMs = 0;
+        w.maxExtraStoreDelayMs = 0;
         for (int a = 0; a < controllers; a++) {
             for (int b = 0; b < controllers; b++) {
-                w.cutOneWay(a, b, false);
+                w.setOneWayPeerLinkDown(a, b, false);
             }
         }
         w.workers.values().forEach(x -> {
-            x.deaf = false;
-            x.recallS = -1;
+            x.cannotReceive = false;
+            x.reclaimNoticeS = -1;
         });
         w.run(60_000);
         endsWell(w, "wk-arr", "wk-gang", "wk-far0", "wk-far1", "wk-far2");
@@ -453,6 +458,6 @@
     private static void cancelOne(World w, String id, Random r) {
         w.submit(id, r.nextBoolean() ? "standing" : "gang", 1 + r.nextInt(3), "urgent", false, false);
         w.run(r.nextInt(12_000));
-        w.cancel(id);
+        w.requestCancellation(id);
     }
 }
--- a/src/test/java/birchusher/sim/OddRequestsTest.java
+++ b/src/test/java/birchusher/sim/OddRequestsTest.java
@@ -36,7 +36,7 @@
     }
 
     private static Map<String, Object> body(String id) {
-        return new LinkedHashMap<>(World.body(id, "sweep", 1, "red"));
+        return new LinkedHashMap<>(World.submission(id, "sweep", 1, "red"));
     }
 
     /** Each required field once missing, once null, once of the wrong kind. */
@@ -71,15 +71,15 @@
         int[] node = {0};
         malformed()
                 .forEach((field, bodies) -> bodies.forEach(b -> {
-                    assertThat(w.tell(node[0]++ % 3, "POST", "/v2/runs", b))
+                    assertThat(w.requestAndWait(node[0]++ % 3, "POST", "/v2/runs", b))
                             .as(field + " of " + b)
                             .startsWith("400 ")
                             .contains(field);
                 }));
-        assertThat(w.tell(0, "POST", "/v2/runs", body("wk-fine"))).startsWith("201");
+        assertThat(w.requestAndWait(0, "POST", "/v2/runs", body("wk-fine"))).startsWith("201");
         w.run(2_000);
         assertThat(w.store.dump()).contains("job/wk-fine").doesNotContain("job/wk-m");
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
     }
 
     @Test
@@ -101,7 +101,9 @@
                 gang(17L));
         never.forEach((word, b) -> {
             for (int i = 0; i < 3; i++) {
-                assertThat(w.tell(i, "POST", "/v2/runs", b)).startsWith("422 ").contains(word);
+                assertThat(w.requestAndWait(i, "POST", "/v2/runs", b))
+                        .startsWith("422 ")
+                        .contains(word);
             }
         });
         assertThat(w.store.dump()).doesNotContain("job/wk-never");
@@ -124,24 +126,24 @@
     void whereTheViewIsNotFreshTheAnswerIsTryAgainAtOnce() {
         World w = new World(3, 3, 16);
         w.run(10_000);
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         w.run(3_000);
         List<Map<String, Object>> odd = List.of(with("crew", "nobody"), with("shape", 3L), with("cores", 400.0));
         for (Map<String, Object> b : odd) {
             for (int i = 0; i < 3; i++) {
-                long asked = w.now;
-                assertThat(w.tell(i, "POST", "/v2/runs", b)).isEqualTo("503");
-                assertThat(w.now - asked).isLessThanOrEqualTo(50);
+                long asked = w.nowMs;
+                assertThat(w.requestAndWait(i, "POST", "/v2/runs", b)).isEqualTo("503");
+                assertThat(w.nowMs - asked).isLessThanOrEqualTo(50);
             }
         }
-        w.store.outage(false, w.now);
+        w.store.setOutage(false, w.nowMs);
         w.run(3_000);
         // Just restarted, it knows neither jobs nor machine types.
         w.crash(0, 200);
         for (int i = 0; i < 40; i++) {
             w.run(50);
             for (Map<String, Object> b : odd) {
-                String got = w.tell(0, "POST", "/v2/runs", b);
+                String got = w.requestAndWait(0, "POST", "/v2/runs", b);
                 assertThat(got == null || got.startsWith("503") || got.startsWith("400 ") || got.startsWith("422 "))
                         .as(got)
                         .isTrue();
--- a/src/test/java/birchusher/sim/OperatorsTest.java
+++ b/src/test/java/birchusher/sim/OperatorsTest.java
@@ -31,17 +31,17 @@
                 w.crash(w.random.nextInt(controllers), 200);
             }
             case OUTAGE -> {
-                w.store.outage(true, w.now);
+                w.store.setOutage(true, w.nowMs);
                 w.run(12_000);
-                w.store.outage(false, w.now);
+                w.store.setOutage(false, w.nowMs);
             }
             default -> {}
         }
     }
 
     private static void answeredAndWell(World w) {
-        assertThat(w.unanswered(10_000)).isEmpty();
-        assertThat(w.broken).isEmpty();
+        assertThat(w.unansweredJobs(10_000)).isEmpty();
+        assertThat(w.violations).isEmpty();
     }
 
     /** A third of all machines never comes up and the rest takes twice as long: work is done, and not much more is rented than that. */
@@ -49,8 +49,8 @@
     @CsvSource({"301, 3, NOTHING", "302, 3, CRASH", "303, 7, OUTAGE"})
     void machinesThatComeLateOrNeverAreReplacedAndNotTwice(long seed, int controllers, With with) {
         World w = new World(seed, controllers, 60);
-        w.never = 0.33;
-        w.slowBoots = 2;
+        w.neverReadyRate = 0.33;
+        w.bootTimeFactor = 2;
         for (int i = 0; i < 4; i++) {
             w.submit("wk-web" + i, "standing", 6, "production", true, false);
         }
@@ -59,11 +59,11 @@
         along(w, with, controllers);
         w.run(130_000);
         for (int i = 0; i < 4; i++) {
-            assertThat(w.state("wk-web" + i)).isEqualTo("running");
+            assertThat(w.reportedState("wk-web" + i)).isEqualTo("running");
         }
-        assertThat(w.state("wk-arr")).isEqualTo("done");
+        assertThat(w.reportedState("wk-arr")).isEqualTo("done");
         // Ten machines hold all of it; a third of those rented never came.
-        assertThat(w.rented).isLessThan(40);
+        assertThat(w.machineRented).isLessThan(40);
         answeredAndWell(w);
     }
 
@@ -74,16 +74,16 @@
         World w = new World(seed, controllers, 60);
         w.submit("wk-web", "standing", 20, "production", true, false);
         for (int i = 0; i < 4; i++) {
-            w.mistaken.add("wk-bad" + i);
+            w.failingJobs.add("wk-bad" + i);
             w.submit("wk-bad" + i, i == 3 ? "gang" : "sweep", i == 3 ? 2 : 20, "standard", false, false);
         }
         w.submit("wk-arr", "sweep", 30, "standard", false, false);
         w.run(30_000);
         along(w, with, controllers);
         w.run(60_000);
-        assertThat(w.state("wk-arr")).isEqualTo("done");
-        assertThat(w.state("wk-web")).isEqualTo("running");
-        assertThat(w.errors).as("errors of 62 tasks in 90 s").isBetween(8, 140);
+        assertThat(w.reportedState("wk-arr")).isEqualTo("done");
+        assertThat(w.reportedState("wk-web")).isEqualTo("running");
+        assertThat(w.taskErrors).as("errors of 62 tasks in 90 s").isBetween(8, 140);
         // A machine that is given up takes its replicas with it.
         assertThat(w.store
                         .dump()
@@ -93,11 +93,11 @@
                         .orElseThrow())
                 .contains("r=0");
         for (int i = 0; i < 4; i++) {
-            w.cancel("wk-bad" + i);
+            w.requestCancellation("wk-bad" + i);
         }
         w.run(20_000);
         for (int i = 0; i < 4; i++) {
-            assertThat(w.cancelled("wk-bad" + i)).isTrue();
+            assertThat(w.isCancelled("wk-bad" + i)).isTrue();
         }
         answeredAndWell(w);
     }
@@ -109,16 +109,16 @@
         World w = new World(seed, controllers, 200);
         w.submit("wk-web", "standing", 5, "production", false, false);
         w.run(40_000);
-        int before = w.rented;
+        int before = w.machineRented;
         w.submit("wk-guest", "sweep", 12, "low", false, false).put("crew", "guests");
         along(w, with, controllers);
         w.run(60_000);
-        assertThat(w.rented).as("rented for guests").isEqualTo(before);
+        assertThat(w.machineRented).as("rented for guests").isEqualTo(before);
         w.submit("wk-own", "sweep", 8, "standard", false, false);
         w.run(120_000);
-        assertThat(w.state("wk-own")).isEqualTo("done");
+        assertThat(w.reportedState("wk-own")).isEqualTo("done");
         w.run(150_000);
-        assertThat(w.state("wk-guest")).as("not starved").isEqualTo("done");
+        assertThat(w.reportedState("wk-guest")).as("not starved").isEqualTo("done");
         answeredAndWell(w);
     }
 
@@ -129,26 +129,26 @@
         World w = new World(seed, controllers, 120);
         w.submit("wk-web", "standing", 4, "production", false, false);
         w.run(30_000);
-        int rows = w.store.written;
+        int rows = w.store.rowsWritten;
         for (int i = 0; i < 100; i++) {
             w.submit("wk-one" + i, "sweep", 1, "low", false, false);
         }
         w.run(3_000);
         along(w, with, controllers);
         w.run(8_000);
-        int reads = w.store.gets;
+        int reads = w.store.rowReads;
         for (int i = 0; i < 300; i++) {
-            w.tell(i % controllers, "GET", "/v2/runs/wk-never" + i, null);
+            w.requestAndWait(i % controllers, "GET", "/v2/runs/wk-never" + i, null);
         }
-        assertThat(w.store.gets - reads).as("reads for 300 unknown ids").isLessThan(30);
+        assertThat(w.store.rowReads - reads).as("reads for 300 unknown ids").isLessThan(30);
         w.submit("wk-late", "standing", 1, "production", false, false);
         w.run(20_000);
-        assertThat(w.state("wk-late")).as("in the midst of it").isEqualTo("running");
+        assertThat(w.reportedState("wk-late")).as("in the midst of it").isEqualTo("running");
         w.run(90_000);
         for (int i = 0; i < 100; i++) {
-            assertThat(w.state("wk-one" + i)).isEqualTo("done");
+            assertThat(w.reportedState("wk-one" + i)).isEqualTo("done");
         }
-        assertThat(w.store.written - rows).as("rows for 100 jobs").isLessThan(100 * 8);
+        assertThat(w.store.rowsWritten - rows).as("rows for 100 jobs").isLessThan(100 * 8);
         answeredAndWell(w);
     }
 }
--- a/src/test/java/birchusher/sim/ProcessWorld.java
+++ b/src/test/java/birchusher/sim/ProcessWorld.java
@@ -26,53 +26,53 @@
  * thread, and the rules are checked from their records alone.
  */
 final class ProcessWorld extends World implements AutoCloseable {
-    private static final int MAX_BODY = 1 << 20;
-    private static final int HELLO_MS = 4_000;
-    private static final int POLL_MS = 2_000;
-    private static final int SUBMIT_MS = 5_000;
-    private static final long START_MS = 1_000;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int REPORT_TIMEOUT_MS = 4_000;
+    private static final int POLL_TIMEOUT_MS = 2_000;
+    private static final int SUBMIT_TIMEOUT_MS = 5_000;
+    private static final long INITIAL_TIME_MS = 1_000;
     private static final int FIRST_PORT = 10_000;
-    private static final int PORTS = 20_000;
+    private static final int PORT_COUNT = 20_000;
     /** Given out in this process; no two worlds share one. */
-    private static final Set<Integer> TAKEN = new HashSet<>();
+    private static final Set<Integer> RESERVED_PORTS = new HashSet<>();
 
     private final Path dir;
     private final EventLoop events = new EventLoop();
     private final HttpClient client = new HttpClient(events, 4_000);
     private final List<HttpServer> servers = new ArrayList<>();
     private final Process[] processes;
-    private final int[] listen;
-    private final int[] mesh;
-    private final int[] cloud;
-    private final int[] state;
+    private final int[] listenPorts;
+    private final int[] peerPorts;
+    private final int[] cloudPorts;
+    private final int[] storePorts;
     private final int[][] proxyPorts;
-    private final List<HoldingProxy> proxies = new ArrayList<>();
-    private final long startedAt = EventLoop.nowMs();
+    private final List<DelayingProxy> proxies = new ArrayList<>();
+    private final long startedAtMs = EventLoop.nowMs();
     private boolean advancing;
     /** Controllers started, kills included. */
-    int boots;
+    int controllerStarts;
 
     ProcessWorld(long seed, int controllers, int teamLimit, Path dir) throws IOException {
         super(seed, controllers, teamLimit);
         this.dir = Files.createDirectories(dir);
         processes = new Process[controllers];
-        listen = ports(controllers);
-        mesh = ports(controllers);
-        cloud = ports(controllers);
-        state = ports(controllers);
+        listenPorts = reservePorts(controllers);
+        peerPorts = reservePorts(controllers);
+        cloudPorts = reservePorts(controllers);
+        storePorts = reservePorts(controllers);
         proxyPorts = new int[controllers][];
         for (int i = 0; i < controllers; i++) {
-            proxyPorts[i] = ports(controllers);
+            proxyPorts[i] = reservePorts(controllers);
         }
         for (int i = 0; i < controllers; i++) {
             int node = i;
-            serve(
-                    cloud[i],
+            startServer(
+                    cloudPorts[i],
                     (method, path, body, back) ->
-                            inbound(node, Effect.Destination.CLOUD, "cloud:1", method, path, body, back));
-            serve(
-                    state[i],
-                    (method, path, body, back) -> inbound(
+                            forwardRequest(node, Effect.Destination.CLOUD, "cloud:1", method, path, body, back));
+            startServer(
+                    storePorts[i],
+                    (method, path, body, back) -> forwardRequest(
                             node,
                             path.startsWith("/watch") ? Effect.Destination.WATCH : Effect.Destination.STORE,
                             "state:1",
@@ -82,28 +82,28 @@
                             back));
             for (int k = 0; k < controllers; k++) {
                 if (k != i) {
-                    proxies.add(new HoldingProxy(proxyPorts[i][k], mesh[k]));
+                    proxies.add(new DelayingProxy(proxyPorts[i][k], peerPorts[k]));
                 }
             }
         }
         for (int i = 0; i < controllers; i++) {
-            Files.writeString(dir.resolve("perch-" + i + ".json"), json(i));
-            spawn(i);
+            Files.writeString(dir.resolve("perch-" + i + ".json"), settingsJson(i));
+            startProcess(i);
         }
     }
 
-    private interface Service {
+    private interface RequestHandler {
         void handle(
                 String method, String path, Map<String, Object> body, BiConsumer<Integer, Map<String, Object>> back);
     }
 
-    private static synchronized int[] ports(int n) {
+    private static synchronized int[] reservePorts(int n) {
         Random random = new Random();
         int[] ports = new int[n];
         for (int i = 0; i < n; ) {
-            int port = FIRST_PORT + random.nextInt(PORTS);
+            int port = FIRST_PORT + random.nextInt(PORT_COUNT);
             try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                if (TAKEN.add(port)) {
+                if (RESERVED_PORTS.add(port)) {
                     ports[i++] = probe.getLocalPort();
                 }
             } catch (IOException e) {
@@ -114,10 +114,10 @@
         return ports;
     }
 
-    private void serve(int port, Service service) throws IOException {
+    private void startServer(int port, RequestHandler service) throws IOException {
         HttpServer[] server = new HttpServer[1];
-        server[0] = new HttpServer(events, "127.0.0.1", port, 200, MAX_BODY, (exchange, method, target, body) -> {
-            advance();
+        server[0] = new HttpServer(events, "127.0.0.1", port, 200, MAX_BODY_BYTES, (exchange, method, target, body) -> {
+            advanceToRealTime();
             Map<String, Object> map = body.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(body), "body");
             service.handle(
                     method,
@@ -129,7 +129,7 @@
         servers.add(server[0]);
     }
 
-    private void inbound(
+    private void forwardRequest(
             int node,
             Effect.Destination target,
             String address,
@@ -138,10 +138,10 @@
             Map<String, Object> body,
             BiConsumer<Integer, Map<String, Object>> back) {
         Effect.Call call = new Effect.Call(0, target, address, method, path, null, 0);
-        long sentAt = now;
+        long sentAt = nowMs;
         transport(node, call, body, (status, answer) -> {
             if (node >= 0) {
-                keepsSeat(node, call, status, sentAt);
+                recordMemberLease(node, call, status, sentAt);
             }
             back.accept(status, answer);
         });
@@ -152,7 +152,7 @@
     @Override
     void startControllers() {}
 
-    private void spawn(int i) {
+    private void startProcess(int i) {
         List<String> command = List.of(
                 ProcessHandle.current().info().command().orElse("java"),
                 "-Xmx110m",
@@ -172,7 +172,7 @@
         builder.environment().put("LOG_LEVEL", "info");
         try {
             processes[i] = builder.start();
-            boots++;
+            controllerStarts++;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -182,22 +182,22 @@
     @Override
     void crash(int i, long ms) {
         processes[i].destroyForcibly();
-        at(now + ms, () -> {
+        schedule(nowMs + ms, () -> {
             if (!processes[i].isAlive()) {
-                spawn(i);
+                startProcess(i);
             }
         });
     }
 
     /** A controller stands still for so long while its clocks run on. */
     @Override
-    void still(int i, long ms) {
+    void pause(int i, long ms) {
         Process process = processes[i];
-        signal(process, "-STOP");
-        at(now + ms, () -> signal(process, "-CONT"));
+        sendSignal(process, "-STOP");
+        schedule(nowMs + ms, () -> sendSignal(process, "-CONT"));
     }
 
-    private static void signal(Process process, String signal) {
+    private static void sendSignal(Process process, String signal) {
         try {
             new ProcessBuilder("kill", signal, String.valueOf(process.pid())).start();
         } catch (IOException e) {
@@ -206,7 +206,7 @@
     }
 
     /** What controllers say to each other is held back for so long, on one connection in two by the seed, or on all. */
-    void holdPeers(boolean all, long ms) {
+    void holdPeerConnections(boolean all, long ms) {
         proxies.forEach(proxy -> {
             if (all || random.nextBoolean()) {
                 proxy.hold(ms);
@@ -214,18 +214,18 @@
         });
     }
 
-    void resetPeers() {
-        proxies.forEach(HoldingProxy::reset);
+    void resetPeerConnections() {
+        proxies.forEach(DelayingProxy::reset);
     }
 
     @Override
     String listenAddress(int i) {
-        return "127.0.0.1:" + listen[i];
+        return "127.0.0.1:" + listenPorts[i];
     }
 
     @Override
     String meshAddress(int i) {
-        return "127.0.0.1:" + mesh[i];
+        return "127.0.0.1:" + peerPorts[i];
     }
 
     @Override
@@ -235,35 +235,37 @@
 
     @Override
     String cloudAddress(int i) {
-        return "127.0.0.1:" + cloud[i];
+        return "127.0.0.1:" + cloudPorts[i];
     }
 
     @Override
     String storeAddress(int i) {
-        return "127.0.0.1:" + state[i];
+        return "127.0.0.1:" + storePorts[i];
     }
 
     // ---- workers and users
 
     @Override
-    void rented(FakeWorker worker) {
-        int port = ports(1)[0];
+    void machineRented(FakeWorker worker) {
+        int port = reservePorts(1)[0];
         worker.address = "127.0.0.1:" + port;
         try {
-            serve(
+            startServer(
                     port,
-                    (method, path, body, back) ->
-                            inbound(-1, Effect.Destination.WORKER, worker.name + ":1", method, path, body, back));
+                    (method, path, body, back) -> forwardRequest(
+                            -1, Effect.Destination.WORKER, worker.name + ":1", method, path, body, back));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     @Override
-    void ask(int node, String method, String path, byte[] body, BiConsumer<Integer, Map<String, Object>> reply) {
-        int timeoutMs = path.equals("/hello") ? HELLO_MS : method.equals("GET") ? POLL_MS : SUBMIT_MS;
+    void sendRequest(
+            int node, String method, String path, byte[] body, BiConsumer<Integer, Map<String, Object>> reply) {
+        int timeoutMs =
+                path.equals("/hello") ? REPORT_TIMEOUT_MS : method.equals("GET") ? POLL_TIMEOUT_MS : SUBMIT_TIMEOUT_MS;
         client.call(listenAddress(node), method, path, body, timeoutMs, (status, answer) -> {
-            advance();
+            advanceToRealTime();
             if (status != 0) {
                 reply.accept(
                         status, answer.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(answer), "answer"));
@@ -273,12 +275,12 @@
 
     // ---- time
 
-    private void advance() {
-        long real = EventLoop.nowMs() - startedAt + START_MS;
-        if (!advancing && real > now) {
+    private void advanceToRealTime() {
+        long real = EventLoop.nowMs() - startedAtMs + INITIAL_TIME_MS;
+        if (!advancing && real > nowMs) {
             advancing = true;
             try {
-                run(real - now);
+                run(real - nowMs);
             } finally {
                 advancing = false;
             }
@@ -286,12 +288,12 @@
     }
 
     /** Runs in real time until so many ms after the start. */
-    void runUntil(long endMs) throws InterruptedException {
+    void runInRealTime(long endMs) throws InterruptedException {
         Throwable[] failure = new Throwable[1];
-        at(START_MS + endMs, events::stop);
+        schedule(INITIAL_TIME_MS + endMs, events::stop);
         events.run(late -> {
             try {
-                advance();
+                advanceToRealTime();
                 client.tick();
                 servers.forEach(HttpServer::tick);
             } catch (AssertionError e) {
@@ -300,14 +302,14 @@
             }
         });
         if (failure[0] != null) {
-            broken.add(String.valueOf(failure[0].getMessage()));
+            violations.add(String.valueOf(failure[0].getMessage()));
         }
     }
 
     /** Lines of the controllers' logs that hold this text. */
-    List<String> logged(String text) throws IOException {
+    List<String> logLines(String text) throws IOException {
         List<String> lines = new ArrayList<>();
-        for (int i = 0; i < controllers; i++) {
+        for (int i = 0; i < controllerCount; i++) {
             Path log = dir.resolve("perch-" + i + ".log");
             if (Files.exists(log)) {
                 for (String line : Files.readAllLines(log)) {
@@ -326,7 +328,7 @@
             process.destroyForcibly();
             process.onExit().completeOnTimeout(process, 10, TimeUnit.SECONDS).join();
         }
-        for (HoldingProxy proxy : proxies) {
+        for (DelayingProxy proxy : proxies) {
             proxy.close();
         }
         for (HttpServer server : servers) {
--- a/src/test/java/birchusher/sim/RecoveryTest.java
+++ b/src/test/java/birchusher/sim/RecoveryTest.java
@@ -18,7 +18,7 @@
 /** All controllers go down and come back: what their workers still do is found again, and what was dropped goes back in order. */
 class RecoveryTest {
     /** Longer than a worker's lease, so that every machine drops its tasks. */
-    private static final long LONG_MS = World.LEASE_MS + 6_000;
+    private static final long LONG_MS = World.WORKER_LEASE_MS + 6_000;
 
     @BeforeAll
     static void quiet() {
@@ -28,7 +28,7 @@
     /** 40 services of three replicas in a fleet that is up and settled. */
     private static World busy(long seed, int controllers) {
         World w = new World(seed, controllers, 240);
-        w.machines = 80;
+        w.maxMachines = 80;
         for (int i = 0; i < 40; i++) {
             w.submit("wk-s" + i, "standing", 3, "production", true, false);
         }
@@ -41,7 +41,7 @@
     private static Map<String, String> places(World w) {
         Map<String, String> l = new TreeMap<>();
         w.workers.values().forEach(m -> m.tasks.values().forEach(t -> {
-            if (!t.exited() && m.alive(w.now)) {
+            if (!t.exited() && m.holdsLease(w.nowMs)) {
                 l.put(t.key, m.name);
             }
         }));
@@ -55,7 +55,7 @@
     }
 
     private static long term(World w) {
-        Matcher m = Pattern.compile("t=(\\d+)").matcher(w.term());
+        Matcher m = Pattern.compile("t=(\\d+)").matcher(w.latestTermRow());
         assertThat(m.find()).isTrue();
         return Long.parseLong(m.group(1));
     }
@@ -77,14 +77,14 @@
 
     /** Every machine has dropped its tasks by the end of the outage; twenty seconds more. */
     private static void allFallInAnOutageAndAreBack(World w, int controllers) {
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         w.run(1_000);
         crashAll(w, controllers, 3_000);
         w.run(LONG_MS);
         assertThat(places(w)).isEmpty();
-        w.store.outage(false, w.now);
+        w.store.setOutage(false, w.nowMs);
         w.run(20_000);
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
     }
 
     /**
@@ -137,12 +137,12 @@
         World w = busy(seed, controllers);
         Map<String, String> before = places(w);
         List<String> machines = new ArrayList<>(w.workers.keySet());
-        int starts = w.starts;
+        int starts = w.taskStarts;
         crashAll(w, controllers, 4_000);
         w.run(25_000);
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
         assertThat(places(w)).isEqualTo(before);
-        assertThat(w.starts).isEqualTo(starts);
+        assertThat(w.taskStarts).isEqualTo(starts);
         assertThat(w.workers.keySet()).containsExactlyElementsOf(machines);
     }
 
@@ -151,14 +151,14 @@
     @ValueSource(longs = {100, 300, 700, 1_500, 3_000, 5_000})
     void aSecondCrashInAnyPhaseIsTheOrdinaryCase(long after) {
         World w = busy(220 + after, 3);
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         crashAll(w, 3, 3_000);
         w.run(LONG_MS);
-        w.store.outage(false, w.now);
+        w.store.setOutage(false, w.nowMs);
         w.run(after);
         crashAll(w, 3, 2_000 + after);
         w.run(40_000);
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
         assertThat(places(w)).hasSize(120);
     }
 
@@ -167,7 +167,7 @@
     @ValueSource(longs = {231, 232, 233})
     void machinesThatDiedMeanwhileAndALateControllerLoseNothing(long seed) {
         World w = busy(seed, 3);
-        w.late = 0.01;
+        w.longDelayRate = 0.01;
         w.submit("wk-arr", "sweep", 60, "standard", false, false);
         w.submit("wk-gang", "gang", 3, "standard", false, true);
         w.run(6_000);
@@ -175,13 +175,13 @@
         w.crash(1, 5_000);
         w.crash(2, 25_000);
         new ArrayList<>(w.workers.keySet()).subList(0, 10).forEach(m -> w.workers.remove(m).deleted = true);
-        w.cancel("wk-s7");
+        w.requestCancellation("wk-s7");
         w.run(150_000);
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
         assertThat(places(w)).hasSizeGreaterThanOrEqualTo(117);
-        assertThat(w.state("wk-arr")).isEqualTo("done");
-        assertThat(w.state("wk-gang")).isEqualTo("done");
-        assertThat(w.cancelled("wk-s7")).isTrue();
+        assertThat(w.reportedState("wk-arr")).isEqualTo("done");
+        assertThat(w.reportedState("wk-gang")).isEqualTo("done");
+        assertThat(w.isCancelled("wk-s7")).isTrue();
     }
 
     /** A team at its limit: what was dropped still counts until its row is written, and all of it comes back. */
@@ -193,12 +193,12 @@
         }
         w.run(60_000);
         assertThat(places(w)).hasSize(24);
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         crashAll(w, 3, 3_000);
         w.run(LONG_MS);
-        w.store.outage(false, w.now);
+        w.store.setOutage(false, w.nowMs);
         w.run(40_000);
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
         assertThat(places(w)).hasSize(24);
     }
 
@@ -207,12 +207,12 @@
     void theImagesOfDroppedWorkAreToldAtOnce() {
         World w = busy(251, 3);
         Map<String, String> before = places(w);
-        w.store.outage(true, w.now);
+        w.store.setOutage(true, w.nowMs);
         crashAll(w, 3, 3_000);
         w.run(LONG_MS);
-        w.store.outage(false, w.now);
+        w.store.setOutage(false, w.nowMs);
         Map<String, List<String>> first = new HashMap<>();
-        w.toldImages = first::putIfAbsent;
+        w.onPublishedImages = first::putIfAbsent;
         w.run(8_000);
         assertThat(first.keySet()).containsAll(before.values());
         assertThat(before.values())
@@ -224,11 +224,11 @@
     void whileMachinesAreStillExpectedNothingIsRented() {
         World w = busy(261, 3);
         for (int i = 0; i < 10; i++) {
-            w.cancel("wk-s" + i);
+            w.requestCancellation("wk-s" + i);
         }
         w.run(2_500);
         List<String> machines = new ArrayList<>(w.workers.keySet());
-        w.workers.values().forEach(m -> m.hungUntil = w.now + 6_500);
+        w.workers.values().forEach(m -> m.hungUntilMs = w.nowMs + 6_500);
         crashAll(w, 3, 300);
         w.run(350);
         w.submit("wk-arr", "sweep", 16, "standard", false, false);
@@ -236,6 +236,6 @@
             w.run(1_000);
             assertThat(machines).as("after %d s", i + 1).containsAll(w.workers.keySet());
         }
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
     }
 }
--- a/src/test/java/birchusher/sim/SeedSearch.java
+++ b/src/test/java/birchusher/sim/SeedSearch.java
@@ -6,7 +6,7 @@
 final class SeedSearch {
     private SeedSearch() {}
 
-    static void over(String name, LongConsumer drawn) {
+    static void forEachSeed(String name, LongConsumer drawn) {
         long from = Long.getLong(name + ".from", 1_000);
         long end = from + Long.getLong(name + ".seeds", 1);
         for (long seed = from; seed < end; seed++) {
--- a/src/test/java/birchusher/sim/SoakTest.java
+++ b/src/test/java/birchusher/sim/SoakTest.java
@@ -15,7 +15,7 @@
 
 /** Controllers as real processes over loopback under drawn troubles. Rules only: nothing here fails for being slow. */
 class SoakTest {
-    private static final int SHORT_S = 45;
+    private static final int SHORT_RUN_S = 45;
 
     @TempDir
     Path dir;
@@ -23,9 +23,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1})
     void noRuleIsBroken(long seed) throws Exception {
-        Soak.Result result = Soak.play(seed, 10, SHORT_S, dir);
-        assertThat(result.broken())
-                .as(result.line() + "\n" + String.join("\n", result.schedule()))
+        Soak.Result result = Soak.run(seed, 10, SHORT_RUN_S, dir);
+        assertThat(result.violations())
+                .as(result.summary() + "\n" + String.join("\n", result.faultSchedule()))
                 .isEmpty();
     }
 
@@ -44,10 +44,10 @@
             int workers = seed % 5 == 0 ? Integer.getInteger("soak.workers", 300) : 10;
             all.add(pool.submit(() -> {
                 Soak.Result result =
-                        Soak.play(each, workers, Integer.getInteger("soak.seconds", 75), dir.resolve("seed-" + each));
-                System.out.println("SOAK " + result.line());
-                if (!result.broken().isEmpty()) {
-                    System.out.println("SOAK schedule " + each + ": " + result.schedule());
+                        Soak.run(each, workers, Integer.getInteger("soak.seconds", 75), dir.resolve("seed-" + each));
+                System.out.println("SOAK " + result.summary());
+                if (!result.violations().isEmpty()) {
+                    System.out.println("SOAK schedule " + each + ": " + result.faultSchedule());
                 }
                 return result;
             }));
@@ -56,8 +56,8 @@
         List<String> broken = new ArrayList<>();
         for (Future<Soak.Result> each : all) {
             Soak.Result result = each.get();
-            if (!result.broken().isEmpty()) {
-                broken.add(result.line());
+            if (!result.violations().isEmpty()) {
+                broken.add(result.summary());
             }
         }
         assertThat(broken).isEmpty();
--- a/src/test/java/birchusher/sim/TroublesTest.java
+++ b/src/test/java/birchusher/sim/TroublesTest.java
@@ -31,11 +31,11 @@
     /** Nothing is broken, all that was accepted is answered by everybody who is ready, and runs or is done. */
     private static void endsWell(World w) {
         w.run(90_000);
-        assertThat(w.unanswered(10_000)).isEmpty();
-        assertThat(w.broken).isEmpty();
-        assertThat(w.state("wk-arr")).as(w.store.dump()).isEqualTo("done");
-        assertThat(w.state("wk-gang")).as(w.store.dump()).isEqualTo("done");
-        assertThat(w.state("wk-web")).as(w.store.dump()).isEqualTo("running");
+        assertThat(w.unansweredJobs(10_000)).isEmpty();
+        assertThat(w.violations).isEmpty();
+        assertThat(w.reportedState("wk-arr")).as(w.store.dump()).isEqualTo("done");
+        assertThat(w.reportedState("wk-gang")).as(w.store.dump()).isEqualTo("done");
+        assertThat(w.reportedState("wk-web")).as(w.store.dump()).isEqualTo("running");
     }
 
     private static boolean claimedOn(World w, String machine, long session) {
@@ -58,8 +58,8 @@
         World w = world(seed, controllers);
         w.run(45_000);
         FakeWorker deaf = busy(w);
-        deaf.deaf = true;
-        String term = w.term();
+        deaf.cannotReceive = true;
+        String term = w.latestTermRow();
         w.run(20_000);
         w.submit("wk-more", "sweep", 30, "standard", false, false);
         for (int i = 0; i < 20; i++) {
@@ -68,9 +68,9 @@
                     .as("new work on " + deaf.name)
                     .isFalse();
         }
-        assertThat(w.term()).isEqualTo(term);
+        assertThat(w.latestTermRow()).isEqualTo(term);
         assertThat(deaf.deleted).as("returned").isTrue();
-        assertThat(w.state("wk-more")).isEqualTo("done");
+        assertThat(w.reportedState("wk-more")).isEqualTo("done");
         endsWell(w);
     }
 
@@ -81,9 +81,9 @@
         World w = world(seed, controllers);
         w.run(45_000);
         FakeWorker deaf = busy(w);
-        deaf.deaf = true;
-        w.keepsAll = true;
-        String term = w.term();
+        deaf.cannotReceive = true;
+        w.cloudRefusesDeletions = true;
+        String term = w.latestTermRow();
         for (int i = 0; i < 40; i++) {
             if (i % 4 == 0) {
                 w.submit("wk-more" + i, "sweep", 6, "standard", false, false);
@@ -96,27 +96,27 @@
             }
         }
         assertThat(deaf.session).isGreaterThan(3);
-        assertThat(w.term()).isEqualTo(term);
-        deaf.deaf = false;
-        w.keepsAll = false;
+        assertThat(w.latestTermRow()).isEqualTo(term);
+        deaf.cannotReceive = false;
+        w.cloudRefusesDeletions = false;
         endsWell(w);
     }
 
     @Test
     void aMachineThatHearsAgainIsUsedAgain() {
         World w = new World(105, 3, 4);
-        w.machines = 1;
+        w.maxMachines = 1;
         w.submit("wk-a", "sweep", 4, "standard", false, false);
         w.run(14_000);
         FakeWorker only = w.workers.values().iterator().next();
         w.run(10_000);
-        only.deaf = true;
+        only.cannotReceive = true;
         w.run(12_000);
-        only.deaf = false;
+        only.cannotReceive = false;
         w.submit("wk-b", "sweep", 4, "standard", false, false);
         w.run(60_000);
-        assertThat(w.state("wk-b")).isEqualTo("done");
-        assertThat(w.broken).isEmpty();
+        assertThat(w.reportedState("wk-b")).isEqualTo("done");
+        assertThat(w.violations).isEmpty();
     }
 
     /** The copy shows it up, idle and under the present term; only what was remembered tells that it is over. */
@@ -127,24 +127,24 @@
         w.submit("wk-one", "sweep", 8, "standard", false, false);
         w.run(16_000);
         FakeWorker gone = w.workers.values().iterator().next();
-        int owner = w.owner(gone);
+        int owner = w.ownerOf(gone);
         Map<String, Object> copy = gone.report();
-        copy.put("tick", gone.tick + 5);
+        copy.put("tick", gone.reportNumber + 5);
         w.run(160_000);
         assertThat(gone.deleted).as("idle and returned").isTrue();
-        w.copy(owner, copy);
+        w.sendDuplicateReport(owner, copy);
         w.run(400);
         w.submit("wk-two", "sweep", 8, "standard", false, false);
         for (int i = 0; i < 10; i++) {
             w.run(500);
             assertThat(w.store.dump()).doesNotContain(":" + gone.name + ":");
             // The next of several: in order, and as close to each other as reports are.
-            copy.put("tick", gone.tick + 6 + i);
-            w.copy(owner, copy);
+            copy.put("tick", gone.reportNumber + 6 + i);
+            w.sendDuplicateReport(owner, copy);
         }
         w.run(60_000);
-        assertThat(w.state("wk-two")).isEqualTo("done");
-        assertThat(w.broken).isEmpty();
+        assertThat(w.reportedState("wk-two")).isEqualTo("done");
+        assertThat(w.violations).isEmpty();
     }
 
     /** Two copies of different age look like a worker that was sent to its owner and is back. */
@@ -152,23 +152,23 @@
     void copiesAtAnotherControllerMoveNoShard() {
         World w = world(114, 3);
         w.run(40_000);
-        String term = w.term();
+        String term = w.latestTermRow();
         FakeWorker m = w.workers.values().iterator().next();
-        int other = (w.owner(m) + 1) % 3;
+        int other = (w.ownerOf(m) + 1) % 3;
         Map<String, Object> first = m.report();
         Map<String, Object> second = m.report();
         w.run(8_000);
-        w.copy(other, first);
+        w.sendDuplicateReport(other, first);
         w.run(6_000);
-        w.copy(other, second);
+        w.sendDuplicateReport(other, second);
         w.run(10_000);
-        assertThat(w.term()).isEqualTo(term);
+        assertThat(w.latestTermRow()).isEqualTo(term);
         for (int i = 0; i < 4; i++) {
             // So fresh that its machine has said nothing since: but its owner hears it.
-            w.copy(other, m.report());
+            w.sendDuplicateReport(other, m.report());
             w.run(2_500);
         }
-        assertThat(w.term()).isEqualTo(term);
+        assertThat(w.latestTermRow()).isEqualTo(term);
         endsWell(w);
     }
 
@@ -195,19 +195,19 @@
         long before = term(w);
         assertThat(List.copyOf(w.workers.values()))
                 .as("some are its own and have work, or nothing is to be taken over")
-                .anyMatch(m -> w.owner(m) == node && !m.tasks.isEmpty());
-        w.fromWorkers[node] = true;
+                .anyMatch(m -> w.ownerOf(m) == node && !m.tasks.isEmpty());
+        w.cutOffFromWorkers[node] = true;
         w.run(25_000);
-        int starts = w.starts;
+        int starts = w.taskStarts;
         w.submit("wk-more", "sweep", 12, "standard", false, false);
         w.run(35_000);
         assertThat(term(w) - before)
                 .as("each of its two shards is taken once, and none goes round")
                 .isBetween(1L, 2L);
-        assertThat(w.starts).isGreaterThanOrEqualTo(starts + 12);
-        assertThat(w.state("wk-arr")).isEqualTo("done");
-        assertThat(w.state("wk-web")).isEqualTo("running");
-        w.fromWorkers[node] = false;
+        assertThat(w.taskStarts).isGreaterThanOrEqualTo(starts + 12);
+        assertThat(w.reportedState("wk-arr")).isEqualTo("done");
+        assertThat(w.reportedState("wk-web")).isEqualTo("running");
+        w.cutOffFromWorkers[node] = false;
         endsWell(w);
     }
 
@@ -216,21 +216,21 @@
     void aLonelyControllerSendsUsersAwayAtOnceAndItsWorkersInTime(int node) {
         World w = world(120 + node, 3);
         w.run(45_000);
-        w.lonely(node, true);
+        w.setIsolated(node, true);
         w.run(6_000);
-        assertThat(w.tell(node, "GET", "/ready", null)).startsWith("503");
-        assertThat(w.tell(node, "GET", "/v2/runs/wk-web", null)).startsWith("503");
-        assertThat(w.tell((node + 1) % 3, "GET", "/ready", null)).startsWith("200");
-        w.cancel("wk-web");
+        assertThat(w.requestAndWait(node, "GET", "/ready", null)).startsWith("503");
+        assertThat(w.requestAndWait(node, "GET", "/v2/runs/wk-web", null)).startsWith("503");
+        assertThat(w.requestAndWait((node + 1) % 3, "GET", "/ready", null)).startsWith("200");
+        w.requestCancellation("wk-web");
         w.submit("wk-new", "standing", 2, "production", false, false);
         w.run(50_000);
-        assertThat(w.state("wk-new")).isEqualTo("running");
-        assertThat(w.cancelled("wk-web")).isTrue();
-        w.lonely(node, false);
+        assertThat(w.reportedState("wk-new")).isEqualTo("running");
+        assertThat(w.isCancelled("wk-web")).isTrue();
+        w.setIsolated(node, false);
         w.run(60_000);
-        assertThat(w.tell(node, "GET", "/ready", null)).startsWith("200");
-        assertThat(w.unanswered(10_000)).isEmpty();
-        assertThat(w.broken).isEmpty();
+        assertThat(w.requestAndWait(node, "GET", "/ready", null)).startsWith("200");
+        assertThat(w.unansweredJobs(10_000)).isEmpty();
+        assertThat(w.violations).isEmpty();
     }
 
     /** Back before anybody missed it, with its old seat, its old shards and transactions under way, its clock set back or not. */
@@ -249,7 +249,7 @@
         w.run(25_000 + seed * 13);
         for (int i = 0; i < 6; i++) {
             int node = (int) (seed + i) % 3;
-            w.setClock(node, clockOff);
+            w.setClockOffset(node, clockOff);
             w.crash(node, ms);
             if (i % 3 == 2) {
                 w.crash((node + 1) % 3, ms + 30);
@@ -258,7 +258,9 @@
         }
         w.run(30_000);
         for (int i = 0; i < 3; i++) {
-            assertThat(w.tell(i, "GET", "/ready", null)).as("controller " + i).startsWith("200");
+            assertThat(w.requestAndWait(i, "GET", "/ready", null))
+                    .as("controller " + i)
+                    .startsWith("200");
         }
         assertThat(w.store
                         .dump()
@@ -278,7 +280,7 @@
         w.run(30_000);
         long last = seat(w);
         for (int i = 0; i < 4; i++) {
-            w.setClock(0, -10_000 * (i + 1));
+            w.setClockOffset(0, -10_000 * (i + 1));
             w.crash(0, 60);
             w.run(8_000);
             assertThat(seat(w)).isGreaterThan(last);
@@ -288,7 +290,7 @@
     }
 
     private static long term(World w) {
-        return Long.parseLong(w.term().replaceAll("\\D+", ""));
+        return Long.parseLong(w.latestTermRow().replaceAll("\\D+", ""));
     }
 
     private static long seat(World w) {
@@ -306,10 +308,10 @@
         }
         w.run(60_000);
         java.util.Set<String> before = java.util.Set.copyOf(w.workers.keySet());
-        w.still(0, 7_500);
+        w.pause(0, 7_500);
         w.run(30_000);
         assertThat(w.workers.keySet()).containsAll(before);
-        assertThat(w.broken).isEmpty();
+        assertThat(w.violations).isEmpty();
     }
 
     /** A row that nobody can read costs that job its running, and nobody anything else. */
@@ -317,18 +319,18 @@
     void aRowThatCantBeReadIsNamedAndItsJobStaysKnown() {
         World w = world(141, 3);
         w.run(20_000);
-        w.store.plant(
+        w.store.injectRow(
                 "b/live/job/wk-torn",
                 Map.of("s", "OPEN", "k", 100L, "t", 1L, "j", Map.of("name_id", "wk-torn", "crew", "nobody")));
-        w.store.plant("b/live/job/wk-odd", "not a map");
-        w.store.plant("b/live/place/wk-arr/x", Map.of("a", 1L));
+        w.store.injectRow("b/live/job/wk-odd", "not a map");
+        w.store.injectRow("b/live/place/wk-arr/x", Map.of("a", 1L));
         w.run(2_000);
         w.crash(1, 2_000);
         w.run(12_000);
         for (int i = 0; i < 3; i++) {
-            assertThat(w.tell(i, "GET", "/v2/runs/wk-torn", null)).isEqualTo("200 queued");
-            assertThat(w.tell(i, "GET", "/v2/runs/wk-odd", null)).isEqualTo("200 queued");
-            assertThat(w.tell(i, "GET", "/v2/runs/wk-nobody", null)).startsWith("404");
+            assertThat(w.requestAndWait(i, "GET", "/v2/runs/wk-torn", null)).isEqualTo("200 queued");
+            assertThat(w.requestAndWait(i, "GET", "/v2/runs/wk-odd", null)).isEqualTo("200 queued");
+            assertThat(w.requestAndWait(i, "GET", "/v2/runs/wk-nobody", null)).startsWith("404");
         }
         endsWell(w);
     }
@@ -337,7 +339,7 @@
     @Test
     void pollsAfterARestartOfAllReadNoRowsOfTheirOwn() {
         World w = new World(142, 3, 10);
-        w.store.pageRows = 20;
+        w.store.maxRowsPerListing = 20;
         for (int i = 0; i < 45; i++) {
             w.submit("wk-e" + i, "sweep", 1, "standard", false, false);
         }
@@ -346,33 +348,33 @@
             w.crash(i, 2_000);
         }
         w.run(15_000);
-        int before = w.store.gets;
+        int before = w.store.rowReads;
         for (int round = 0; round < 200; round++) {
-            w.tell(round % 3, "GET", "/v2/runs/wk-e" + round % 45, null);
-            w.tell(round % 3, "GET", "/v2/runs/wk-never" + round, null);
+            w.requestAndWait(round % 3, "GET", "/v2/runs/wk-e" + round % 45, null);
+            w.requestAndWait(round % 3, "GET", "/v2/runs/wk-never" + round, null);
         }
-        assertThat(w.store.gets - before).isZero();
-        assertThat(w.tell(0, "GET", "/v2/runs/wk-e7", null)).isEqualTo("200 done");
-        assertThat(w.tell(1, "GET", "/v2/runs/wk-never1", null)).startsWith("404");
-        assertThat(w.broken).isEmpty();
+        assertThat(w.store.rowReads - before).isZero();
+        assertThat(w.requestAndWait(0, "GET", "/v2/runs/wk-e7", null)).isEqualTo("200 done");
+        assertThat(w.requestAndWait(1, "GET", "/v2/runs/wk-never1", null)).startsWith("404");
+        assertThat(w.violations).isEmpty();
     }
 
     /** Each page is refused for a while: begun anew every time, the reading would not end before the refusals do. */
     @Test
     void aReadingOfManyPagesGoesOnWhereItWasRefused() {
         World w = new World(143, 3, 10);
-        w.store.pageRows = 10;
+        w.store.maxRowsPerListing = 10;
         for (int i = 0; i < 60; i++) {
             w.submit("wk-q" + i, "standing", 1, "low", false, false);
         }
         w.run(40_000);
-        w.store.refusedPages = 40;
-        int before = w.store.pages;
+        w.store.listingsToRefuse = 40;
+        int before = w.store.listingsAnswered;
         w.crash(0, 1_000);
         w.run(20_000);
-        assertThat(w.tell(0, "GET", "/v2/runs/wk-q59", null)).startsWith("200");
-        assertThat(w.store.pages - before).as("listings answered").isLessThan(25);
-        assertThat(w.broken).isEmpty();
+        assertThat(w.requestAndWait(0, "GET", "/v2/runs/wk-q59", null)).startsWith("200");
+        assertThat(w.store.listingsAnswered - before).as("listings answered").isLessThan(25);
+        assertThat(w.violations).isEmpty();
     }
 
     /** All of it at once, in an order drawn by the seed; at the end everything accepted is known to everybody. */
@@ -385,16 +387,16 @@
     /** For searches by hand: {@code -Dsim.from=1000 -Dsim.seeds=500}. */
     @Test
     void aSearchOverSeedsByHand() {
-        SeedSearch.over("sim", seed -> drawn(seed, seed % 3 == 0 ? 7 : 3));
+        SeedSearch.forEachSeed("sim", seed -> drawn(seed, seed % 3 == 0 ? 7 : 3));
     }
 
     private static void drawn(long seed, int controllers) {
         World w = world(seed, controllers);
         Random r = new Random(seed * 31);
-        w.loss = 0.01;
-        w.late = 0.01;
-        w.copies = 0.2;
-        w.lateRecords = 0.05;
+        w.messageLossRate = 0.01;
+        w.longDelayRate = 0.01;
+        w.duplicateReportRate = 0.2;
+        w.duplicatePeerRecordRate = 0.05;
         for (int step = 0; step < 26; step++) {
             w.run(2_000 + r.nextInt(6_000));
             int node = r.nextInt(controllers);
@@ -407,27 +409,27 @@
                     w.crash((node + 1) % controllers, 50 + r.nextInt(10_000));
                 }
                 case 2 -> {
-                    w.lonely(node, true);
+                    w.setIsolated(node, true);
                     w.run(r.nextInt(30_000));
-                    w.lonely(node, false);
+                    w.setIsolated(node, false);
                 }
                 case 3 -> {
-                    w.store.outage(true, w.now);
+                    w.store.setOutage(true, w.nowMs);
                     w.run(r.nextInt(20_000));
                     if (r.nextBoolean()) {
                         w.crash(node, 50 + r.nextInt(3_000));
                     }
-                    w.store.outage(false, w.now);
+                    w.store.setOutage(false, w.nowMs);
                 }
-                case 4, 5 -> any(w, r).ifPresent(m -> m.deaf = true);
-                case 6 -> any(w, r).ifPresent(m -> m.deaf = false);
-                case 7 -> any(w, r).ifPresent(m -> m.hungUntil = w.now + r.nextInt(25_000));
-                case 8 -> w.cutOneWay(node, (node + 1) % controllers, r.nextBoolean());
+                case 4, 5 -> any(w, r).ifPresent(m -> m.cannotReceive = true);
+                case 6 -> any(w, r).ifPresent(m -> m.cannotReceive = false);
+                case 7 -> any(w, r).ifPresent(m -> m.hungUntilMs = w.nowMs + r.nextInt(25_000));
+                case 8 -> w.setOneWayPeerLinkDown(node, (node + 1) % controllers, r.nextBoolean());
                 case 9 -> {
                     String id = "wk-s" + step;
                     w.submit(id, r.nextBoolean() ? "standing" : "gang", 1 + r.nextInt(3), "urgent", false, false);
                     w.run(r.nextInt(12_000));
-                    w.cancel(id);
+                    w.requestCancellation(id);
                 }
                 default -> {
                     for (int i = 0; i < controllers; i++) {
@@ -436,16 +438,16 @@
                 }
             }
         }
-        w.loss = 0;
-        w.late = 0;
-        w.copies = 0;
-        w.lateRecords = 0;
+        w.messageLossRate = 0;
+        w.longDelayRate = 0;
+        w.duplicateReportRate = 0;
+        w.duplicatePeerRecordRate = 0;
         for (int a = 0; a < controllers; a++) {
             for (int b = 0; b < controllers; b++) {
-                w.cutOneWay(a, b, false);
+                w.setOneWayPeerLinkDown(a, b, false);
             }
         }
-        w.workers.values().forEach(m -> m.deaf = false);
+        w.workers.values().forEach(m -> m.cannotReceive = false);
         w.run(30_000);
         endsWell(w);
     }
--- a/src/test/java/birchusher/sim/WorkerLeaseTest.java
+++ b/src/test/java/birchusher/sim/WorkerLeaseTest.java
@@ -28,10 +28,10 @@
         world.submit("wk-web", "standing", 1, "production", false, false);
         for (int i = 0; i < 7; i++) {
             world.submit("wk-long" + i, "sweep", 1, "standard", false, false);
-            world.runs.put("wk-long" + i + "/0", 600_000L);
+            world.fixedRunTimesMs.put("wk-long" + i + "/0", 600_000L);
         }
         world.run(45_000);
-        world.keepsAll = true;
+        world.cloudRefusesDeletions = true;
         return world;
     }
 
@@ -54,18 +54,20 @@
 
     /** Runs until the worker has just sent a report that is an ordinary interval younger than the one answered before. */
     private static void untilRegularReport(World world, FakeWorker worker) {
-        for (int i = 0; i < 3_000 && !(worker.reporting && world.now - worker.leaseFrom >= REPORT_MS - 200); i++) {
+        for (int i = 0;
+                i < 3_000 && !(worker.reportInFlight && world.nowMs - worker.leaseStartMs >= REPORT_MS - 200);
+                i++) {
             world.run(10);
         }
-        assertThat(worker.reporting).isTrue();
+        assertThat(worker.reportInFlight).isTrue();
     }
 
     private static void untilRenewed(World world, FakeWorker worker) {
-        long before = worker.leaseFrom;
-        for (int i = 0; i < 600 && worker.leaseFrom == before; i++) {
+        long before = worker.leaseStartMs;
+        for (int i = 0; i < 600 && worker.leaseStartMs == before; i++) {
             world.run(10);
         }
-        assertThat(worker.leaseFrom).isGreaterThan(before);
+        assertThat(worker.leaseStartMs).isGreaterThan(before);
     }
 
     /**
@@ -79,23 +81,23 @@
         FakeWorker worker = holder(world, "wk-web/0");
         String neighbour = neighbour(worker);
         untilRenewed(world, worker);
-        worker.reportsHeldMs = 2_500;
+        worker.reportDelayMs = 2_500;
         untilRegularReport(world, worker);
-        world.withdraw(world.owner(worker), neighbour);
-        assertThat(worker.reporting)
+        world.cancelAndWait(world.ownerOf(worker), neighbour);
+        assertThat(worker.reportInFlight)
                 .as("the direct command was answered while the report was under way")
                 .isTrue();
         assertThat(worker.tasks.keySet())
                 .noneMatch(k -> k.startsWith(neighbour) && !worker.tasks.get(k).exited());
         untilRenewed(world, worker);
-        worker.cutOff(true);
+        worker.setCutOff(true);
         world.run(40_000);
-        assertThat(world.broken).isEmpty();
+        assertThat(world.violations).isEmpty();
         assertThat(holder(world, "wk-web/0")).as("started elsewhere in the end").isNotEqualTo(worker);
     }
 
     private static boolean ownsByItself(World world, int node, FakeWorker worker) {
-        return world.tell(node, "POST", "/hello", FakeWorker.report(worker.name, worker.zone, 0))
+        return world.requestAndWait(node, "POST", "/hello", FakeWorker.report(worker.name, worker.zone, 0))
                 .startsWith("200");
     }
 
@@ -103,8 +105,8 @@
     private static int takenOverBy(World world, FakeWorker worker, int oldOwner) {
         for (int i = 0; i < 100; i++) {
             int node = (oldOwner + 1 + i % 2) % 3;
-            worker.node = node;
-            worker.nextReport = world.now;
+            worker.controllerIndex = node;
+            worker.nextReportMs = world.nowMs;
             world.run(100);
             if (ownsByItself(world, node, worker)) {
                 return node;
@@ -123,29 +125,29 @@
         World world = world(seed);
         FakeWorker worker = holder(world, "wk-web/0");
         String neighbour = neighbour(worker);
-        int oldOwner = world.owner(worker);
-        world.lonely(oldOwner, true);
+        int oldOwner = world.ownerOf(worker);
+        world.setIsolated(oldOwner, true);
         int newOwner = takenOverBy(world, worker, oldOwner);
-        worker.resetBy.add(newOwner);
-        worker.commandsHeldMs = 2_900;
-        worker.node = newOwner;
-        worker.nextReport = world.now;
-        for (int i = 0; i < 500 && worker.node == newOwner; i++) {
+        worker.connectionsResetBy.add(newOwner);
+        worker.commandDelayMs = 2_900;
+        worker.controllerIndex = newOwner;
+        worker.nextReportMs = world.nowMs;
+        for (int i = 0; i < 500 && worker.controllerIndex == newOwner; i++) {
             world.run(10);
         }
-        long heard = world.now;
-        worker.node = oldOwner;
-        world.cancelAt(newOwner, neighbour);
+        long heard = world.nowMs;
+        worker.controllerIndex = oldOwner;
+        world.sendCancellation(newOwner, neighbour);
         world.run(2_200);
-        worker.nextReport = world.now;
+        worker.nextReportMs = world.nowMs;
         world.run(300);
-        assertThat(worker.leaseFrom).as("renewed by the owner before").isGreaterThan(heard + 2_000);
-        long term = worker.token;
+        assertThat(worker.leaseStartMs).as("renewed by the owner before").isGreaterThan(heard + 2_000);
+        long term = worker.fencingToken;
         world.run(500);
-        assertThat(worker.token).as("shows the new owner's term").isGreaterThan(term);
-        worker.cutOff(true);
+        assertThat(worker.fencingToken).as("shows the new owner's term").isGreaterThan(term);
+        worker.setCutOff(true);
         world.run(40_000);
-        assertThat(world.broken).isEmpty();
+        assertThat(world.violations).isEmpty();
         assertThat(holder(world, "wk-web/0")).as("started elsewhere in the end").isNotEqualTo(worker);
     }
 
@@ -155,14 +157,14 @@
     void aReportHeldBackUntilItsLeaseIsOverShowsNothingThatRuns(long seed) {
         World world = world(seed);
         FakeWorker worker = holder(world, "wk-web/0");
-        int owner = world.owner(worker);
-        worker.cutOff(true);
+        int owner = world.ownerOf(worker);
+        worker.setCutOff(true);
         Map<String, Object> held = worker.report();
         for (int i = 0; i < 400 && world.store.dump().contains(":" + worker.name + ":"); i++) {
             world.run(50);
         }
-        world.copy(owner, held);
+        world.sendDuplicateReport(owner, held);
         world.run(40_000);
-        assertThat(world.broken).isEmpty();
+        assertThat(world.violations).isEmpty();
     }
 }
