--- a/src/test/java/birchusher/sim/World.java
+++ b/src/test/java/birchusher/sim/World.java
@@ -23,258 +23,259 @@
  * controllers crash, machines hang and the state service fails, all from one seed; the rules are checked at every step.
  */
 class World {
-    static final long LEASE_MS = 10_000;
-    static final long CANCEL_MS = 30_000;
-    final long leaseMs;
-    final long cancelMs;
+    static final long WORKER_LEASE_MS = 10_000;
+    static final long CANCEL_DEADLINE_MS = 30_000;
+    final long workerLeaseMs;
+    final long cancelDeadlineMs;
     /** The default of seats.lease-s. */
-    private static final long SEAT_MS = 45_000;
+    private static final long MEMBER_LEASE_MS = 45_000;
 
     private static final String[] ZONES = {"east", "west"};
 
-    private record Timed(long at, long seq, Runnable run) {}
+    private record ScheduledAction(long atMs, long sequence, Runnable action) {}
 
-    private static final class Node {
+    private static final class SimulatedController {
         Core core;
         /** What its time of day is off by; may change with a restart. */
-        long wallOff;
+        long wallClockOffsetMs;
 
-        long stillUntil;
-        int life;
-        long downUntil;
+        long pausedUntilMs;
+        int incarnation;
+        long downUntilMs;
     }
 
-    private static final class UserJob {
+    private static final class TrackedJob {
         String id;
         Map<String, Object> body;
         boolean accepted;
-        final AnswerHistory told = new AnswerHistory();
-        boolean wantsCancel;
-        long cancelledAt = -1;
-        long askAt;
-        int tasks;
+        final AnswerHistory history = new AnswerHistory();
+        boolean cancelRequested;
+        long cancelledAtMs = -1;
+        long nextRequestMs;
+        int taskCount;
     }
 
     final Random random;
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     final FakeStore store = new FakeStore();
     final Map<String, FakeWorker> workers = new LinkedHashMap<>();
-    private final Map<String, UserJob> jobs = new LinkedHashMap<>();
-    private final Map<String, Integer> finished = new HashMap<>();
-    private final Map<String, List<Object>> rentals = new HashMap<>();
-    private final PriorityQueue<Timed> queue =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.seq, b.seq));
-    private final Node[] nodes;
-    final int controllers;
-    private final int teamLimit;
-    private final Map<Long, java.util.function.BiConsumer<Integer, Map<String, Object>>> exchanges = new HashMap<>();
-    private final boolean[][] cut;
-    private final long[] meshHeldUntil;
-    private final long[] seatSince;
+    private final Map<String, TrackedJob> jobs = new LinkedHashMap<>();
+    private final Map<String, Integer> taskFinished = new HashMap<>();
+    private final Map<String, List<Object>> machinesByRentalRequest = new HashMap<>();
+    private final PriorityQueue<ScheduledAction> scheduledActions = new PriorityQueue<>(
+            (a, b) -> a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.sequence, b.sequence));
+    private final SimulatedController[] simulatedControllers;
+    final int controllerCount;
+    private final int teamGpuLimit;
+    private final Map<Long, java.util.function.BiConsumer<Integer, Map<String, Object>>> replyHandlers =
+            new HashMap<>();
+    private final boolean[][] peerLinkDown;
+    private final long[] peerRecordsHeldUntilMs;
+    private final long[] memberLeaseSinceMs;
     /** A controller and the workers that report to it, cut off from everybody else; -1: none. */
-    private int island = -1;
+    private int isolatedController = -1;
 
-    private final java.util.Set<String> marooned = new java.util.HashSet<>();
+    private final java.util.Set<String> isolatedWorkers = new java.util.HashSet<>();
     /** Controllers that the state service alone refuses; their open watches are not answered either. */
-    final boolean[] refused;
+    final boolean[] refusedByStore;
     /** Answers to watches and to reads for a fresh view are held back, for everybody; transactions go on. */
-    boolean readsHeld;
+    boolean storeReadsHeld;
     /** The same for single controllers. */
-    final boolean[] lagging;
+    final boolean[] viewLagging;
     /** The share of transactions that are carried out at once and get no answer. */
-    double lostAnswers;
+    double lostTransactionReplyRate;
     /** Users ask at all controllers within milliseconds, and submit and cancel again, whenever something new was told. */
-    boolean closeLooks;
+    boolean recheckAtAllControllers;
     /** The share of finite jobs that are called off in the moment in which their last task ends. */
-    double cancelAtEnd;
+    double cancelAtCompletionRate;
     /** Controllers that no worker reaches, nor they any worker. */
-    final boolean[] fromWorkers;
+    final boolean[] cutOffFromWorkers;
 
-    double loss;
-    double late;
+    double messageLossRate;
+    double longDelayRate;
     /** The share of reports of which a copy comes again, up to a minute later, at the controller it went to. */
-    double copies;
+    double duplicateReportRate;
     /** The share of records between controllers of which a copy comes up to 20 s later, whoever lives there by then. */
-    double lateRecords;
+    double duplicatePeerRecordRate;
     /** The share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones of the same controller. */
-    double lateWrites;
+    double lateTransactionRate;
     /** By how much longer the state service takes for each answer at most. */
-    int storeSlowMs;
+    int maxExtraStoreDelayMs;
     /** How long tasks run, where a test says so; the others are drawn. */
-    final Map<String, Long> runs = new HashMap<>();
+    final Map<String, Long> fixedRunTimesMs = new HashMap<>();
     /** Starts of tasks that had been done before. */
-    int reruns;
+    int rerunsOfFinishedTasks;
     /** The share of answers to reports that come late, though within the time that a worker waits for one. */
-    double lateAnswers;
+    double lateResponseRate;
     /** For how long commands sent straight to workers are held back; they are executed all the same. */
-    long straightMs;
-
-    long now = 1_000;
-    private long seq;
-    private long nextExchange = 1;
-    private int nextMachine;
-    int starts;
-    int rented;
+    long directCommandDelayMs;
+
+    long nowMs = 1_000;
+    private long nextSequence;
+    private long nextExchangeId = 1;
+    private int nextMachineNumber;
+    int taskStarts;
+    int machineRented;
     /** Starts that a worker refused for want of room. */
     int refusedStarts;
     /** Hears which images an owner tells others that a machine has. */
-    java.util.function.BiConsumer<String, List<String>> toldImages;
+    java.util.function.BiConsumer<String, List<String>> onPublishedImages;
     /** Jobs submitted with a mistake: their tasks fail on every machine. */
-    final java.util.Set<String> mistaken = new java.util.HashSet<>();
+    final java.util.Set<String> failingJobs = new java.util.HashSet<>();
     /** Errors that such jobs made. */
-    int errors;
+    int taskErrors;
     /** The share of rented machines that never come up, and by how much longer the others take. */
-    double never;
+    double neverReadyRate;
 
-    double slowBoots = 1;
+    double bootTimeFactor = 1;
     /** The cloud answers no deletion: silent and idle machines stay. */
-    boolean keepsAll;
+    boolean cloudRefusesDeletions;
     /** Machines that were returned while something was on them. */
-    int returnedWithWork;
+    int machinesReturnedWithTasks;
     /** Rented machines are up within two seconds. */
-    boolean upAtOnce;
+    boolean fastBoot;
     /** The cloud takes up to so much longer for its answer; what it was asked for is done at once. */
-    int cloudSlowMs;
+    int maxCloudReplyDelayMs;
     /** Every machine has every image. */
     boolean imagesCached;
     /** Reports kept of every worker, so that copies of them can come to everybody at once. */
-    boolean keepsReports;
+    boolean keepReports;
 
-    private final List<byte[]> kept = new ArrayList<>();
+    private final List<byte[]> keptReports = new ArrayList<>();
     /** What the cloud has at most; 0: as many as the team may use. */
-    int machines;
+    int maxMachines;
 
     World(long seed) {
         this(seed, 3, 10);
     }
 
     World(long seed, int controllers, int teamLimit) {
-        this(seed, controllers, teamLimit, LEASE_MS, CANCEL_MS);
+        this(seed, controllers, teamLimit, WORKER_LEASE_MS, CANCEL_DEADLINE_MS);
     }
 
     World(long seed, int controllers, int teamLimit, long leaseMs, long cancelMs) {
-        this.leaseMs = leaseMs;
-        this.cancelMs = cancelMs;
-        this.teamLimit = teamLimit;
+        this.workerLeaseMs = leaseMs;
+        this.cancelDeadlineMs = cancelMs;
+        this.teamGpuLimit = teamLimit;
         random = new Random(seed);
-        this.controllers = controllers;
-        nodes = new Node[controllers];
-        cut = new boolean[controllers][controllers];
-        meshHeldUntil = new long[controllers];
-        seatSince = new long[controllers];
-        refused = new boolean[controllers];
-        lagging = new boolean[controllers];
-        fromWorkers = new boolean[controllers];
+        this.controllerCount = controllers;
+        simulatedControllers = new SimulatedController[controllers];
+        peerLinkDown = new boolean[controllers][controllers];
+        peerRecordsHeldUntilMs = new long[controllers];
+        memberLeaseSinceMs = new long[controllers];
+        refusedByStore = new boolean[controllers];
+        viewLagging = new boolean[controllers];
+        cutOffFromWorkers = new boolean[controllers];
         for (int i = 0; i < controllers; i++) {
-            nodes[i] = new Node();
+            simulatedControllers[i] = new SimulatedController();
         }
         startControllers();
-        at(now, this::everything);
+        schedule(nowMs, this::stepStandIns);
     }
 
     /** The controllers are cores in this process; {@link ProcessWorld} starts its own later. */
     void startControllers() {
-        for (int i = 0; i < nodes.length; i++) {
-            boot(i);
-            every(i);
+        for (int i = 0; i < simulatedControllers.length; i++) {
+            startCore(i);
+            tickController(i);
         }
     }
 
     // ---- what happens to it
 
     void crash(int i, long ms) {
-        nodes[i].core = null;
-        nodes[i].life++;
-        nodes[i].downUntil = now + ms;
-        at(now + ms, () -> {
-            if (nodes[i].core == null && now >= nodes[i].downUntil) {
-                boot(i);
+        simulatedControllers[i].core = null;
+        simulatedControllers[i].incarnation++;
+        simulatedControllers[i].downUntilMs = nowMs + ms;
+        schedule(nowMs + ms, () -> {
+            if (simulatedControllers[i].core == null && nowMs >= simulatedControllers[i].downUntilMs) {
+                startCore(i);
             }
         });
     }
 
     /** Cuts a controller off, together with the workers that report to it now. */
-    void maroon(int node) {
-        island = node;
-        refused[node] = true;
-        workers.values().stream().filter(m -> m.node == node).forEach(m -> marooned.add(m.name));
-        for (int i = 0; i < nodes.length; i++) {
+    void isolateWithWorkers(int node) {
+        isolatedController = node;
+        refusedByStore[node] = true;
+        workers.values().stream().filter(m -> m.controllerIndex == node).forEach(m -> isolatedWorkers.add(m.name));
+        for (int i = 0; i < simulatedControllers.length; i++) {
             if (i != node) {
-                cutMesh(node, i, true);
+                setPeerLinkDown(node, i, true);
             }
         }
     }
 
     /** The end of that. */
-    void rescue() {
-        lonely(island, false);
-        island = -1;
-        marooned.clear();
+    void endIsolation() {
+        setIsolated(isolatedController, false);
+        isolatedController = -1;
+        isolatedWorkers.clear();
     }
 
-    void cutMesh(int a, int b, boolean on) {
-        cut[a][b] = on;
-        cut[b][a] = on;
+    void setPeerLinkDown(int a, int b, boolean on) {
+        peerLinkDown[a][b] = on;
+        peerLinkDown[b][a] = on;
     }
 
     /** One direction only: what a sends does not reach b. */
-    void cutOneWay(int a, int b, boolean on) {
-        cut[a][b] = on;
+    void setOneWayPeerLinkDown(int a, int b, boolean on) {
+        peerLinkDown[a][b] = on;
     }
 
     /** What a controller says to the others from now on is held back for so long, and arrives all the same. */
-    void holdMesh(int node, long ms) {
-        meshHeldUntil[node] = now + ms;
+    void holdPeerRecords(int node, long ms) {
+        peerRecordsHeldUntilMs[node] = nowMs + ms;
     }
 
     /** A controller loses the state service and all other controllers, but not its workers and users. */
-    void lonely(int node, boolean on) {
-        refused[node] = on;
-        for (int i = 0; i < nodes.length; i++) {
+    void setIsolated(int node, boolean on) {
+        refusedByStore[node] = on;
+        for (int i = 0; i < simulatedControllers.length; i++) {
             if (i != node) {
-                cutMesh(node, i, on);
+                setPeerLinkDown(node, i, on);
             }
         }
     }
 
     /** A controller stands still while its clocks run on: all that comes to it is held back until it goes on. */
-    void still(int node, long ms) {
-        nodes[node].stillUntil = now + ms;
+    void pause(int node, long ms) {
+        simulatedControllers[node].pausedUntilMs = nowMs + ms;
     }
 
-    private void whenAwake(int node, Runnable r) {
-        if (now < nodes[node].stillUntil) {
-            at(nodes[node].stillUntil, r);
+    private void afterPause(int node, Runnable r) {
+        if (nowMs < simulatedControllers[node].pausedUntilMs) {
+            schedule(simulatedControllers[node].pausedUntilMs, r);
         } else {
             r.run();
         }
     }
 
     /** From its next start on. */
-    void setClock(int node, long offMs) {
-        nodes[node].wallOff = offMs;
+    void setClockOffset(int node, long offMs) {
+        simulatedControllers[node].wallClockOffsetMs = offMs;
     }
 
     /** Sends a message of a worker's once more, as a copy that was long on its way; nobody waits for its answer. */
-    void copy(int node, Map<String, Object> report) {
-        ask(node, "POST", "/hello", MessagePackCodec.encode(report), (s, m) -> {});
+    void sendDuplicateReport(int node, Map<String, Object> report) {
+        sendRequest(node, "POST", "/hello", MessagePackCodec.encode(report), (s, m) -> {});
     }
 
     /** Copies of all kept reports come to every controller, the oldest first. */
-    void copiesToAll() {
-        List<byte[]> all = List.copyOf(kept);
-        for (int i = 0; i < nodes.length; i++) {
+    void replayKeptReportsToAll() {
+        List<byte[]> all = List.copyOf(keptReports);
+        for (int i = 0; i < simulatedControllers.length; i++) {
             for (byte[] r : all) {
-                ask(i, "POST", "/hello", r, (s, m) -> {});
+                sendRequest(i, "POST", "/hello", r, (s, m) -> {});
             }
         }
     }
 
     /** The controller that a machine's shard names as its owner. */
-    int owner(FakeWorker w) {
-        for (int i = 0; i < nodes.length; i++) {
-            if (nodes[i].core != null
-                    && tell(i, "POST", "/hello", FakeWorker.report(w.name, w.zone, 0))
+    int ownerOf(FakeWorker w) {
+        for (int i = 0; i < simulatedControllers.length; i++) {
+            if (simulatedControllers[i].core != null
+                    && requestAndWait(i, "POST", "/hello", FakeWorker.report(w.name, w.zone, 0))
                             .startsWith("200")) {
                 return i;
             }
@@ -286,24 +287,25 @@
      * Asks every controller that says it is ready about every accepted job, each again for so long; what got no 200 by then is
      * forgotten, whoever else is answered.
      */
-    List<String> unanswered(long patienceMs) {
+    List<String> unansweredJobs(long patienceMs) {
         List<String> open = new ArrayList<>();
-        for (int i = 0; i < nodes.length; i++) {
-            if (nodes[i].core != null && tell(i, "GET", "/ready", null).startsWith("200")) {
-                for (UserJob j : jobs.values()) {
+        for (int i = 0; i < simulatedControllers.length; i++) {
+            if (simulatedControllers[i].core != null
+                    && requestAndWait(i, "GET", "/ready", null).startsWith("200")) {
+                for (TrackedJob j : jobs.values()) {
                     if (j.accepted) {
                         open.add(i + " " + j.id);
                     }
                 }
             }
         }
-        long end = now + patienceMs;
-        while (!open.isEmpty() && now < end) {
+        long end = nowMs + patienceMs;
+        while (!open.isEmpty() && nowMs < end) {
             List<String> answered = new ArrayList<>();
             for (String x : open) {
                 String id = x.substring(x.indexOf(' ') + 1);
                 int node = Integer.parseInt(x.substring(0, x.indexOf(' ')));
-                question(node, AnswerHistory.Kind.POLL, jobs.get(id), status -> {
+                sendCheckedRequest(node, AnswerHistory.RequestKind.POLL, jobs.get(id), status -> {
                     if (status == 200) {
                         answered.add(x);
                     }
@@ -317,9 +319,9 @@
 
     /** The description may be changed until time goes on. */
     Map<String, Object> submit(String id, String shape, int tasks, String rank, boolean spread, boolean oneZone) {
-        UserJob j = new UserJob();
+        TrackedJob j = new TrackedJob();
         j.id = id;
-        j.tasks = tasks;
+        j.taskCount = tasks;
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("name_id", id);
         m.put("lane", "l-" + shape);
@@ -340,13 +342,13 @@
         m.put("mark_every_s", 0.0);
         m.put("mark_take_s", 0.0);
         j.body = m;
-        j.askAt = now;
+        j.nextRequestMs = nowMs;
         jobs.put(id, j);
         return m;
     }
 
     /** A submission as a user would write it. */
-    static Map<String, Object> body(String id, String shape, int tasks, String team) {
+    static Map<String, Object> submission(String id, String shape, int tasks, String team) {
         Map<String, Object> m = birchusher.TestJobs.job();
         m.put("name_id", id);
         m.put("shape", shape);
@@ -356,20 +358,20 @@
     }
 
     /** A job that somebody else submits: its tasks may run, and nobody here polls for it. */
-    void foreign(Map<String, Object> body) {
-        UserJob j = new UserJob();
+    void registerUnpolledJob(Map<String, Object> body) {
+        TrackedJob j = new TrackedJob();
         j.id = (String) body.get("name_id");
-        j.tasks = ((Number) body.get("pieces")).intValue();
+        j.taskCount = ((Number) body.get("pieces")).intValue();
         j.body = body;
         j.accepted = true;
-        j.askAt = Long.MAX_VALUE;
+        j.nextRequestMs = Long.MAX_VALUE;
         jobs.putIfAbsent(j.id, j);
     }
 
     /** Sends one request and waits for its answer: the status, then the stage or the orders. */
-    String tell(int node, String method, String path, Map<String, Object> body) {
+    String requestAndWait(int node, String method, String path, Map<String, Object> body) {
         String[] got = new String[1];
-        ask(node, method, path, body == null ? new byte[0] : MessagePackCodec.encode(body), (status, m) -> {
+        sendRequest(node, method, path, body == null ? new byte[0] : MessagePackCodec.encode(body), (status, m) -> {
             StringBuilder sb = new StringBuilder().append(status);
             if (m.get("stage") != null) {
                 sb.append(' ').append(m.get("stage"));
@@ -378,7 +380,7 @@
                 sb.append(' ').append(m.get("error"));
             }
             if (m.get("orders") != null) {
-                for (Object o : list(m.get("orders"))) {
+                for (Object o : asList(m.get("orders"))) {
                     Map<String, Object> x = Fields.map(o, "order");
                     sb.append(' ').append(x.get("verb")).append(' ').append(x.get("piece"));
                 }
@@ -391,32 +393,32 @@
         return got[0];
     }
 
-    void cancel(String id) {
-        jobs.get(id).wantsCancel = true;
+    void requestCancellation(String id) {
+        jobs.get(id).cancelRequested = true;
     }
 
     /** Cancels through one controller; whether it confirmed. */
-    boolean withdraw(int node, String id) {
-        UserJob j = jobs.get(id);
-        j.wantsCancel = true;
-        int before = j.told.answers();
-        question(node, AnswerHistory.Kind.CANCEL, j);
-        for (int i = 0; i < 100 && j.told.answers() == before; i++) {
+    boolean cancelAndWait(int node, String id) {
+        TrackedJob j = jobs.get(id);
+        j.cancelRequested = true;
+        int before = j.history.answerCount();
+        sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, j);
+        for (int i = 0; i < 100 && j.history.answerCount() == before; i++) {
             run(50);
         }
-        return j.cancelledAt >= 0;
+        return j.cancelledAtMs >= 0;
     }
 
-    String state(String id) {
-        return jobs.get(id).told.last();
+    String reportedState(String id) {
+        return jobs.get(id).history.lastStage();
     }
 
-    boolean cancelled(String id) {
-        return jobs.get(id).cancelledAt >= 0;
+    boolean isCancelled(String id) {
+        return jobs.get(id).cancelledAtMs >= 0;
     }
 
     /** The last term given to an owner of workers. */
-    String term() {
+    String latestTermRow() {
         return store.dump()
                 .lines()
                 .filter(l -> l.startsWith("b/live/term"))
@@ -425,129 +427,134 @@
     }
 
     void run(long ms) {
-        long end = now + ms;
-        while (!queue.isEmpty() && queue.peek().at <= end) {
-            Timed t = queue.poll();
-            now = Math.max(now, t.at);
-            t.run.run();
+        long end = nowMs + ms;
+        while (!scheduledActions.isEmpty() && scheduledActions.peek().atMs <= end) {
+            ScheduledAction t = scheduledActions.poll();
+            nowMs = Math.max(nowMs, t.atMs);
+            t.action.run();
         }
-        now = end;
+        nowMs = end;
     }
 
     // ---- time
 
-    void at(long when, Runnable r) {
-        queue.add(new Timed(when, seq++, r));
+    void schedule(long when, Runnable r) {
+        scheduledActions.add(new ScheduledAction(when, nextSequence++, r));
     }
 
-    private void boot(int i) {
-        Settings s = SettingsReader.read(json(i).getBytes(StandardCharsets.UTF_8));
-        nodes[i].core = new Core(s, new Tuning(), now, wall(i));
-        nodes[i].life++;
+    private void startCore(int i) {
+        Settings s = SettingsReader.read(settingsJson(i).getBytes(StandardCharsets.UTF_8));
+        simulatedControllers[i].core = new Core(s, new Tuning(), nowMs, wallClockMs(i));
+        simulatedControllers[i].incarnation++;
     }
 
-    private long wall(int i) {
-        return 1_700_000_000_000L + now + nodes[i].wallOff;
+    private long wallClockMs(int i) {
+        return 1_700_000_000_000L + nowMs + simulatedControllers[i].wallClockOffsetMs;
     }
 
-    private void every(int i) {
-        if (nodes[i].core != null && now >= nodes[i].stillUntil) {
-            act(i, nodes[i].core.tick(now, wall(i)));
+    private void tickController(int i) {
+        if (simulatedControllers[i].core != null && nowMs >= simulatedControllers[i].pausedUntilMs) {
+            applyEffects(i, simulatedControllers[i].core.tick(nowMs, wallClockMs(i)));
         }
-        at(now + 50, () -> every(i));
+        schedule(nowMs + 50, () -> tickController(i));
     }
 
-    private void everything() {
-        store.tick(now);
+    private void stepStandIns() {
+        store.tick(nowMs);
         for (FakeWorker w : List.copyOf(workers.values())) {
-            if (w.advance(now) && !w.reporting && now >= w.nextReport) {
-                hello(w);
+            if (w.advance(nowMs) && !w.reportInFlight && nowMs >= w.nextReportMs) {
+                sendReport(w);
             }
         }
-        jobs.values().forEach(this::gang);
-        jobs.values().forEach(this::user);
-        checks();
-        at(now + 100, this::everything);
+        jobs.values().forEach(this::stepGang);
+        jobs.values().forEach(this::sendNextUserRequest);
+        checkInvariants();
+        schedule(nowMs + 100, this::stepStandIns);
     }
 
-    private boolean lost() {
-        return random.nextDouble() < loss;
+    private boolean drawLoss() {
+        return random.nextDouble() < messageLossRate;
     }
 
     /** Mostly a few ms; now and then a message is held back for long and still arrives. */
-    private long delay() {
-        return random.nextDouble() < late ? 2_000 + random.nextInt(40_000) : 1 + random.nextInt(8);
+    private long drawDelayMs() {
+        return random.nextDouble() < longDelayRate ? 2_000 + random.nextInt(40_000) : 1 + random.nextInt(8);
     }
 
     // ---- the cores' effects
 
-    private void act(int i, List<Effect> effects) {
-        int life = nodes[i].life;
+    private void applyEffects(int i, List<Effect> effects) {
+        int life = simulatedControllers[i].incarnation;
         for (Effect e : effects) {
             if (e instanceof Effect.Answer a) {
-                var x = exchanges.remove(a.exchange());
+                var x = replyHandlers.remove(a.exchange());
                 if (x != null) {
-                    at(now + 2, () -> x.accept(a.status(), plain(a.body())));
+                    schedule(nowMs + 2, () -> x.accept(a.status(), encodedCopy(a.body())));
                 }
             } else if (e instanceof Effect.Send s) {
-                int to = member(i, s.peer());
-                if (toldImages != null && PeerCodec.decode(s.record()).record() instanceof PeerRecord.Heartbeat h) {
-                    h.machines().forEach(m -> toldImages.accept(m.name(), m.images()));
+                int to = controllerIndex(i, s.peer());
+                if (onPublishedImages != null
+                        && PeerCodec.decode(s.record()).record() instanceof PeerRecord.Heartbeat h) {
+                    h.machines().forEach(m -> onPublishedImages.accept(m.name(), m.images()));
                 }
-                if (lateRecords > 0 && random.nextDouble() < lateRecords) {
-                    at(now + random.nextInt(20_000), () -> deliver(to, s.record()));
+                if (duplicatePeerRecordRate > 0 && random.nextDouble() < duplicatePeerRecordRate) {
+                    schedule(nowMs + random.nextInt(20_000), () -> deliverPeerRecord(to, s.record()));
                 }
-                if (!cut[i][to] && !lost()) {
-                    at(
-                            Math.max(now, meshHeldUntil[i]) + 1 + random.nextInt(3),
-                            () -> whenAwake(to, () -> deliver(to, s.record())));
+                if (!peerLinkDown[i][to] && !drawLoss()) {
+                    schedule(
+                            Math.max(nowMs, peerRecordsHeldUntilMs[i]) + 1 + random.nextInt(3),
+                            () -> afterPause(to, () -> deliverPeerRecord(to, s.record())));
                 }
             } else if (e instanceof Effect.Call c) {
-                call(i, life, c);
+                performCall(i, life, c);
             }
         }
     }
 
-    private void deliver(int to, byte[] record) {
-        if (nodes[to].core != null) {
-            act(to, nodes[to].core.handlePeerRecord(now, wall(to), record));
+    private void deliverPeerRecord(int to, byte[] record) {
+        if (simulatedControllers[to].core != null) {
+            applyEffects(to, simulatedControllers[to].core.handlePeerRecord(nowMs, wallClockMs(to), record));
         }
     }
 
-    private static int member(int self, int peer) {
+    private static int controllerIndex(int self, int peer) {
         return peer <= self ? peer - 1 : peer;
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> plain(Object body) {
+    private static Map<String, Object> encodedCopy(Object body) {
         return body == null ? Map.of() : (Map<String, Object>) MessagePackCodec.decode(MessagePackCodec.encode(body));
     }
 
-    private void call(int i, int life, Effect.Call c) {
-        Map<String, Object> body = c.body() == null ? Map.of() : plain(c.body());
+    private void performCall(int i, int life, Effect.Call c) {
+        Map<String, Object> body = c.body() == null ? Map.of() : encodedCopy(c.body());
         boolean[] answered = new boolean[1];
-        long sentAt = now;
+        long sentAt = nowMs;
         java.util.function.BiConsumer<Integer, Map<String, Object>> back = (status, m) -> {
-            if (now < nodes[i].stillUntil) {
+            if (nowMs < simulatedControllers[i].pausedUntilMs) {
                 return;
             }
-            if (!answered[0] && nodes[i].life == life && nodes[i].core != null) {
+            if (!answered[0] && simulatedControllers[i].incarnation == life && simulatedControllers[i].core != null) {
                 answered[0] = true;
-                keepsSeat(i, c, status, sentAt);
-                act(
+                recordMemberLease(i, c, status, sentAt);
+                applyEffects(
                         i,
-                        nodes[i].core.handleReply(
-                                now, wall(i), c.id(), status, m.isEmpty() ? new byte[0] : MessagePackCodec.encode(m)));
+                        simulatedControllers[i].core.handleReply(
+                                nowMs,
+                                wallClockMs(i),
+                                c.id(),
+                                status,
+                                m.isEmpty() ? new byte[0] : MessagePackCodec.encode(m)));
             }
         };
-        at(now + c.timeoutMs(), () -> whenAwake(i, () -> back.accept(0, Map.of())));
+        schedule(nowMs + c.timeoutMs(), () -> afterPause(i, () -> back.accept(0, Map.of())));
         transport(i, c, body, back);
     }
 
     /** Since when a controller's seat stands for sure, by the lease request that was answered last. */
-    final void keepsSeat(int i, Effect.Call c, int status, long sentAt) {
+    final void recordMemberLease(int i, Effect.Call c, int status, long sentAt) {
         if (status == 200 && c.path().startsWith("/leases")) {
-            seatSince[i] = Math.max(seatSince[i], sentAt);
+            memberLeaseSinceMs[i] = Math.max(memberLeaseSinceMs[i], sentAt);
         }
     }
 
@@ -560,69 +567,74 @@
             Effect.Call c,
             Map<String, Object> body,
             java.util.function.BiConsumer<Integer, Map<String, Object>> back) {
-        if (lost()) {
+        if (drawLoss()) {
             return;
         }
-        if (c.destination() == Effect.Destination.WORKER && i >= 0 && fromWorkers[i]) {
+        if (c.destination() == Effect.Destination.WORKER && i >= 0 && cutOffFromWorkers[i]) {
             return;
         }
         if (c.destination() == Effect.Destination.WORKER
-                && i != island
-                && marooned.contains(c.address().split(":")[0])) {
+                && i != isolatedController
+                && isolatedWorkers.contains(c.address().split(":")[0])) {
             return;
         }
         boolean store = c.destination() == Effect.Destination.STORE || c.destination() == Effect.Destination.WATCH;
-        if (store && refused[i]) {
-            at(now + 2, () -> back.accept(503, Map.of()));
+        if (store && refusedByStore[i]) {
+            schedule(nowMs + 2, () -> back.accept(503, Map.of()));
             return;
         }
-        if (lateWrites > 0 && c.path().equals("/multi") && random.nextDouble() < lateWrites) {
-            at(now + 2_000 + random.nextInt(10_000), () -> serve(c, body, (status, m) -> {}));
+        if (lateTransactionRate > 0 && c.path().equals("/multi") && random.nextDouble() < lateTransactionRate) {
+            schedule(nowMs + 2_000 + random.nextInt(10_000), () -> dispatchCall(c, body, (status, m) -> {}));
             return;
         }
-        if (lostAnswers > 0 && c.path().equals("/multi") && random.nextDouble() < lostAnswers) {
-            at(now + 1, () -> serve(c, body, (status, m) -> {}));
+        if (lostTransactionReplyRate > 0
+                && c.path().equals("/multi")
+                && random.nextDouble() < lostTransactionReplyRate) {
+            schedule(nowMs + 1, () -> dispatchCall(c, body, (status, m) -> {}));
             return;
         }
-        long held = c.destination() == Effect.Destination.WORKER ? straightMs + commandsHeldMs(c.address()) : 0;
-        held += store && storeSlowMs > 0 ? random.nextInt(storeSlowMs) : 0;
-        int answerMs = c.destination() == Effect.Destination.CLOUD && cloudSlowMs > 0 ? random.nextInt(cloudSlowMs) : 0;
-        at(
-                now + delay() + held,
-                () -> serve(c, body, (status, m) -> {
-                    if (!lost() && (c.destination() == Effect.Destination.WATCH || !(store && refused[i]))) {
-                        Map<String, Object> copy = plain(m);
+        long held =
+                c.destination() == Effect.Destination.WORKER ? directCommandDelayMs + commandDelayMs(c.address()) : 0;
+        held += store && maxExtraStoreDelayMs > 0 ? random.nextInt(maxExtraStoreDelayMs) : 0;
+        int answerMs = c.destination() == Effect.Destination.CLOUD && maxCloudReplyDelayMs > 0
+                ? random.nextInt(maxCloudReplyDelayMs)
+                : 0;
+        schedule(
+                nowMs + drawDelayMs() + held,
+                () -> dispatchCall(c, body, (status, m) -> {
+                    if (!drawLoss() && (c.destination() == Effect.Destination.WATCH || !(store && refusedByStore[i]))) {
+                        Map<String, Object> copy = encodedCopy(m);
                         boolean watch = c.path().startsWith("/watch");
-                        at(
-                                now + answerMs + 1 + random.nextInt(5),
+                        schedule(
+                                nowMs + answerMs + 1 + random.nextInt(5),
                                 watch
-                                        ? () -> served(i, () -> back.accept(status, copy))
+                                        ? () -> answerWatch(i, () -> back.accept(status, copy))
                                         : () -> back.accept(status, copy));
                     }
                 }));
     }
 
     /** An open watch of a controller that is refused stays open, and then tells at once what it would have told by then. */
-    private void served(int i, Runnable answer) {
-        if (refused[i] || readsHeld || lagging[i]) {
-            at(now + 100, () -> served(i, answer));
+    private void answerWatch(int i, Runnable answer) {
+        if (refusedByStore[i] || storeReadsHeld || viewLagging[i]) {
+            schedule(nowMs + 100, () -> answerWatch(i, answer));
         } else {
             answer.run();
         }
     }
 
-    private void serve(
+    private void dispatchCall(
             Effect.Call c,
             Map<String, Object> body,
             java.util.function.BiConsumer<Integer, Map<String, Object>> reply) {
         switch (c.destination()) {
-            case STORE, WATCH -> store.handle(now, c.method(), c.path(), body, reply);
-            case CLOUD -> cloud(c.path(), body, reply);
-            default -> straight(c.address(), c.path(), body, reply);
+            case STORE, WATCH -> store.handle(nowMs, c.method(), c.path(), body, reply);
+            case CLOUD -> handleCloudRequest(c.path(), body, reply);
+            default -> handleDirectCommand(c.address(), c.path(), body, reply);
         }
     }
 
-    private void cloud(
+    private void handleCloudRequest(
             String path, Map<String, Object> body, java.util.function.BiConsumer<Integer, Map<String, Object>> reply) {
         if (path.equals("/machine_types")) {
             reply.accept(
@@ -656,12 +668,12 @@
                                     })
                                     .toList()));
         } else if (path.equals("/rentals")) {
-            List<Object> hosts = rentals.computeIfAbsent((String) body.get("ask"), k -> {
+            List<Object> hosts = machinesByRentalRequest.computeIfAbsent((String) body.get("ask"), k -> {
                 List<Object> l = new ArrayList<>();
                 for (long n = (Long) body.get("how_many");
-                        n > 0 && workers.size() < (machines > 0 ? machines : Math.max(40, teamLimit));
+                        n > 0 && workers.size() < (maxMachines > 0 ? maxMachines : Math.max(40, teamGpuLimit));
                         n--) {
-                    String name = String.format("n-%06d", nextMachine++);
+                    String name = String.format("n-%06d", nextMachineNumber++);
                     l.add(name);
                     workers.put(
                             name,
@@ -670,28 +682,28 @@
                                     name,
                                     (String) body.get("grove"),
                                     (Boolean) body.get("loaners"),
-                                    never > 0 && random.nextDouble() < never
+                                    neverReadyRate > 0 && random.nextDouble() < neverReadyRate
                                             ? Long.MAX_VALUE / 2
-                                            : now
-                                                    + (upAtOnce
+                                            : nowMs
+                                                    + (fastBoot
                                                             ? 200 + random.nextInt(1_500)
-                                                            : Math.round(
-                                                                    slowBoots * (4_000 + random.nextInt(9_000))))));
-                    rented++;
-                    rented(workers.get(name));
+                                                            : Math.round(bootTimeFactor
+                                                                    * (4_000 + random.nextInt(9_000))))));
+                    machineRented++;
+                    machineRented(workers.get(name));
                 }
                 return l;
             });
             reply.accept(200, Map.of("hosts", hosts));
-        } else if (path.equals("/rentals/delete") && keepsAll) {
+        } else if (path.equals("/rentals/delete") && cloudRefusesDeletions) {
             reply.accept(503, Map.of("error", "trouble"));
         } else if (path.equals("/rentals/delete")) {
             Fields.list(body, "hosts").forEach(h -> {
                 FakeWorker w = workers.remove(h);
                 if (w != null) {
                     w.deleted = true;
-                    returnedWithWork += now >= w.hungUntil
-                                    && w.alive(now)
+                    machinesReturnedWithTasks += nowMs >= w.hungUntilMs
+                                    && w.holdsLease(nowMs)
                                     && w.tasks.values().stream().anyMatch(t -> !t.exited())
                             ? 1
                             : 0;
@@ -703,27 +715,27 @@
         }
     }
 
-    private long commandsHeldMs(String address) {
+    private long commandDelayMs(String address) {
         FakeWorker w = workers.get(address.substring(0, address.indexOf(':')));
-        return w == null ? 0 : w.commandsHeldMs;
+        return w == null ? 0 : w.commandDelayMs;
     }
 
     /** A machine was rented. */
-    void rented(FakeWorker worker) {}
+    void machineRented(FakeWorker worker) {}
 
     /** A command sent straight to a worker; one that hangs carries it out when it goes on. */
-    private void straight(
+    private void handleDirectCommand(
             String address,
             String path,
             Map<String, Object> body,
             java.util.function.BiConsumer<Integer, Map<String, Object>> reply) {
         FakeWorker w = workers.get(address.substring(0, address.indexOf(':')));
-        if (w == null || w.deaf) {
+        if (w == null || w.cannotReceive) {
             return;
         }
-        if (!w.advance(now)) {
+        if (!w.advance(nowMs)) {
             if (!w.deleted) {
-                at(Math.max(now + 100, w.hungUntil), () -> straight(address, path, body, reply));
+                schedule(Math.max(nowMs + 100, w.hungUntilMs), () -> handleDirectCommand(address, path, body, reply));
             }
             return;
         }
@@ -732,81 +744,86 @@
             return;
         }
         long token = (Long) body.get("baton");
-        if (token < w.token || (Long) body.get("tenure") != w.session) {
+        if (token < w.fencingToken || (Long) body.get("tenure") != w.session) {
             reply.accept(409, w.report());
             return;
         }
-        w.token = token;
-        w.execute(list(body.get("orders")), now);
+        w.fencingToken = token;
+        w.execute(asList(body.get("orders")), nowMs);
         reply.accept(200, w.report());
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Object> list(Object o) {
+    private static List<Object> asList(Object o) {
         return (List<Object>) o;
     }
 
     // ---- workers
 
-    private void hello(FakeWorker w) {
-        w.reporting = true;
-        w.nextReport = now + 3_000;
-        long sent = now;
+    private void sendReport(FakeWorker w) {
+        w.reportInFlight = true;
+        w.nextReportMs = nowMs + 3_000;
+        long sent = nowMs;
         long session = w.session;
         byte[] report = MessagePackCodec.encode(w.report());
-        int to = w.node;
-        if (keepsReports && kept.size() < 600) {
-            kept.add(report);
+        int to = w.controllerIndex;
+        if (keepReports && keptReports.size() < 600) {
+            keptReports.add(report);
         }
         boolean[] over = new boolean[1];
-        long[] answeredAt = {now};
+        long[] answeredAt = {nowMs};
         java.util.function.BiConsumer<Integer, Map<String, Object>> back = (status, m) -> {
             if (over[0]) {
                 return;
             }
             over[0] = true;
-            w.reporting = false;
-            if (!w.advance(now) || w.session != session) {
+            w.reportInFlight = false;
+            if (!w.advance(nowMs) || w.session != session) {
                 return;
             }
-            if (status == 200 && answeredAt[0] - seatSince[to] > SEAT_MS) {
-                broken.add("answered a worker without a seat: perch-" + to);
+            if (status == 200 && answeredAt[0] - memberLeaseSinceMs[to] > MEMBER_LEASE_MS) {
+                violations.add("answered a worker without a seat: perch-" + to);
             }
             if (status == 200) {
                 long token = m.get("baton") == null ? -1 : (Long) m.get("baton");
-                if (token >= w.token) {
-                    if (token > w.token) {
-                        w.tokenChanged(now);
+                if (token >= w.fencingToken) {
+                    if (token > w.fencingToken) {
+                        w.tokenChanged(nowMs);
                     }
-                    w.token = token;
-                    w.leaseFrom = sent;
-                    w.execute(list(m.get("orders")), now);
-                    w.nextReport = Math.max(w.nextReport, sent + 500);
+                    w.fencingToken = token;
+                    w.leaseStartMs = sent;
+                    w.execute(asList(m.get("orders")), nowMs);
+                    w.nextReportMs = Math.max(w.nextReportMs, sent + 500);
                 }
             } else if (status == 421 && m.get("usher") != null) {
-                w.node = Integer.parseInt(((String) m.get("usher")).substring(6));
-                w.nextReport = now + 200;
+                w.controllerIndex = Integer.parseInt(((String) m.get("usher")).substring(6));
+                w.nextReportMs = nowMs + 200;
             } else {
-                w.node = (w.node + 1) % nodes.length;
-                w.nextReport = now + 1_000;
+                w.controllerIndex = (w.controllerIndex + 1) % simulatedControllers.length;
+                w.nextReportMs = nowMs + 1_000;
             }
         };
-        at(now + 4_000, () -> back.accept(0, Map.of()));
-        if (copies > 0 && random.nextDouble() < copies) {
-            at(now + 1_000 + random.nextInt(60_000), () -> ask(to, "POST", "/hello", report, (s, m) -> {}));
+        schedule(nowMs + 4_000, () -> back.accept(0, Map.of()));
+        if (duplicateReportRate > 0 && random.nextDouble() < duplicateReportRate) {
+            schedule(
+                    nowMs + 1_000 + random.nextInt(60_000),
+                    () -> sendRequest(to, "POST", "/hello", report, (s, m) -> {}));
         }
-        if (!lost() && !w.mute && !fromWorkers[to] && (to == island || !marooned.contains(w.name))) {
-            at(
-                    now + w.reportsHeldMs + delay(),
-                    () -> ask(to, "POST", "/hello", report, (s, m) -> {
-                        answeredAt[0] = now;
-                        if (w.resetBy.contains(to)) {
+        if (!drawLoss()
+                && !w.cannotReport
+                && !cutOffFromWorkers[to]
+                && (to == isolatedController || !isolatedWorkers.contains(w.name))) {
+            schedule(
+                    nowMs + w.reportDelayMs + drawDelayMs(),
+                    () -> sendRequest(to, "POST", "/hello", report, (s, m) -> {
+                        answeredAt[0] = nowMs;
+                        if (w.connectionsResetBy.contains(to)) {
                             back.accept(0, Map.of());
-                        } else if (!lost() && !w.deaf) {
-                            at(
-                                    now
+                        } else if (!drawLoss() && !w.cannotReceive) {
+                            schedule(
+                                    nowMs
                                             + 2
-                                            + (lateAnswers > 0 && random.nextDouble() < lateAnswers
+                                            + (lateResponseRate > 0 && random.nextDouble() < lateResponseRate
                                                     ? random.nextInt(3_900)
                                                     : 0),
                                     () -> back.accept(s, m));
@@ -815,91 +832,96 @@
         }
     }
 
-    void ask(
+    void sendRequest(
             int node,
             String method,
             String path,
             byte[] body,
             java.util.function.BiConsumer<Integer, Map<String, Object>> reply) {
-        if (now < nodes[node].stillUntil) {
-            at(nodes[node].stillUntil, () -> ask(node, method, path, body, reply));
-        } else if (nodes[node].core != null) {
-            long x = nextExchange++;
-            exchanges.put(x, reply);
-            act(node, nodes[node].core.handleRequest(now, wall(node), x, method, path, body));
+        if (nowMs < simulatedControllers[node].pausedUntilMs) {
+            schedule(simulatedControllers[node].pausedUntilMs, () -> sendRequest(node, method, path, body, reply));
+        } else if (simulatedControllers[node].core != null) {
+            long x = nextExchangeId++;
+            replyHandlers.put(x, reply);
+            applyEffects(
+                    node,
+                    simulatedControllers[node].core.handleRequest(nowMs, wallClockMs(node), x, method, path, body));
         }
     }
 
     // ---- users
 
-    private void user(UserJob j) {
-        if (now < j.askAt) {
+    private void sendNextUserRequest(TrackedJob j) {
+        if (nowMs < j.nextRequestMs) {
             return;
         }
-        j.askAt = now + 1_500;
-        int node = random.nextInt(nodes.length);
+        j.nextRequestMs = nowMs + 1_500;
+        int node = random.nextInt(simulatedControllers.length);
         if (!j.accepted) {
-            question(node, AnswerHistory.Kind.SUBMIT, j);
-        } else if (j.wantsCancel && j.cancelledAt < 0) {
-            question(node, AnswerHistory.Kind.CANCEL, j);
+            sendCheckedRequest(node, AnswerHistory.RequestKind.SUBMIT, j);
+        } else if (j.cancelRequested && j.cancelledAtMs < 0) {
+            sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, j);
         } else {
-            question(node, AnswerHistory.Kind.POLL, j);
-            ask(node, "GET", "/v2/runs/wk-nobody", new byte[0], (s, m) -> {
+            sendCheckedRequest(node, AnswerHistory.RequestKind.POLL, j);
+            sendRequest(node, "GET", "/v2/runs/wk-nobody", new byte[0], (s, m) -> {
                 if (s == 200) {
-                    broken.add("invented");
+                    violations.add("invented");
                 }
             });
         }
     }
 
     /** One request of a user's about a job, its answer held against all that was told before it was sent. */
-    private void question(int node, AnswerHistory.Kind kind, UserJob j) {
-        question(node, kind, j, status -> {});
+    private void sendCheckedRequest(int node, AnswerHistory.RequestKind kind, TrackedJob j) {
+        sendCheckedRequest(node, kind, j, status -> {});
     }
 
-    private void question(int node, AnswerHistory.Kind kind, UserJob j, java.util.function.IntConsumer then) {
-        AnswerHistory.Question q = j.told.ask(kind);
+    private void sendCheckedRequest(
+            int node, AnswerHistory.RequestKind kind, TrackedJob j, java.util.function.IntConsumer then) {
+        AnswerHistory.SentRequest q = j.history.requestSent(kind);
         String path = "/v2/runs"
-                + (kind == AnswerHistory.Kind.SUBMIT
+                + (kind == AnswerHistory.RequestKind.SUBMIT
                         ? ""
-                        : "/" + j.id + (kind == AnswerHistory.Kind.CANCEL ? "/withdraw" : ""));
-        byte[] body = kind == AnswerHistory.Kind.SUBMIT ? MessagePackCodec.encode(j.body) : new byte[0];
-        ask(node, kind == AnswerHistory.Kind.POLL ? "GET" : "POST", path, body, (s, m) -> {
-            String before = j.told.last();
-            String wrong = j.told.answered(q, s, (String) m.get("stage"));
+                        : "/" + j.id + (kind == AnswerHistory.RequestKind.CANCEL ? "/withdraw" : ""));
+        byte[] body = kind == AnswerHistory.RequestKind.SUBMIT ? MessagePackCodec.encode(j.body) : new byte[0];
+        sendRequest(node, kind == AnswerHistory.RequestKind.POLL ? "GET" : "POST", path, body, (s, m) -> {
+            String before = j.history.lastStage();
+            String wrong = j.history.checkAnswer(q, s, (String) m.get("stage"));
             if (wrong != null) {
-                broken.add(wrong + ": " + j.id + " by perch-" + node);
+                violations.add(wrong + ": " + j.id + " by perch-" + node);
             }
             if (s == 200 || s == 201) {
                 j.accepted = true;
-                heard(j, (String) m.get("stage"));
+                checkReportedStage(j, (String) m.get("stage"));
             }
-            boolean news = before == null ? j.told.last() != null : j.told.ended() && !before.equals(j.told.last());
-            if (closeLooks && news) {
-                lookClosely(j);
+            boolean news = before == null
+                    ? j.history.lastStage() != null
+                    : j.history.hasEnded() && !before.equals(j.history.lastStage());
+            if (recheckAtAllControllers && news) {
+                requestAtAllControllers(j);
             }
             then.accept(s);
         });
     }
 
     /** Asks all controllers about a job, each three times within 20 ms. */
-    void look(String id) {
-        lookClosely(jobs.get(id));
+    void recheckEverywhere(String id) {
+        requestAtAllControllers(jobs.get(id));
     }
 
     /** Cancels through one controller without waiting for the answer. */
-    void cancelAt(int node, String id) {
-        jobs.get(id).wantsCancel = true;
-        question(node, AnswerHistory.Kind.CANCEL, jobs.get(id));
+    void sendCancellation(int node, String id) {
+        jobs.get(id).cancelRequested = true;
+        sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, jobs.get(id));
     }
 
     /** Ends a job's running tasks now; the machine that had the last of them, or null if none runs. */
-    FakeWorker endNow(String id) {
+    FakeWorker endRunningTasks(String id) {
         FakeWorker last = null;
         for (FakeWorker w : workers.values()) {
             for (FakeWorker.Task t : w.tasks.values()) {
                 if (t.key.startsWith(id + "/") && t.stage.equals("running")) {
-                    t.until = now;
+                    t.phaseEndsMs = nowMs;
                     last = w;
                 }
             }
@@ -907,47 +929,48 @@
         return last;
     }
 
-    private void lookClosely(UserJob j) {
-        for (int i = 0; i < nodes.length; i++) {
+    private void requestAtAllControllers(TrackedJob j) {
+        for (int i = 0; i < simulatedControllers.length; i++) {
             int node = i;
             for (int ms : new int[] {0, 1 + random.nextInt(4), 20}) {
-                at(now + ms, () -> question(node, AnswerHistory.Kind.POLL, j));
+                schedule(nowMs + ms, () -> sendCheckedRequest(node, AnswerHistory.RequestKind.POLL, j));
             }
-            at(now + random.nextInt(6), () -> question(node, AnswerHistory.Kind.SUBMIT, j));
-            if (j.wantsCancel) {
-                at(now + random.nextInt(6), () -> question(node, AnswerHistory.Kind.CANCEL, j));
+            schedule(nowMs + random.nextInt(6), () -> sendCheckedRequest(node, AnswerHistory.RequestKind.SUBMIT, j));
+            if (j.cancelRequested) {
+                schedule(
+                        nowMs + random.nextInt(6), () -> sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, j));
             }
         }
     }
 
-    private void heard(UserJob j, String stage) {
+    private void checkReportedStage(TrackedJob j, String stage) {
         if ("cancelled".equals(stage)) {
-            if (!j.wantsCancel) {
-                broken.add("went_back: " + j.id + " cancelled by nobody");
+            if (!j.cancelRequested) {
+                violations.add("went_back: " + j.id + " cancelled by nobody");
             }
-            j.cancelledAt = j.cancelledAt < 0 ? now : j.cancelledAt;
+            j.cancelledAtMs = j.cancelledAtMs < 0 ? nowMs : j.cancelledAtMs;
         }
-        if ("done".equals(stage) && finished.getOrDefault(j.id, 0) < j.tasks) {
-            broken.add("not_done: " + j.id);
+        if ("done".equals(stage) && taskFinished.getOrDefault(j.id, 0) < j.taskCount) {
+            violations.add("not_done: " + j.id);
         }
     }
 
     /** How long a task takes to save when it is stopped; 0: it can't. */
-    double saveS(String key) {
+    double checkpointSaveS(String key) {
         Map<String, Object> body = jobs.get(key.substring(0, key.indexOf('/'))).body;
         return (Double) body.get("mark_every_s") > 0 ? (Double) body.get("mark_take_s") : 0;
     }
 
     /** Tasks of a job on machines, whatever they do there. */
-    long tasksOf(String id) {
+    long unfinishedTaskCount(String id) {
         return workers.values().stream()
-                .filter(w -> w.alive(now))
+                .filter(w -> w.holdsLease(nowMs))
                 .flatMap(w -> w.tasks.values().stream())
                 .filter(t -> t.key.startsWith(id + "/") && !t.exited())
                 .count();
     }
 
-    double cards(String key) {
+    double gpusNeeded(String key) {
         return (Double) jobs.get(key.substring(0, key.indexOf('/'))).body.get("cards");
     }
 
@@ -958,15 +981,15 @@
     }
 
     /** Tasks of one attempt start together, end together, and give up when one of them is gone. */
-    private void gang(UserJob j) {
+    private void stepGang(TrackedJob j) {
         if (!"gang".equals(j.body.get("shape"))) {
             return;
         }
         Map<Long, List<FakeWorker.Task>> attempts = new HashMap<>();
         for (FakeWorker w : workers.values()) {
             for (FakeWorker.Task t : w.tasks.values()) {
-                if (w.alive(now)
-                        && now >= w.hungUntil
+                if (w.holdsLease(nowMs)
+                        && nowMs >= w.hungUntilMs
                         && t.key.startsWith(j.id + "/")
                         && (t.stage.equals("waiting") || t.stage.equals("running"))) {
                     attempts.computeIfAbsent(t.attempt, k -> new ArrayList<>()).add(t);
@@ -975,104 +998,106 @@
         }
         attempts.values().forEach(l -> {
             boolean running = l.stream().anyMatch(t -> t.stage.equals("running"));
-            if (running && l.size() < j.tasks) {
-                end(l, "mates_gone");
-            } else if (running && now >= l.get(0).until
-                    || !running && l.size() == j.tasks && done.contains(l.get(0).key)) {
-                l.forEach(t -> finished(t.key));
-                end(l, "done");
-            } else if (!running && l.size() == j.tasks) {
-                long until = now + 8_000;
+            if (running && l.size() < j.taskCount) {
+                exitAll(l, "mates_gone");
+            } else if (running && nowMs >= l.get(0).phaseEndsMs
+                    || !running && l.size() == j.taskCount && finishedTasks.contains(l.get(0).key)) {
+                l.forEach(t -> taskFinished(t.key));
+                exitAll(l, "done");
+            } else if (!running && l.size() == j.taskCount) {
+                long until = nowMs + 8_000;
                 l.forEach(t -> {
                     t.stage = "running";
-                    t.until = until;
+                    t.phaseEndsMs = until;
                 });
             }
         });
     }
 
-    private static void end(List<FakeWorker.Task> tasks, String why) {
+    private static void exitAll(List<FakeWorker.Task> tasks, String why) {
         tasks.forEach(t -> {
             t.stage = "exited";
-            t.why = why;
+            t.cause = why;
         });
     }
 
     // ---- the rules
 
-    private final java.util.Set<String> done = new java.util.HashSet<>();
-
-    void finished(String key) {
-        if (done.add(key)) {
-            UserJob j = jobs.get(key.substring(0, key.indexOf('/')));
-            int n = finished.merge(j.id, 1, Integer::sum);
-            if (cancelAtEnd > 0 && n == j.tasks && random.nextDouble() < cancelAtEnd) {
-                j.wantsCancel = true;
-                int node = random.nextInt(nodes.length);
-                at(now + random.nextInt(1_500), () -> question(node, AnswerHistory.Kind.CANCEL, j));
+    private final java.util.Set<String> finishedTasks = new java.util.HashSet<>();
+
+    void taskFinished(String key) {
+        if (finishedTasks.add(key)) {
+            TrackedJob j = jobs.get(key.substring(0, key.indexOf('/')));
+            int n = taskFinished.merge(j.id, 1, Integer::sum);
+            if (cancelAtCompletionRate > 0 && n == j.taskCount && random.nextDouble() < cancelAtCompletionRate) {
+                j.cancelRequested = true;
+                int node = random.nextInt(simulatedControllers.length);
+                schedule(
+                        nowMs + random.nextInt(1_500),
+                        () -> sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, j));
             }
         }
     }
 
-    long runMs(String key) {
-        UserJob j = jobs.get(key.substring(0, key.indexOf('/')));
-        if (runs.containsKey(key) && !done.contains(key)) {
-            return runs.get(key);
+    long runTimeMs(String key) {
+        TrackedJob j = jobs.get(key.substring(0, key.indexOf('/')));
+        if (fixedRunTimesMs.containsKey(key) && !finishedTasks.contains(key)) {
+            return fixedRunTimesMs.get(key);
         }
         return "standing".equals(j.body.get("shape"))
                 ? Long.MAX_VALUE / 4
-                : done.contains(key) ? 1 : 4_000 + random.nextInt(8_000);
+                : finishedTasks.contains(key) ? 1 : 4_000 + random.nextInt(8_000);
     }
 
-    void started(FakeWorker w, FakeWorker.Task t) {
-        starts++;
-        reruns += done.contains(t.key) ? 1 : 0;
+    void taskStarted(FakeWorker w, FakeWorker.Task t) {
+        taskStarts++;
+        rerunsOfFinishedTasks += finishedTasks.contains(t.key) ? 1 : 0;
         String id = t.key.substring(0, t.key.indexOf('/'));
-        UserJob j = jobs.get(id);
+        TrackedJob j = jobs.get(id);
         Map<String, Integer> zones = new HashMap<>();
         for (FakeWorker o : workers.values()) {
-            o.advanceLeaseOnly(now);
+            o.exitTasksIfLeaseExpired(nowMs);
             for (FakeWorker.Task x : o.tasks.values()) {
                 if (!x.exited() && !x.stage.equals("fetching") && x.key.startsWith(id + "/")) {
                     if (x != t && x.key.equals(t.key)) {
-                        broken.add("ran_twice: " + t.key + " on " + w.name + " and " + o.name);
+                        violations.add("ran_twice: " + t.key + " on " + w.name + " and " + o.name);
                     }
                     zones.merge(o.zone, 1, Integer::sum);
                 }
             }
         }
-        if (Boolean.TRUE.equals(j.body.get("scatter")) && zones.get(w.zone) > (j.tasks + 1) / 2) {
-            broken.add("wrong_place: too many of " + id + " in " + w.zone);
+        if (Boolean.TRUE.equals(j.body.get("scatter")) && zones.get(w.zone) > (j.taskCount + 1) / 2) {
+            violations.add("wrong_place: too many of " + id + " in " + w.zone);
         }
         if (Boolean.TRUE.equals(j.body.get("one_zone")) && zones.size() > 1) {
-            broken.add("wrong_place: " + id + " in two zones");
+            violations.add("wrong_place: " + id + " in two zones");
         }
-        if (j.cancelledAt >= 0 && now - j.cancelledAt > cancelMs) {
-            broken.add("ran_cancelled: " + t.key + " started");
+        if (j.cancelledAtMs >= 0 && nowMs - j.cancelledAtMs > cancelDeadlineMs) {
+            violations.add("ran_cancelled: " + t.key + " started");
         }
     }
 
-    private void checks() {
+    private void checkInvariants() {
         double use = 0;
         for (FakeWorker w : workers.values()) {
             for (FakeWorker.Task t : w.tasks.values()) {
-                if (t.exited() || t.stage.equals("fetching") || !w.alive(now)) {
+                if (t.exited() || t.stage.equals("fetching") || !w.holdsLease(nowMs)) {
                     continue;
                 }
                 use++;
-                UserJob j = jobs.get(t.key.substring(0, t.key.indexOf('/')));
-                if (j.cancelledAt >= 0 && now - j.cancelledAt > cancelMs) {
-                    broken.add("ran_cancelled: " + t.key + " still on " + w.name);
+                TrackedJob j = jobs.get(t.key.substring(0, t.key.indexOf('/')));
+                if (j.cancelledAtMs >= 0 && nowMs - j.cancelledAtMs > cancelDeadlineMs) {
+                    violations.add("ran_cancelled: " + t.key + " still on " + w.name);
                 }
             }
         }
-        if (use > teamLimit) {
-            broken.add("quota: " + use);
+        if (use > teamGpuLimit) {
+            violations.add("quota: " + use);
         }
-        broken.addAll(store.unsafe);
-        store.unsafe.clear();
-        if (broken.size() > 20) {
-            throw new AssertionError(broken.toString());
+        violations.addAll(store.unsafeTransactions);
+        store.unsafeTransactions.clear();
+        if (violations.size() > 20) {
+            throw new AssertionError(violations.toString());
         }
     }
 
@@ -1098,9 +1123,9 @@
         return "10.1.0.2:1";
     }
 
-    final String json(int i) {
+    final String settingsJson(int i) {
         StringBuilder peers = new StringBuilder();
-        for (int k = 0; k < nodes.length; k++) {
+        for (int k = 0; k < simulatedControllers.length; k++) {
             if (k != i) {
                 peers.append(peers.isEmpty() ? "" : ",")
                         .append("{\"member\":\"perch-")
@@ -1117,10 +1142,11 @@
                 + "\"external\":{\"cloud\":\"" + cloudAddress(i) + "\",\"state\":\"" + storeAddress(i)
                 + "\"},\"deployment\":{\"zones\":[\"east\",\"west\"],"
                 + "\"teams\":[{\"name\":\"guests\"},{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0,\"gpus\":6,\"gpus_max\":"
-                + teamLimit + "}],"
-                + "\"workers\":{\"report_s\":3,\"lease_s\":" + leaseMs / 1000.0
+                + teamGpuLimit + "}],"
+                + "\"workers\":{\"report_s\":3,\"lease_s\":" + workerLeaseMs / 1000.0
                 + ",\"gang_wait_s\":20,\"gang_peer_s\":4,\"cancel_s\":"
-                + cancelMs / 1000.0 + "},\"state\":{\"rps\":200,\"write_rps\":60,\"value_kb\":8,\"txn_ops\":12},"
+                + cancelDeadlineMs / 1000.0
+                + "},\"state\":{\"rps\":200,\"write_rps\":60,\"value_kb\":8,\"txn_ops\":12},"
                 + "\"cloud\":{\"rps\":5,\"list_lag_s\":5},\"resources\":{\"cores\":1,\"ram_mb\":200,\"max_connections\":500}}}";
     }
 }
