--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -81,7 +81,7 @@
      * False while restart recovery waits for reports. Until it is true nothing is rented, returned or drained,
      * because the next reports may show that a machine exists already or is needed.
      */
-    private final BooleanSupplier inventoryComplete;
+    private final BooleanSupplier fleetKnown;
     /** Number of tasks that are expected to be restored to their previous capacity. */
     private final IntSupplier tasksToRestore;
 
@@ -154,7 +154,7 @@
         this.cloud = cloud;
         this.counters = counters;
         this.actionCounters = actionCounters;
-        this.inventoryComplete = inventoryComplete;
+        this.fleetKnown = inventoryComplete;
         this.tasksToRestore = tasksToRestore;
         this.requestReturn = requestReturn;
         this.onDeleted = onDeleted;
@@ -263,7 +263,7 @@
         processRequests(statuses, nowMs);
         lastStatuses = statuses;
         machineList.tick();
-        if (!inventoryComplete.getAsBoolean()) {
+        if (!fleetKnown.getAsBoolean()) {
             sendDeletions();
             return;
         }
--- a/src/main/java/birchusher/mesh/PeerCodec.java
+++ b/src/main/java/birchusher/mesh/PeerCodec.java
@@ -232,7 +232,7 @@
         out.writeDouble(machine.unclaimedMemoryGb());
         writeList(out, machine.fetchingImages(), DataOutputStream::writeUTF);
         writeList(out, machine.fetchRemainingMs(), DataOutputStream::writeInt);
-        writeList(out, machine.images(), DataOutputStream::writeUTF);
+        writeList(out, machine.cachedImages(), DataOutputStream::writeUTF);
         writeList(out, machine.reservedTasks(), DataOutputStream::writeUTF);
     }
 
--- a/src/main/java/birchusher/mesh/PeerRecord.java
+++ b/src/main/java/birchusher/mesh/PeerRecord.java
@@ -37,19 +37,19 @@
             double unclaimedMemoryGb,
             List<String> fetchingImages,
             List<Integer> fetchRemainingMs,
-            List<String> images,
+            List<String> cachedImages,
             List<String> reservedTasks) {
         /** Takes tasks. */
         public static final int USABLE = 1;
         /** Quarantined, as its tasks fail. */
         public static final int FAULTY = 2;
         /** To be returned to the cloud. */
-        public static final int LEAVING = 4;
+        public static final int BEING_RETURNED = 4;
         /**
          * Reports, and becomes usable once its worker confirms that it receives responses. Controllers of the previous version ignore
          * and never set it.
          */
-        public static final int ARRIVING = 8;
+        public static final int PENDING_CONFIRMATION = 8;
 
         /** Returns whether another record has no news for a peer. Idle and fetch times that merely advance are not news. */
         public boolean sameStatus(Machine other) {
@@ -66,7 +66,7 @@
                     && unclaimedGpus == other.unclaimedGpus
                     && unclaimedMemoryGb == other.unclaimedMemoryGb
                     && fetchingImages.equals(other.fetchingImages)
-                    && images.equals(other.images)
+                    && cachedImages.equals(other.cachedImages)
                     && reservedTasks.equals(other.reservedTasks);
         }
     }
--- a/src/main/java/birchusher/workers/MachineStatusExchange.java
+++ b/src/main/java/birchusher/workers/MachineStatusExchange.java
@@ -141,9 +141,9 @@
             fetchMs.add(status.fetchingImages()[i + 1]);
         }
         int flags = (status.usable() ? PeerRecord.Machine.USABLE : 0)
-                | (status.pendingConfirmation() ? PeerRecord.Machine.ARRIVING : 0)
+                | (status.pendingConfirmation() ? PeerRecord.Machine.PENDING_CONFIRMATION : 0)
                 | (status.faulty() ? PeerRecord.Machine.FAULTY : 0)
-                | (status.beingReturned() ? PeerRecord.Machine.LEAVING : 0);
+                | (status.beingReturned() ? PeerRecord.Machine.BEING_RETURNED : 0);
         int idleMs = status.idleSinceMs() < 0 ? -1 : (int) (effects.now() - status.idleSinceMs());
         return new PeerRecord.Machine(
                 status.machine(),
@@ -181,7 +181,7 @@
                 continue;
             }
             int[] images =
-                    record.images().stream().mapToInt(catalog.images::add).toArray();
+                    record.cachedImages().stream().mapToInt(catalog.images::add).toArray();
             int fetchCount = Math.min(
                     record.fetchingImages().size(), record.fetchRemainingMs().size());
             int[] fetchingImages = new int[fetchCount * 2];
@@ -201,9 +201,9 @@
                                     record.session(),
                                     record.shard(),
                                     (record.flags() & PeerRecord.Machine.USABLE) != 0,
-                                    (record.flags() & PeerRecord.Machine.ARRIVING) != 0,
+                                    (record.flags() & PeerRecord.Machine.PENDING_CONFIRMATION) != 0,
                                     (record.flags() & PeerRecord.Machine.FAULTY) != 0,
-                                    (record.flags() & PeerRecord.Machine.LEAVING) != 0,
+                                    (record.flags() & PeerRecord.Machine.BEING_RETURNED) != 0,
                                     record.silentMs(),
                                     record.idleMs() < 0 ? -1 : now - record.idleMs(),
                                     record.speed(),
--- a/src/test/java/birchusher/sim/World.java
+++ b/src/test/java/birchusher/sim/World.java
@@ -495,7 +495,7 @@
                 int to = controllerIndex(i, s.peer());
                 if (onPublishedImages != null
                         && PeerCodec.decode(s.record()).record() instanceof PeerRecord.Heartbeat h) {
-                    h.machines().forEach(m -> onPublishedImages.accept(m.name(), m.images()));
+                    h.machines().forEach(m -> onPublishedImages.accept(m.name(), m.cachedImages()));
                 }
                 if (duplicatePeerRecordRate > 0 && random.nextDouble() < duplicatePeerRecordRate) {
                     schedule(nowMs + random.nextInt(20_000), () -> deliverPeerRecord(to, s.record()));
