--- a/src/main/java/birchusher/agent/Assignment.java
+++ b/src/main/java/birchusher/agent/Assignment.java
@@ -18,7 +18,7 @@
         String zone,
         double cpus,
         double gpus,
-        double memGb,
+        double memoryGb,
         long reportMs,
         long leaseMs,
         long gangWaitMs,
@@ -29,7 +29,7 @@
         List<Controller> controllers = new ArrayList<>();
         for (Object o : Fields.list(m, "controllers")) {
             Map<String, Object> c = Fields.map(o, "controllers");
-            controllers.add(new Controller(Fields.text(c, "member"), Fields.text(c, Wire.ADDR)));
+            controllers.add(new Controller(Fields.text(c, "member"), Fields.text(c, Wire.ADDRESS)));
         }
         return new Assignment(
                 Fields.textOrNull(m, Wire.MACHINE),
@@ -37,14 +37,14 @@
                 Fields.text(m, Wire.ZONE),
                 Fields.amount(m, Wire.CPUS),
                 Fields.amount(m, Wire.GPUS),
-                Fields.amount(m, Wire.MEM),
-                ms(m, "report_s"),
-                ms(m, "lease_s"),
-                ms(m, "gang_wait_s"),
+                Fields.amount(m, Wire.MEMORY_GB),
+                milliseconds(m, "report_s"),
+                milliseconds(m, "lease_s"),
+                milliseconds(m, "gang_wait_s"),
                 List.copyOf(controllers));
     }
 
-    private static long ms(Map<String, Object> m, String field) {
+    private static long milliseconds(Map<String, Object> m, String field) {
         return Math.round(Fields.amount(m, field) * 1000);
     }
 }
--- a/src/test/java/birchusher/cli/DaemonMeasure.java
+++ b/src/test/java/birchusher/cli/DaemonLoadGenerator.java
@@ -3,12 +3,12 @@
 import birchusher.kv.Limits;
 import birchusher.kv.Request;
 import birchusher.kv.Write;
-import birchusher.statehost.Keeper;
+import birchusher.statehost.DurableStore;
 import birchusher.store.Keys;
 import birchusher.store.StoreView;
-import birchusher.wal.HostDisk;
-import birchusher.wal.Log;
-import birchusher.wire.Pack;
+import birchusher.wal.LockedDirectory;
+import birchusher.wal.WriteAheadLog;
+import birchusher.wire.MessagePackCodec;
 import birchusher.wire.Wire;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -23,26 +23,30 @@
  * HOST:PORT CLIENTS SECONDS}: jobs that nothing can run yet, from so many clients at once, each with one connection a request.
  * {@code state}: the same number of clients straight at the state service, a row of 400 bytes each.
  */
-final class DaemonMeasure {
-    private DaemonMeasure() {}
+final class DaemonLoadGenerator {
+    private DaemonLoadGenerator() {}
 
     public static void main(String[] args) throws Exception {
         if (args[0].equals("fill")) {
-            fill(Path.of(args[1]), Integer.parseInt(args[2]));
+            writeEndedJobs(Path.of(args[1]), Integer.parseInt(args[2]));
         } else {
-            submit(args[1], Integer.parseInt(args[2]), Double.parseDouble(args[3]), args[0].equals("state"));
+            generateLoad(args[1], Integer.parseInt(args[2]), Double.parseDouble(args[3]), args[0].equals("state"));
         }
     }
 
-    private static void fill(Path dir, int jobs) throws IOException {
-        byte[] ended = Pack.encode(StoreView.endedJobRow(true, 1));
-        try (Keeper k = Keeper.open(
-                new HostDisk(dir.resolve("state")), Log.Options.USUAL, 64 << 20, new Limits(1e9, 1e9, 16, 8192), 0)) {
+    private static void writeEndedJobs(Path dir, int jobs) throws IOException {
+        byte[] ended = MessagePackCodec.encode(StoreView.endedJobRow(true, 1));
+        try (DurableStore k = DurableStore.open(
+                new LockedDirectory(dir.resolve("state")),
+                WriteAheadLog.Options.DEFAULT,
+                64 << 20,
+                new Limits(1e9, 1e9, 16, 8192),
+                0)) {
             for (int i = 1; i <= jobs; i++) {
                 k.handle(
                         i,
                         i,
-                        new Request.Txn(
+                        new Request.Transaction(
                                 List.of(), List.of(new Write.Set(Keys.ENDED_JOB + "wk-old-" + i, ended, 0)), 100, 100));
                 if (i % 1000 == 0 || i == jobs) {
                     k.flush(i);
@@ -51,7 +55,8 @@
         }
     }
 
-    private static void submit(String server, int clients, double seconds, boolean state) throws InterruptedException {
+    private static void generateLoad(String server, int clients, double seconds, boolean state)
+            throws InterruptedException {
         Map<String, Object> job = new HashMap<>(Map.of(
                 "lane",
                 "l",
@@ -94,7 +99,7 @@
         for (int i = 0; i < clients; i++) {
             int n = i;
             threads[i] = new Thread(() -> {
-                Caller c = new Caller(server, 60);
+                RetryingClient c = new RetryingClient(server, 60);
                 try {
                     for (int j = 0; System.nanoTime() < end; j++) {
                         Map<String, Object> mine = new HashMap<>(job);
@@ -102,8 +107,8 @@
                         long from = System.nanoTime();
                         Map<String, Object> row =
                                 Map.of("writes", List.of(Map.of("set", "m/" + mine.get(Wire.ID), "value", mine)));
-                        if (c.call("POST", state ? Wire.MULTI : Wire.RUNS, state ? row : mine)
-                                .fine()) {
+                        if (c.call("POST", state ? Wire.TRANSACTIONS : Wire.JOBS, state ? row : mine)
+                                .isSuccess()) {
                             accepted.incrementAndGet();
                             ms.recordValue(Math.min(60_000, (System.nanoTime() - from) / 1_000_000));
                         }
