--- a/src/main/java/birchusher/kv/Codec.java
+++ b/src/main/java/birchusher/kv/Codec.java
@@ -10,16 +10,17 @@
 import java.util.Map;
 
 /**
- * The durable forms of entries and of a state, each a record that begins with its version and its kind.
+ * The stored format of log entries and of a whole state. Each record begins with the format version and the record kind, one
+ * byte each.
  *
  * <pre>
- * entry  1 changed: int count, count times (boolean set, key, then if set: int length, value, long lease)
- *        2 granted: long lease, long life in ms      3 ended: long lease
- * row    10 head: long revision, long next lease     11 lease: long id, long life in ms
- *        12 row: key, int length, value, long stamp, long lease
+ * entry     1 rows changed: int count, count times (boolean set, key, then if set: int length, value, long lease)
+ *           2 lease granted: long lease, long time to live in ms      3 lease ended: long lease
+ * snapshot  10 header: long revision, long next lease     11 lease: long id, long time to live in ms
+ *           12 row: key, int length, value, long revision of its last change, long lease
  * </pre>
  *
- * Keys are modified UTF-8. A state is its head, all leases, all rows, in this order.
+ * Keys are encoded as modified UTF-8. A state is written as its header, all leases and all rows, in this order.
  */
 public final class Codec {
     private static final int FORMAT_VERSION = 1;
@@ -30,39 +31,40 @@
     private static final int LEASE_KIND = 11;
     private static final int ROW_KIND = 12;
 
-    /** Takes one record after the other. */
+    /** Receives the records in order. */
     public interface RecordSink {
         void accept(byte[] bytes) throws IOException;
     }
 
+    /** Writes the fields of a record after its version and kind. */
     private interface RecordBody {
         void writeTo(DataOutputStream out) throws IOException;
     }
 
     private Codec() {}
 
-    private static byte[] encodeRecord(int kind, RecordBody fill) {
+    private static byte[] encodeRecord(int kind, RecordBody body) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
             DataOutputStream out = new DataOutputStream(bytes);
             out.writeByte(FORMAT_VERSION);
             out.writeByte(kind);
-            fill.writeTo(out);
+            body.writeTo(out);
             return bytes.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static void value(DataOutputStream out, byte[] value) throws IOException {
+    private static void writeValue(DataOutputStream out, byte[] value) throws IOException {
         out.writeInt(value.length);
         out.write(value);
     }
 
-    private static byte[] value(DataInputStream in) throws IOException {
+    private static byte[] readValue(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > in.available()) {
-            throw new IOException("a value of " + length + " bytes");
+            throw new IOException("invalid value length of " + length + " bytes");
         }
         return in.readNBytes(length);
     }
@@ -70,39 +72,45 @@
     private static int readKind(DataInputStream in) throws IOException {
         int version = in.readUnsignedByte();
         if (version != FORMAT_VERSION) {
-            throw new IOException("version " + version + " of a record is not known here, " + FORMAT_VERSION + " is");
+            throw new IOException(
+                    "version " + version + " of the record format is not supported, only " + FORMAT_VERSION + " is");
         }
         return in.readUnsignedByte();
     }
 
     private static IOException unknownKind(int kind) {
-        return new IOException("kind " + kind + " of a record is not known here");
+        return new IOException("kind " + kind + " of a record is unknown");
     }
 
-    public static byte[] encode(Entry e) {
-        if (e instanceof Entry.RowsChanged c) {
+    /** Encodes a log entry. */
+    public static byte[] encode(Entry entry) {
+        if (entry instanceof Entry.RowsChanged changed) {
             return encodeRecord(ROWS_CHANGED_KIND, out -> {
-                out.writeInt(c.writes().size());
-                for (Write w : c.writes()) {
-                    out.writeBoolean(w instanceof Write.Set);
-                    out.writeUTF(w.key());
-                    if (w instanceof Write.Set s) {
-                        value(out, s.value());
-                        out.writeLong(s.leaseId());
+                out.writeInt(changed.writes().size());
+                for (Write write : changed.writes()) {
+                    out.writeBoolean(write instanceof Write.Set);
+                    out.writeUTF(write.key());
+                    if (write instanceof Write.Set set) {
+                        writeValue(out, set.value());
+                        out.writeLong(set.leaseId());
                     }
                 }
             });
         }
-        if (e instanceof Entry.LeaseGranted g) {
+        if (entry instanceof Entry.LeaseGranted granted) {
             return encodeRecord(LEASE_GRANTED_KIND, out -> {
-                out.writeLong(g.leaseId());
-                out.writeLong(g.ttlMs());
+                out.writeLong(granted.leaseId());
+                out.writeLong(granted.ttlMs());
             });
         }
-        return encodeRecord(LEASE_ENDED_KIND, out -> out.writeLong(((Entry.LeaseEnded) e).leaseId()));
+        return encodeRecord(LEASE_ENDED_KIND, out -> out.writeLong(((Entry.LeaseEnded) entry).leaseId()));
     }
 
-    /** @throws IOException if it is of another version or kind, or cut off */
+    /**
+     * Decodes a log entry.
+     *
+     * @throws IOException if it has another version, an unknown kind, or is truncated
+     */
     public static Entry decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int kind = readKind(in);
@@ -110,13 +118,13 @@
             case ROWS_CHANGED_KIND -> {
                 int count = in.readInt();
                 if (count < 0 || count > bytes.length) {
-                    throw new IOException("a change of " + count + " rows");
+                    throw new IOException("invalid count of " + count + " changed rows");
                 }
                 List<Write> writes = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
                     boolean set = in.readBoolean();
                     String key = in.readUTF();
-                    writes.add(set ? new Write.Set(key, value(in), in.readLong()) : new Write.Remove(key));
+                    writes.add(set ? new Write.Set(key, readValue(in), in.readLong()) : new Write.Remove(key));
                 }
                 return new Entry.RowsChanged(writes);
             }
@@ -130,43 +138,44 @@
         }
     }
 
-    /** Gives a whole state, row by row; the state does not change meanwhile, whatever is done to newer ones. */
-    public static void encode(State s, RecordSink to) throws IOException {
-        to.accept(encodeRecord(HEADER_KIND, out -> {
-            out.writeLong(s.revision());
-            out.writeLong(s.nextLeaseId());
+    /** Passes all records of a state to the sink. The state is immutable, so newer ones may be made concurrently. */
+    public static void encode(State state, RecordSink sink) throws IOException {
+        sink.accept(encodeRecord(HEADER_KIND, out -> {
+            out.writeLong(state.revision());
+            out.writeLong(state.nextLeaseId());
         }));
-        for (Lease l : s.leases().values()) {
-            to.accept(encodeRecord(LEASE_KIND, out -> {
-                out.writeLong(l.id());
-                out.writeLong(l.ttlMs());
+        for (Lease lease : state.leases().values()) {
+            sink.accept(encodeRecord(LEASE_KIND, out -> {
+                out.writeLong(lease.id());
+                out.writeLong(lease.ttlMs());
             }));
         }
-        for (Map.Entry<String, Row> e : s.rows().entrySet()) {
-            to.accept(encodeRecord(ROW_KIND, out -> {
-                out.writeUTF(e.getKey());
-                value(out, e.getValue().value());
-                out.writeLong(e.getValue().modRevision());
-                out.writeLong(e.getValue().leaseId());
+        for (Map.Entry<String, Row> entry : state.rows().entrySet()) {
+            sink.accept(encodeRecord(ROW_KIND, out -> {
+                out.writeUTF(entry.getKey());
+                writeValue(out, entry.getValue().value());
+                out.writeLong(entry.getValue().modRevision());
+                out.writeLong(entry.getValue().leaseId());
             }));
         }
     }
 
-    /** The state with one more record of a whole one. */
-    static State withRestoredRecord(State s, byte[] bytes) throws IOException {
+    /** Returns the state with one more record of a snapshot applied. */
+    static State withRestoredRecord(State state, byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int kind = readKind(in);
         switch (kind) {
             case HEADER_KIND -> {
-                return new State(s.rows(), s.leases(), in.readLong(), in.readLong());
+                return new State(state.rows(), state.leases(), in.readLong(), in.readLong());
             }
             case LEASE_KIND -> {
-                Lease l = new Lease(in.readLong(), in.readLong());
-                return new State(s.rows(), s.leases().plus(l.id(), l), s.revision(), s.nextLeaseId());
+                Lease lease = new Lease(in.readLong(), in.readLong());
+                return new State(
+                        state.rows(), state.leases().plus(lease.id(), lease), state.revision(), state.nextLeaseId());
             }
             case ROW_KIND -> {
                 String key = in.readUTF();
-                return s.withRestoredRow(key, new Row(value(in), in.readLong(), in.readLong()));
+                return state.withRestoredRow(key, new Row(readValue(in), in.readLong(), in.readLong()));
             }
             default -> throw unknownKind(kind);
         }
--- a/src/main/java/birchusher/kv/Engine.java
+++ b/src/main/java/birchusher/kv/Engine.java
@@ -15,49 +15,59 @@
 import java.util.Set;
 
 /**
- * The state service as its protocol publishes it, as a pure machine: no I/O, no clock, no thread.
+ * The state service's key-value store as a deterministic state machine: no I/O, no clock, no threads. The caller passes the
+ * time, in milliseconds, to each call.
  *
- * <p>A change is applied at once to the newest state and given out to be made durable; {@link #durable} and {@link #failed} tell
- * what became of it. <b>Every answer waits until everything it rests on is durable</b>, reads and failed conditions too:
- * otherwise a client could act on what a power cut then takes back. After a failure all that is not durable is taken
- * back here, changes are refused for a while, and an empty entry tries the disk before any client's change does.
+ * <p>A change is applied to the newest state at once and emitted as an {@link Append}; the caller reports with
+ * {@link #onDurable} or {@link #onWriteFailed} whether it was made durable. <b>Every answer is held back until each entry
+ * that it depends on is durable</b>, answers to reads and failed conditions included: otherwise a client could act on a
+ * change that a power cut then undoes. After a failed write, every entry that is not durable is rolled back, changes are
+ * refused for a while, and an empty entry tests the disk before a client's change is written again.
  *
- * <p>Leases end by this machine's time, up to a tick late and never early. How long they have left is not kept: after a
- * start, and after changes were impossible, each has its full time again, as its holder may have been refused meanwhile.
+ * <p>Leases expire by the time of this machine, up to one tick late and never early. The remaining time of a lease is not
+ * stored: after a start, and after a period in which changes were refused, each lease has its full time to live again, as
+ * its holder's requests may have been refused meanwhile.
  *
- * <p>What became of an entry is told before the next ones are tried: {@link #durable} is never told after a {@link #failed} of
- * an entry before it.
+ * <p>Order: the result of an entry is reported before the next ones are written, so {@link #onDurable} is never called for
+ * an entry that follows one passed to {@link #onWriteFailed}.
  *
- * <p>Source: the answer after the log's sync is group commit (Gray and Reuter, Transaction Processing, 1992).
+ * <p>Answering only after the log's sync, with many requests sharing one sync, is group commit (Gray and Reuter, Transaction
+ * Processing, 1992).
  */
 public final class Engine {
     private static final long DISK_RETRY_DELAY_MS = 1_000;
-    /** An entry that changes nothing: no lease has this number. */
+    /** An entry that changes nothing, as no lease has the id 0; written to test the disk. */
     private static final Entry PROBE_ENTRY = new Entry.LeaseEnded(0);
 
-    /** What the edge has to do. */
+    /** An action for the caller. */
     public sealed interface Output {}
 
-    /** The reply to the request with this ticket. */
+    /** Sends the reply to the request with this id. */
     public record Answer(long requestId, Reply reply) implements Output {}
 
-    /** Make it durable as this record, in this order. */
+    /** Makes the entry durable as the log record with this sequence number; entries are emitted in log order. */
     public record Append(long sequence, Entry entry) implements Output {}
 
-    /** An entry not durable yet, and how to take it back. */
+    /** An entry that is not durable yet, with the state and the number of events needed to roll it back. */
     private record PendingEntry(long sequence, State stateBefore, int eventCount) {}
 
+    /**
+     * An answer held back until the entry {@code sequence} is durable.
+     *
+     * @param appendedEntry whether the request made that entry
+     */
     private record PendingAnswer(long sequence, long requestId, Reply reply, boolean appendedEntry) {}
 
+    /** A watch that waits for changes. */
     private static final class Watcher {
         final String prefix;
         final long deadlineMs;
         long afterRevision;
 
-        Watcher(String prefix, long since, long until) {
+        Watcher(String prefix, long afterRevision, long deadlineMs) {
             this.prefix = prefix;
-            this.afterRevision = since;
-            this.deadlineMs = until;
+            this.afterRevision = afterRevision;
+            this.deadlineMs = deadlineMs;
         }
     }
 
@@ -69,7 +79,7 @@
     private final ArrayDeque<PendingEntry> pendingEntries = new ArrayDeque<>();
     private final ArrayDeque<PendingAnswer> pendingAnswers = new ArrayDeque<>();
     private final ArrayDeque<Event> history;
-    /** Up to this revision, changes are not remembered. */
+    /** Changes up to and including this revision are no longer in {@code history}. */
     private long compactedRevision;
 
     private final Map<Long, Long> leaseExpiresAtMs = new HashMap<>();
@@ -79,105 +89,113 @@
     private long nextProbeMs;
     private List<Output> outputs = new ArrayList<>();
 
-    /** @param sequence the last record kept; the next entry is one more */
-    public Engine(StateRestorer kept, long sequence, Limits limits, long now) {
+    /** @param sequence the sequence number of the last record in the log; the next entry gets the one after it */
+    public Engine(StateRestorer restored, long sequence, Limits limits, long nowMs) {
         this.limits = limits;
         this.requestRateLimiter = new TokenBucket(limits.maxRequestsPerS(), limits.maxRequestsPerS());
         this.writeRateLimiter = new TokenBucket(limits.maxWritesPerS(), limits.maxWritesPerS());
-        this.newestState = kept.state();
+        this.newestState = restored.state();
         this.appendedSequence = sequence;
-        this.history = kept.history();
-        this.compactedRevision = kept.compactedRevision();
-        restartLeaseTimers(now);
+        this.history = restored.history();
+        this.compactedRevision = restored.compactedRevision();
+        restartLeaseTimers(nowMs);
     }
 
-    /** All that is durable, for a snapshot; never changes. */
+    /** The state after the last durable entry. It is immutable, so a snapshot may be written from it. */
     public State durableState() {
         return pendingEntries.isEmpty()
                 ? newestState
                 : pendingEntries.getFirst().stateBefore();
     }
 
-    /** The last record that is durable. */
+    /** The sequence number of the last durable log record. */
     public long durableSequence() {
         return pendingEntries.isEmpty()
                 ? appendedSequence
                 : pendingEntries.getFirst().sequence() - 1;
     }
 
-    /** Whether changes are refused as they can't be made durable. */
+    /** Whether changes are refused because the last write failed; reads and lease renewals are still served. */
     public boolean readOnly() {
         return readOnly;
     }
 
-    /** One request; its answer comes now or later, always exactly one. Tickets are never used twice. */
-    public List<Output> handle(long now, long ticket, Request r) {
-        if (!requestRateLimiter.tryTake(now, 1)) {
-            outputs.add(new Answer(ticket, new Reply.LimitExceeded(1)));
-        } else if (r instanceof Request.Watch w) {
-            startWatch(now, ticket, w);
+    /**
+     * Executes one request. Exactly one {@link Answer} follows for it, from this call or a later one.
+     *
+     * @param requestId must not have been used before
+     */
+    public List<Output> handle(long nowMs, long requestId, Request request) {
+        if (!requestRateLimiter.tryTake(nowMs, 1)) {
+            outputs.add(new Answer(requestId, new Reply.LimitExceeded(1)));
+        } else if (request instanceof Request.Watch watch) {
+            startWatch(nowMs, requestId, watch);
         } else {
-            long before = appendedSequence;
-            Reply reply = execute(now, r);
-            answerWhenDurable(ticket, reply, appendedSequence != before);
+            long sequenceBefore = appendedSequence;
+            Reply reply = execute(nowMs, request);
+            answerWhenDurable(requestId, reply, appendedSequence != sequenceBefore);
         }
         return drainOutputs();
     }
 
-    /** Ends leases and watches whose time is over, and tries the disk again after a failure. */
-    public List<Output> tick(long now) {
+    /** Expires leases, answers watches that have timed out, and tests the disk again after a failed write. */
+    public List<Output> tick(long nowMs) {
         if (readOnly) {
-            if (!probing && now >= nextProbeMs) {
+            if (!probing && nowMs >= nextProbeMs) {
                 probing = true;
                 append(PROBE_ENTRY);
             }
         } else {
-            for (Lease l : List.copyOf(newestState.leases().values())) {
-                if (now > leaseExpiresAtMs.get(l.id())) {
-                    endLease(l.id());
+            for (Lease lease : List.copyOf(newestState.leases().values())) {
+                if (nowMs > leaseExpiresAtMs.get(lease.id())) {
+                    endLease(lease.id());
                 }
             }
         }
-        for (Map.Entry<Long, Watcher> e : List.copyOf(watchers.entrySet())) {
-            if (now >= e.getValue().deadlineMs) {
-                watchers.remove(e.getKey());
+        for (Map.Entry<Long, Watcher> entry : List.copyOf(watchers.entrySet())) {
+            if (nowMs >= entry.getValue().deadlineMs) {
+                watchers.remove(entry.getKey());
                 outputs.add(new Answer(
-                        e.getKey(), new Reply.Events(List.of(), durableState().revision())));
+                        entry.getKey(),
+                        new Reply.Events(List.of(), durableState().revision())));
             }
         }
         return drainOutputs();
     }
 
-    /** All entries up to that record are durable. */
-    public List<Output> onDurable(long now, long sequence) {
+    /** Reports that all entries up to and including {@code sequence} are durable. */
+    public List<Output> onDurable(long nowMs, long sequence) {
         while (!pendingEntries.isEmpty() && pendingEntries.getFirst().sequence() <= sequence) {
             pendingEntries.removeFirst();
         }
         if (readOnly) {
             readOnly = false;
             probing = false;
-            restartLeaseTimers(now);
+            restartLeaseTimers(nowMs);
         }
         while (!pendingAnswers.isEmpty() && pendingAnswers.getFirst().sequence() <= sequence) {
-            PendingAnswer h = pendingAnswers.removeFirst();
-            outputs.add(new Answer(h.requestId(), h.reply()));
+            PendingAnswer answer = pendingAnswers.removeFirst();
+            outputs.add(new Answer(answer.requestId(), answer.reply()));
         }
-        for (Map.Entry<Long, Watcher> e : List.copyOf(watchers.entrySet())) {
-            answerWatch(e.getKey(), e.getValue());
+        for (Map.Entry<Long, Watcher> entry : List.copyOf(watchers.entrySet())) {
+            answerWatch(entry.getKey(), entry.getValue());
         }
         return drainOutputs();
     }
 
     /**
-     * No entry that is not durable counts. Those who wrote are told so, or, if the entries may come back after a restart,
-     * are told nothing; those who read what is taken back may ask again.
+     * Reports that a write failed: every entry that is not durable is rolled back. Requests that made such an entry are
+     * answered as not executed or, if {@code outcomeUnknown}, as having an unknown outcome; requests that only read a state
+     * that is rolled back are answered as unavailable and may be repeated.
+     *
+     * @param outcomeUnknown whether the entries may reappear after a restart
      */
-    public List<Output> onWriteFailed(long now, boolean unclear) {
+    public List<Output> onWriteFailed(long nowMs, boolean outcomeUnknown) {
         if (!pendingEntries.isEmpty()) {
             newestState = pendingEntries.getFirst().stateBefore();
             appendedSequence = pendingEntries.getFirst().sequence() - 1;
-            pendingEntries.forEach(s -> {
-                for (int i = 0; i < s.eventCount(); i++) {
+            pendingEntries.forEach(entry -> {
+                for (int i = 0; i < entry.eventCount(); i++) {
                     history.pollLast();
                 }
             });
@@ -185,234 +203,240 @@
         }
         readOnly = true;
         probing = false;
-        nextProbeMs = now + DISK_RETRY_DELAY_MS;
-        restartLeaseTimers(now);
-        for (PendingAnswer h : pendingAnswers) {
+        nextProbeMs = nowMs + DISK_RETRY_DELAY_MS;
+        restartLeaseTimers(nowMs);
+        for (PendingAnswer answer : pendingAnswers) {
             outputs.add(new Answer(
-                    h.requestId(),
-                    unclear && h.appendedEntry() ? new Reply.OutcomeUnknown() : new Reply.Unavailable(1)));
+                    answer.requestId(),
+                    outcomeUnknown && answer.appendedEntry() ? new Reply.OutcomeUnknown() : new Reply.Unavailable(1)));
         }
         pendingAnswers.clear();
         return drainOutputs();
     }
 
     private List<Output> drainOutputs() {
-        List<Output> o = outputs;
+        List<Output> drained = outputs;
         outputs = new ArrayList<>();
-        return o;
+        return drained;
     }
 
-    private void answerWhenDurable(long ticket, Reply reply, boolean wrote) {
-        // While stalled, all that can be under way is the empty entry, and nothing rests on that: reads go on
-        // meanwhile.
+    private void answerWhenDurable(long requestId, Reply reply, boolean appendedEntry) {
+        // While changes are refused, the only pending entry is the probe, on which no answer depends, so reads are
+        // answered at once.
         if (pendingEntries.isEmpty() || readOnly) {
-            outputs.add(new Answer(ticket, reply));
+            outputs.add(new Answer(requestId, reply));
         } else {
-            pendingAnswers.add(new PendingAnswer(appendedSequence, ticket, reply, wrote));
+            pendingAnswers.add(new PendingAnswer(appendedSequence, requestId, reply, appendedEntry));
         }
     }
 
-    private void append(Entry e) {
-        State before = newestState;
-        int[] events = {0};
-        newestState = newestState.apply(e, event -> {
+    private void append(Entry entry) {
+        State stateBefore = newestState;
+        int[] eventCount = {0};
+        newestState = newestState.apply(entry, event -> {
             history.add(event);
-            events[0]++;
+            eventCount[0]++;
         });
-        pendingEntries.add(new PendingEntry(++appendedSequence, before, events[0]));
+        pendingEntries.add(new PendingEntry(++appendedSequence, stateBefore, eventCount[0]));
         compactedRevision = StateRestorer.trimHistory(history, compactedRevision);
-        outputs.add(new Append(appendedSequence, e));
+        outputs.add(new Append(appendedSequence, entry));
     }
 
-    private void restartLeaseTimers(long now) {
+    private void restartLeaseTimers(long nowMs) {
         leaseExpiresAtMs.clear();
-        newestState.leases().values().forEach(l -> leaseExpiresAtMs.put(l.id(), now + l.ttlMs()));
+        newestState.leases().values().forEach(lease -> leaseExpiresAtMs.put(lease.id(), nowMs + lease.ttlMs()));
     }
 
-    private void endLease(long lease) {
-        append(new Entry.LeaseEnded(lease));
-        leaseExpiresAtMs.remove(lease);
+    private void endLease(long leaseId) {
+        append(new Entry.LeaseEnded(leaseId));
+        leaseExpiresAtMs.remove(leaseId);
     }
 
-    private Reply execute(long now, Request r) {
-        if (r instanceof Request.Get g) {
-            Row row = newestState.rows().get(g.key());
-            return row == null ? new Reply.NotFound(newestState.revision()) : new Reply.Found(g.key(), row);
+    private Reply execute(long nowMs, Request request) {
+        if (request instanceof Request.Get get) {
+            Row row = newestState.rows().get(get.key());
+            return row == null ? new Reply.NotFound(newestState.revision()) : new Reply.Found(get.key(), row);
         }
-        if (r instanceof Request.Page p) {
-            return readPage(p);
+        if (request instanceof Request.Page page) {
+            return readPage(page);
         }
-        if (r instanceof Request.RenewLease e) {
-            if (!newestState.leases().containsKey(e.leaseId())) {
+        if (request instanceof Request.RenewLease renewal) {
+            if (!newestState.leases().containsKey(renewal.leaseId())) {
                 return new Reply.LeaseNotFound();
             }
             leaseExpiresAtMs.put(
-                    e.leaseId(), now + newestState.leases().get(e.leaseId()).ttlMs());
+                    renewal.leaseId(),
+                    nowMs + newestState.leases().get(renewal.leaseId()).ttlMs());
             return new Reply.Done();
         }
-        if (r instanceof Request.Transaction t) {
-            return executeTransaction(now, t);
+        if (request instanceof Request.Transaction transaction) {
+            return executeTransaction(nowMs, transaction);
         }
         if (readOnly) {
             return new Reply.Unavailable(1);
         }
-        if (r instanceof Request.GrantLease g) {
-            if (g.ttlMs() < Limits.MIN_TTL_MS || g.ttlMs() > Limits.MAX_TTL_MS) {
+        if (request instanceof Request.GrantLease grant) {
+            if (grant.ttlMs() < Limits.MIN_TTL_MS || grant.ttlMs() > Limits.MAX_TTL_MS) {
                 return new Reply.InvalidRequest("life_ms: " + Limits.MIN_TTL_MS + " to " + Limits.MAX_TTL_MS);
             }
             if (newestState.leases().size() >= Limits.MAX_LEASES) {
                 return new Reply.LimitExceeded(1);
             }
-            long id = newestState.nextLeaseId();
-            append(new Entry.LeaseGranted(id, g.ttlMs()));
-            leaseExpiresAtMs.put(id, now + g.ttlMs());
-            return new Reply.LeaseGranted(id);
+            long newLeaseId = newestState.nextLeaseId();
+            append(new Entry.LeaseGranted(newLeaseId, grant.ttlMs()));
+            leaseExpiresAtMs.put(newLeaseId, nowMs + grant.ttlMs());
+            return new Reply.LeaseGranted(newLeaseId);
         }
-        long lease = ((Request.EndLease) r).leaseId();
-        if (!newestState.leases().containsKey(lease)) {
+        long leaseId = ((Request.EndLease) request).leaseId();
+        if (!newestState.leases().containsKey(leaseId)) {
             return new Reply.LeaseNotFound();
         }
-        endLease(lease);
+        endLease(leaseId);
         return new Reply.Done();
     }
 
-    private Reply readPage(Request.Page p) {
-        int most = Math.max(1, Math.min(p.maxRows(), Limits.MAX_PAGE_ROWS));
-        boolean within = p.after() != null && p.after().compareTo(p.prefix()) >= 0;
+    private Reply readPage(Request.Page request) {
+        int maxRows = Math.max(1, Math.min(request.maxRows(), Limits.MAX_PAGE_ROWS));
+        boolean startsAfterKey = request.after() != null && request.after().compareTo(request.prefix()) >= 0;
         List<Map.Entry<String, Row>> rows = new ArrayList<>();
         int bytes = 0;
-        for (Map.Entry<String, Row> e : newestState
+        for (Map.Entry<String, Row> entry : newestState
                 .rows()
-                .tailMap(within ? p.after() : p.prefix(), !within)
+                .tailMap(startsAfterKey ? request.after() : request.prefix(), !startsAfterKey)
                 .entrySet()) {
-            if (!e.getKey().startsWith(p.prefix())) {
+            if (!entry.getKey().startsWith(request.prefix())) {
                 break;
             }
-            bytes += e.getKey().length() + e.getValue().value().length + 32;
-            if (rows.size() == most || !rows.isEmpty() && bytes > Limits.MAX_PAGE_BYTES) {
+            bytes += entry.getKey().length() + entry.getValue().value().length + 32;
+            if (rows.size() == maxRows || !rows.isEmpty() && bytes > Limits.MAX_PAGE_BYTES) {
                 return new Reply.Rows(rows, true, newestState.revision());
             }
-            rows.add(e);
+            rows.add(entry);
         }
         return new Reply.Rows(rows, false, newestState.revision());
     }
 
-    /** What is wrong with a transaction by itself, null if nothing. */
-    private String validationError(Request.Transaction t) {
-        if (t.writes().size() > limits.maxWritesPerTransaction()) {
-            return "writes: " + t.writes().size() + ", " + limits.maxWritesPerTransaction() + " are the most";
+    /** Returns why the transaction is invalid whatever the state, or null if it is valid. */
+    private String validationError(Request.Transaction transaction) {
+        if (transaction.writes().size() > limits.maxWritesPerTransaction()) {
+            return "writes: " + transaction.writes().size() + ", " + limits.maxWritesPerTransaction() + " at most";
         }
-        if (t.conditions().size() > 4 * limits.maxWritesPerTransaction()) {
-            return "if: " + t.conditions().size() + " conditions, " + 4 * limits.maxWritesPerTransaction()
-                    + " are the most";
+        if (transaction.conditions().size() > 4 * limits.maxWritesPerTransaction()) {
+            return "if: " + transaction.conditions().size() + " conditions, " + 4 * limits.maxWritesPerTransaction()
+                    + " at most";
         }
-        if (t.sizeBytes() > Limits.MAX_TRANSACTION_BYTES) {
+        if (transaction.sizeBytes() > Limits.MAX_TRANSACTION_BYTES) {
             return "body: over " + Limits.MAX_TRANSACTION_BYTES + " bytes";
         }
-        if (t.largestValueBytes() > limits.maxValueBytes()) {
+        if (transaction.largestValueBytes() > limits.maxValueBytes()) {
             return "value: over " + limits.maxValueBytes() + " bytes";
         }
-        Set<String> written = new HashSet<>();
-        for (Write w : t.writes()) {
-            if (!written.add(w.key())) {
-                return "writes: " + w.key() + " twice";
+        Set<String> keys = new HashSet<>();
+        for (Write write : transaction.writes()) {
+            if (!keys.add(write.key())) {
+                return "writes: " + write.key() + " twice";
             }
-            if (!isValidKey(w.key())) {
-                return "writes: a key has 1 to " + Limits.MAX_KEY_BYTES + " bytes and no spaces";
+            if (!isValidKey(write.key())) {
+                return "writes: a key must have 1 to " + Limits.MAX_KEY_BYTES + " bytes and no spaces";
             }
         }
         return null;
     }
 
-    /** Whether it may be a key. */
+    /** Whether the text is a key: 1 to {@link Limits#MAX_KEY_BYTES} bytes of UTF-8 without spaces or control characters. */
     public static boolean isValidKey(String key) {
         return !key.isEmpty()
                 && key.getBytes(StandardCharsets.UTF_8).length <= Limits.MAX_KEY_BYTES
-                && key.chars().noneMatch(c -> c <= ' ');
+                && key.chars().noneMatch(character -> character <= ' ');
     }
 
-    private Reply executeTransaction(long now, Request.Transaction t) {
-        String wrong = validationError(t);
-        if (wrong != null) {
-            return new Reply.InvalidRequest(wrong);
+    private Reply executeTransaction(long nowMs, Request.Transaction transaction) {
+        String error = validationError(transaction);
+        if (error != null) {
+            return new Reply.InvalidRequest(error);
         }
-        if (!t.writes().isEmpty() && readOnly) {
+        if (!transaction.writes().isEmpty() && readOnly) {
             return new Reply.Unavailable(1);
         }
-        if (!t.writes().isEmpty() && !writeRateLimiter.tryTake(now, t.writes().size())) {
+        if (!transaction.writes().isEmpty()
+                && !writeRateLimiter.tryTake(nowMs, transaction.writes().size())) {
             return new Reply.LimitExceeded(1);
         }
-        for (Write w : t.writes()) {
-            if (w instanceof Write.Set s
-                    && s.leaseId() != 0
-                    && !newestState.leases().containsKey(s.leaseId())) {
+        for (Write write : transaction.writes()) {
+            if (write instanceof Write.Set set
+                    && set.leaseId() != 0
+                    && !newestState.leases().containsKey(set.leaseId())) {
                 return new Reply.LeaseNotFound();
             }
         }
-        List<String> failed = new ArrayList<>();
-        for (Request.Condition c : t.conditions()) {
-            Row row = newestState.rows().get(c.key());
-            if ((row == null ? 0 : row.modRevision()) != c.modRevision()) {
-                failed.add(c.key());
+        List<String> failedKeys = new ArrayList<>();
+        for (Request.Condition condition : transaction.conditions()) {
+            Row row = newestState.rows().get(condition.key());
+            if ((row == null ? 0 : row.modRevision()) != condition.modRevision()) {
+                failedKeys.add(condition.key());
             }
         }
-        if (!failed.isEmpty()) {
-            return new Reply.ConditionsFailed(failed, newestState.revision());
+        if (!failedKeys.isEmpty()) {
+            return new Reply.ConditionsFailed(failedKeys, newestState.revision());
         }
-        if (t.writes().stream()
-                .anyMatch(w -> w instanceof Write.Set || newestState.rows().containsKey(w.key()))) {
-            append(new Entry.RowsChanged(t.writes()));
+        if (transaction.writes().stream()
+                .anyMatch(write ->
+                        write instanceof Write.Set || newestState.rows().containsKey(write.key()))) {
+            append(new Entry.RowsChanged(transaction.writes()));
         }
         return new Reply.Committed(newestState.revision());
     }
 
-    private void startWatch(long now, long ticket, Request.Watch w) {
-        // A revision that is not known here comes from a state that this one does not go back to, as after an old
-        // backup.
-        if (w.afterRevision() < compactedRevision
-                || w.afterRevision() > durableState().revision()) {
-            outputs.add(new Answer(ticket, new Reply.RevisionCompacted()));
+    private void startWatch(long nowMs, long requestId, Request.Watch request) {
+        // A revision above the newest durable one belongs to a history that was lost, for example when an old backup
+        // was
+        // restored.
+        if (request.afterRevision() < compactedRevision
+                || request.afterRevision() > durableState().revision()) {
+            outputs.add(new Answer(requestId, new Reply.RevisionCompacted()));
             return;
         }
-        Watcher watcher =
-                new Watcher(w.prefix(), w.afterRevision(), now + Math.min(w.waitMs(), Limits.MAX_WATCH_WAIT_MS));
-        if (!answerWatch(ticket, watcher)) {
-            if (w.waitMs() <= 0) {
+        Watcher watcher = new Watcher(
+                request.prefix(),
+                request.afterRevision(),
+                nowMs + Math.min(request.waitMs(), Limits.MAX_WATCH_WAIT_MS));
+        if (!answerWatch(requestId, watcher)) {
+            if (request.waitMs() <= 0) {
                 outputs.add(new Answer(
-                        ticket, new Reply.Events(List.of(), durableState().revision())));
+                        requestId, new Reply.Events(List.of(), durableState().revision())));
             } else if (watchers.size() >= Limits.MAX_WATCHES) {
-                outputs.add(new Answer(ticket, new Reply.LimitExceeded(1)));
+                outputs.add(new Answer(requestId, new Reply.LimitExceeded(1)));
             } else {
-                watchers.put(ticket, watcher);
+                watchers.put(requestId, watcher);
             }
         }
     }
 
-    /** Answers a watch if there is something durable to tell. */
-    private boolean answerWatch(long ticket, Watcher w) {
-        long upTo = durableState().revision();
-        if (w.afterRevision < compactedRevision) {
-            watchers.remove(ticket);
-            outputs.add(new Answer(ticket, new Reply.RevisionCompacted()));
+    /** Answers the watch if a durable change matches it or its revision is compacted; returns whether it was answered. */
+    private boolean answerWatch(long requestId, Watcher watcher) {
+        long durableRevision = durableState().revision();
+        if (watcher.afterRevision < compactedRevision) {
+            watchers.remove(requestId);
+            outputs.add(new Answer(requestId, new Reply.RevisionCompacted()));
             return true;
         }
         List<Event> events = new ArrayList<>();
-        for (Iterator<Event> i = history.descendingIterator(); i.hasNext(); ) {
-            Event e = i.next();
-            if (e.revision() <= w.afterRevision) {
+        for (Iterator<Event> iterator = history.descendingIterator(); iterator.hasNext(); ) {
+            Event event = iterator.next();
+            if (event.revision() <= watcher.afterRevision) {
                 break;
             }
-            if (e.revision() <= upTo && e.key().startsWith(w.prefix)) {
-                events.add(e);
+            if (event.revision() <= durableRevision && event.key().startsWith(watcher.prefix)) {
+                events.add(event);
             }
         }
-        w.afterRevision = upTo;
+        watcher.afterRevision = durableRevision;
         if (events.isEmpty()) {
             return false;
         }
         Collections.reverse(events);
-        watchers.remove(ticket);
-        outputs.add(new Answer(ticket, new Reply.Events(events, upTo)));
+        watchers.remove(requestId);
+        outputs.add(new Answer(requestId, new Reply.Events(events, durableRevision)));
         return true;
     }
 }
--- a/src/main/java/birchusher/kv/Entry.java
+++ b/src/main/java/birchusher/kv/Entry.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What happened, in the order in which it counts: all that has to be kept to know the state again. */
+/** A change of the state, as written to the log. The state can be rebuilt from its entries in order. */
 public sealed interface Entry {
     /** A transaction that was applied; its writes share one revision. */
     record RowsChanged(List<Write> writes) implements Entry {
@@ -11,9 +11,9 @@
         }
     }
 
-    /** A lease was granted, for a life in milliseconds. */
+    /** A lease was granted with the given time to live. */
     record LeaseGranted(long leaseId, long ttlMs) implements Entry {}
 
-    /** A lease that ended, by its time or by request; its keys go with it, at one revision if there are any. */
+    /** A lease expired or was ended by request; its rows, if any, are removed at one new revision. */
     record LeaseEnded(long leaseId) implements Entry {}
 }
--- a/src/main/java/birchusher/kv/Limits.java
+++ b/src/main/java/birchusher/kv/Limits.java
@@ -3,10 +3,10 @@
 /**
  * The published limits of the state service.
  *
- * @param requestsPerS requests a second, watches and extensions included; bursts of one second's worth
- * @param writesPerS sets and removals a second, those of transactions whose conditions fail included
- * @param writes sets and removals in a transaction; four times as many conditions
- * @param valueBytes of one value, counted as JSON by whoever reads the request
+ * @param maxRequestsPerS requests per second, watches and lease renewals included; bursts of up to one second's amount
+ * @param maxWritesPerS rows set or removed per second, those of transactions whose conditions fail included
+ * @param maxWritesPerTransaction rows set or removed by a transaction, which may have four times as many conditions
+ * @param maxValueBytes the size of one value, counted as JSON by the parser of the request
  */
 public record Limits(double maxRequestsPerS, double maxWritesPerS, int maxWritesPerTransaction, int maxValueBytes) {
     public static final int MAX_TRANSACTION_BYTES = 64 * 1024;
@@ -17,9 +17,10 @@
     public static final long MIN_TTL_MS = 100;
     public static final long MAX_TTL_MS = 600_000;
     public static final long MAX_WATCH_WAIT_MS = 60_000;
-    /** Ours, for what the protocol leaves open. */
+    /** Not part of the published protocol, which sets no limit. */
     public static final int MAX_WATCHES = 1_000;
 
+    /** Not part of the published protocol, which sets no limit. */
     public static final int MAX_LEASES = 10_000;
 
     public Limits {
@@ -28,8 +29,8 @@
                 || maxWritesPerTransaction < 1
                 || maxValueBytes < 1
                 || maxValueBytes > MAX_TRANSACTION_BYTES) {
-            throw new IllegalArgumentException(
-                    "state limits: at least 1 each, values up to " + MAX_TRANSACTION_BYTES + " bytes");
+            throw new IllegalArgumentException("state limits: each must be at least 1, the value size at most "
+                    + MAX_TRANSACTION_BYTES + " bytes");
         }
     }
 }
--- a/src/main/java/birchusher/kv/Reply.java
+++ b/src/main/java/birchusher/kv/Reply.java
@@ -3,47 +3,47 @@
 import java.util.List;
 import java.util.Map;
 
-/** An answer; its edge gives it the published form. */
+/** The reply to a {@link Request}; the protocol layer encodes it. */
 public sealed interface Reply {
-    /** One row. */
+    /** The requested row. */
     record Found(String key, Row row) implements Reply {}
 
-    /** There is no such key; the present revision. */
+    /** There is no such key; {@code revision} is the current one. */
     record NotFound(long revision) implements Reply {}
 
-    /** A page of rows in the order of their keys, and whether more follow. */
+    /** A page of rows in key order, and whether more follow. */
     record Rows(List<Map.Entry<String, Row>> rows, boolean hasMore, long revision) implements Reply {}
 
-    /** A transaction was applied as this revision. */
+    /** The transaction was applied at this revision. */
     record Committed(long revision) implements Reply {}
 
-    /** Conditions that do not hold; nothing was changed. */
+    /** The conditions on these keys do not hold; nothing was changed. */
     record ConditionsFailed(List<String> keys, long revision) implements Reply {}
 
-    /** A lease was granted under this number. */
+    /** A lease was granted under this id. */
     record LeaseGranted(long leaseId) implements Reply {}
 
-    /** Carried out; there is nothing more to say. */
+    /** The request was carried out and has no result. */
     record Done() implements Reply {}
 
-    /** The changes that a watch waited for, up to this revision. */
+    /** All changes that match the watch, up to this revision; empty if none came in time. */
     record Events(List<State.Event> events, long revision) implements Reply {}
 
-    /** The lease has ended or never was: 404, and 400 for a write that names it. */
+    /** The lease has ended or never existed: status 404, or 400 for a transaction that names it. */
     record LeaseNotFound() implements Reply {}
 
-    /** Older than what is remembered: the keys must be read again. */
+    /** The changes after the requested revision are no longer available: the client must read the keys again. */
     record RevisionCompacted() implements Reply {}
 
-    /** Refused as over the limit; to be tried again after so many seconds. */
+    /** Refused because a limit is reached; may be retried after the given time. */
     record LimitExceeded(int retryAfterS) implements Reply {}
 
-    /** Not executed, and can't be at present. */
+    /** Not executed because the log can't be written; may be retried after the given time. */
     record Unavailable(int retryAfterS) implements Reply {}
 
-    /** Neither done nor not done: no answer may be given, the connection ends. */
+    /** It is unknown whether the request takes effect: no response may be sent, the connection is closed. */
     record OutcomeUnknown() implements Reply {}
 
-    /** Malformed or beyond a limit; the text names the field. */
+    /** Malformed or beyond a limit; the message names the field. */
     record InvalidRequest(String message) implements Reply {}
 }
--- a/src/main/java/birchusher/kv/Request.java
+++ b/src/main/java/birchusher/kv/Request.java
@@ -2,18 +2,23 @@
 
 import java.util.List;
 
-/** What a client of the state service may ask, read and bounded by its edge. */
+/** A request to the state service, as parsed and checked by the protocol layer. */
 public sealed interface Request {
     /** Reads one row. */
     record Get(String key) implements Request {}
 
-    /** Rows whose key begins with {@code prefix} and comes after {@code after}, at most {@code most}. */
+    /** Reads up to {@code maxRows} rows whose key begins with {@code prefix} and sorts after {@code after}, if not null. */
     record Page(String prefix, String after, int maxRows) implements Request {}
 
-    /** A row must have this stamp; 0: there must be none. */
+    /** The row must have been changed last at {@code modRevision}; 0 means that there must be no such row. */
     record Condition(String key, long modRevision) {}
 
-    /** @param bytes the size of the whole request, counted as JSON; {@code largest}: that of its largest value */
+    /**
+     * Applies all writes if all conditions hold.
+     *
+     * @param sizeBytes the size of the whole request, counted as JSON
+     * @param largestValueBytes the size of its largest value, counted as JSON
+     */
     record Transaction(List<Condition> conditions, List<Write> writes, int sizeBytes, int largestValueBytes)
             implements Request {
         public Transaction {
@@ -22,15 +27,15 @@
         }
     }
 
-    /** Asks for a lease of so many milliseconds. */
+    /** Requests a new lease with the given time to live. */
     record GrantLease(long ttlMs) implements Request {}
 
-    /** Extends a lease by its whole life. */
+    /** Restarts the time to live of a lease. */
     record RenewLease(long leaseId) implements Request {}
 
-    /** Ends a lease, with the rows attached to it. */
+    /** Ends a lease and removes the rows attached to it. */
     record EndLease(long leaseId) implements Request {}
 
-    /** Waits until a key under the prefix has changed after {@code since}, or for that long. */
+    /** Waits up to {@code waitMs} for a change after {@code afterRevision} of a key that begins with {@code prefix}. */
     record Watch(String prefix, long afterRevision, long waitMs) implements Request {}
 }
--- a/src/main/java/birchusher/kv/State.java
+++ b/src/main/java/birchusher/kv/State.java
@@ -7,69 +7,80 @@
 import org.pcollections.TreePMap;
 
 /**
- * All rows and leases at one moment. Never changes: a listing, a snapshot or a step back keeps an old one while newer
- * ones are made, at the price of a path of new nodes for each change.
+ * All rows and leases after one entry. Immutable: a page, a snapshot or a rollback keeps an old state while newer ones are
+ * made; each change costs a path of new nodes in the persistent maps.
  *
- * @param revision counts changes; every row's stamp is at most this
- * @param nextLease above every lease ever granted
+ * @param revision counts changes; the revision of no row is above it
+ * @param nextLeaseId above the id of every lease ever granted
  */
 public record State(TreePMap<String, Row> rows, PMap<Long, Lease> leases, long revision, long nextLeaseId) {
     public static final State EMPTY = new State(TreePMap.empty(), HashTreePMap.empty(), 0, 1);
 
-    /** One key's change, for those who watch: no value means removed. */
+    /** The change of one row, as reported to watches; {@code value} is null if the row was removed. */
     public record Event(String key, byte[] value, long revision) {}
 
-    /** The state after an entry. Never fails on an entry that {@link Engine} made from this state. */
-    public State apply(Entry e, Consumer<Event> events) {
-        if (e instanceof Entry.RowsChanged c) {
-            return applyWrites(c.writes(), events);
+    /**
+     * Returns the state after the entry, which must have been made from this state by {@link Engine}; then it can't fail.
+     *
+     * @param events receives each changed row
+     */
+    public State apply(Entry entry, Consumer<Event> events) {
+        if (entry instanceof Entry.RowsChanged changed) {
+            return applyWrites(changed.writes(), events);
         }
-        if (e instanceof Entry.LeaseGranted g) {
+        if (entry instanceof Entry.LeaseGranted granted) {
             return new State(
                     rows,
-                    leases.plus(g.leaseId(), new Lease(g.leaseId(), g.ttlMs())),
+                    leases.plus(granted.leaseId(), new Lease(granted.leaseId(), granted.ttlMs())),
                     revision,
-                    Math.max(nextLeaseId, g.leaseId() + 1));
+                    Math.max(nextLeaseId, granted.leaseId() + 1));
         }
-        Lease l = leases.get(((Entry.LeaseEnded) e).leaseId());
-        if (l == null) {
+        Lease lease = leases.get(((Entry.LeaseEnded) entry).leaseId());
+        if (lease == null) {
             return this;
         }
-        State s = l.keys().isEmpty()
+        State withoutRows = lease.keys().isEmpty()
                 ? this
                 : applyWrites(
-                        l.keys().stream().sorted().<Write>map(Write.Remove::new).toList(), events);
-        return new State(s.rows, s.leases.minus(l.id()), s.revision, s.nextLeaseId);
+                        lease.keys().stream()
+                                .sorted()
+                                .<Write>map(Write.Remove::new)
+                                .toList(),
+                        events);
+        return new State(
+                withoutRows.rows, withoutRows.leases.minus(lease.id()), withoutRows.revision, withoutRows.nextLeaseId);
     }
 
     private State applyWrites(List<Write> writes, Consumer<Event> events) {
-        TreePMap<String, Row> r = rows;
-        PMap<Long, Lease> l = leases;
-        long at = revision + 1;
-        for (Write w : writes) {
-            Row old = r.get(w.key());
-            if (old != null && old.leaseId() != 0) {
-                l = l.plus(old.leaseId(), l.get(old.leaseId()).withoutKey(w.key()));
+        TreePMap<String, Row> newRows = rows;
+        PMap<Long, Lease> newLeases = leases;
+        long newRevision = revision + 1;
+        for (Write write : writes) {
+            Row oldRow = newRows.get(write.key());
+            if (oldRow != null && oldRow.leaseId() != 0) {
+                newLeases = newLeases.plus(
+                        oldRow.leaseId(), newLeases.get(oldRow.leaseId()).withoutKey(write.key()));
             }
-            if (w instanceof Write.Set s) {
-                r = r.plus(s.key(), new Row(s.value(), at, s.leaseId()));
-                if (s.leaseId() != 0) {
-                    l = l.plus(s.leaseId(), l.get(s.leaseId()).withKey(s.key()));
+            if (write instanceof Write.Set set) {
+                newRows = newRows.plus(set.key(), new Row(set.value(), newRevision, set.leaseId()));
+                if (set.leaseId() != 0) {
+                    newLeases = newLeases.plus(
+                            set.leaseId(), newLeases.get(set.leaseId()).withKey(set.key()));
                 }
-                events.accept(new Event(s.key(), s.value(), at));
-            } else if (old != null) {
-                r = r.minus(w.key());
-                events.accept(new Event(w.key(), null, at));
+                events.accept(new Event(set.key(), set.value(), newRevision));
+            } else if (oldRow != null) {
+                newRows = newRows.minus(write.key());
+                events.accept(new Event(write.key(), null, newRevision));
             }
         }
-        return new State(r, l, at, nextLeaseId);
+        return new State(newRows, newLeases, newRevision, nextLeaseId);
     }
 
-    /** The row itself as kept in a snapshot: no event, no new revision. */
+    /** Returns this state with a row from a snapshot added, without an event or a new revision. */
     State withRestoredRow(String key, Row row) {
-        PMap<Long, Lease> l = row.leaseId() == 0
+        PMap<Long, Lease> newLeases = row.leaseId() == 0
                 ? leases
                 : leases.plus(row.leaseId(), leases.get(row.leaseId()).withKey(key));
-        return new State(rows.plus(key, row), l, revision, nextLeaseId);
+        return new State(rows.plus(key, row), newLeases, revision, nextLeaseId);
     }
 }
--- a/src/main/java/birchusher/kv/StateRestorer.java
+++ b/src/main/java/birchusher/kv/StateRestorer.java
@@ -4,30 +4,32 @@
 import java.io.IOException;
 import java.util.ArrayDeque;
 
-/** Makes a state again from what was kept: the records of a whole one, then entries. */
+/** Rebuilds a state from storage: first the records of a snapshot, then the log entries after it. */
 public final class StateRestorer {
     private State state = State.EMPTY;
     private final ArrayDeque<Event> history = new ArrayDeque<>();
     private long compactedRevision;
 
-    /** From nothing. */
+    /** Starts again from the empty state. */
     public void reset() {
         state = State.EMPTY;
         history.clear();
         compactedRevision = 0;
     }
 
-    /** One record of a whole state. */
+    /** Applies the next record of a snapshot. */
     public void addSnapshotRecord(byte[] bytes) throws IOException {
         state = Codec.withRestoredRecord(state, bytes);
         compactedRevision = state.revision();
     }
 
+    /** Applies the next log entry after the snapshot. */
     public void applyLogRecord(byte[] bytes) throws IOException {
         state = state.apply(Codec.decode(bytes), history::add);
         compactedRevision = trimHistory(history, compactedRevision);
     }
 
+    /** The state rebuilt so far. */
     public State state() {
         return state;
     }
@@ -37,21 +39,22 @@
         return history;
     }
 
-    /** Watches must ask from this revision on. */
+    /** Changes up to and including this revision are not in the history; a watch must start at it or after it. */
     long compactedRevision() {
         return compactedRevision;
     }
 
-    /** Drops the oldest changes beyond what is kept; returns up to which revision nothing is remembered. */
-    static long trimHistory(ArrayDeque<Event> history, long forgotten) {
-        long f = forgotten;
+    /** Removes the oldest changes beyond {@link Limits#MAX_HISTORY_EVENTS}; returns the new compacted revision. */
+    static long trimHistory(ArrayDeque<Event> history, long compactedRevision) {
+        long compacted = compactedRevision;
         while (history.size() > Limits.MAX_HISTORY_EVENTS) {
-            f = history.removeFirst().revision();
+            compacted = history.removeFirst().revision();
         }
-        // A revision is remembered in whole or not at all: half of a transaction would be told as all of it.
-        while (!history.isEmpty() && history.getFirst().revision() <= f) {
+        // All changes of a revision are kept or none: otherwise a watch would report part of a transaction as the
+        // whole.
+        while (!history.isEmpty() && history.getFirst().revision() <= compacted) {
             history.removeFirst();
         }
-        return f;
+        return compacted;
     }
 }
--- a/src/main/java/birchusher/kv/Write.java
+++ b/src/main/java/birchusher/kv/Write.java
@@ -1,10 +1,10 @@
 package birchusher.kv;
 
-/** One change within a transaction: a new value, or none. */
+/** One change within a transaction: sets or removes a row. */
 public sealed interface Write {
     String key();
 
-    /** Writes a row; {@code lease} 0: attached to none. */
+    /** Sets a row; {@code leaseId} 0 attaches it to no lease. */
     record Set(String key, byte[] value, long leaseId) implements Write {}
 
     /** Removes a row. */
--- a/src/test/java/birchusher/kv/LinearizabilityTest.java
+++ b/src/test/java/birchusher/kv/LinearizabilityTest.java
@@ -17,70 +17,73 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Histories of concurrent clients of the state service, through failed writes, kills and power cuts, are linearizable: there is
- * one order of all requests, within the times at which each was open, that explains every answer. Requests without an answer
- * may have happened at any later time, or never.
+ * Histories of concurrent clients of the state service are linearizable, with failed writes, kills and power cuts: one order
+ * of all requests, each within the time between its start and its answer, explains every answer. A request without an answer
+ * may take effect at any later time, or never.
  *
- * <p>Source of the search: Wing and Gong, Testing and Verifying Concurrent Objects (1993), with the states seen remembered as
- * Lowe does (2017).
+ * <p>The search is that of Wing and Gong, Testing and Verifying Concurrent Objects (1993), with visited states remembered as
+ * in Lowe (2017).
  */
 class LinearizabilityTest {
     private static final Limits LIMITS = new Limits(1e6, 1e6, 8, 100);
     private static final int NOT_ANSWERED = Integer.MAX_VALUE;
     private static final long UNKNOWN_REVISION = -1;
 
-    /** A read, or a write of one key that holds only if the key's stamp is the given one; stamps come from answers. */
+    /** A read, or a conditional write of one key; the condition is a revision that came from an answer. */
     private static final class Operation {
         final boolean write;
         final long conditionRevision;
         final String value;
         final int startTime;
         int answerTime = NOT_ANSWERED;
-        /** What was answered: a value and its stamp, or whether the condition held and at which revision. */
+        /** The answer to a read: the value, null if there was none, and its revision. */
         String valueRead;
 
+        /** The revision of the row read, or that of the successful write. */
         long modRevision;
+
+        /** The answer to a write. */
         Boolean conditionHeld;
 
-        Operation(boolean write, long condition, String value, int from) {
+        Operation(boolean write, long conditionRevision, String value, int startTime) {
             this.write = write;
-            this.conditionRevision = condition;
+            this.conditionRevision = conditionRevision;
             this.value = value;
-            this.startTime = from;
+            this.startTime = startTime;
         }
     }
 
-    /** The key's value and stamp, with what is done of the history; revisions of other keys only have to grow. */
+    /** The operations ordered so far, and the key's value and revision after them. */
     private record SearchState(Set<Integer> done, String value, long modRevision) {}
 
-    static boolean isLinearizable(List<Operation> ops) {
-        return isLinearizable(ops, new HashSet<>(), null, 0, new HashSet<>());
+    static boolean isLinearizable(List<Operation> operations) {
+        return isLinearizable(operations, new HashSet<>(), null, 0, new HashSet<>());
     }
 
     private static boolean isLinearizable(
-            List<Operation> ops, Set<Integer> done, String value, long stamp, Set<SearchState> seen) {
-        if (!seen.add(new SearchState(Set.copyOf(done), value, stamp))) {
+            List<Operation> operations, Set<Integer> done, String value, long modRevision, Set<SearchState> visited) {
+        if (!visited.add(new SearchState(Set.copyOf(done), value, modRevision))) {
             return false;
         }
-        int first = NOT_ANSWERED;
-        boolean open = false;
-        for (int i = 0; i < ops.size(); i++) {
+        int earliestAnswer = NOT_ANSWERED;
+        boolean answersLeft = false;
+        for (int i = 0; i < operations.size(); i++) {
             if (!done.contains(i)) {
-                open |= ops.get(i).answerTime != NOT_ANSWERED;
-                first = Math.min(first, ops.get(i).answerTime);
+                answersLeft |= operations.get(i).answerTime != NOT_ANSWERED;
+                earliestAnswer = Math.min(earliestAnswer, operations.get(i).answerTime);
             }
         }
-        if (!open) {
+        if (!answersLeft) {
             return true;
         }
-        for (int i = 0; i < ops.size(); i++) {
-            Operation o = ops.get(i);
-            if (done.contains(i) || o.startTime > first) {
+        for (int i = 0; i < operations.size(); i++) {
+            Operation operation = operations.get(i);
+            if (done.contains(i) || operation.startTime > earliestAnswer) {
                 continue;
             }
             done.add(i);
-            for (SearchState next : possibleStatesAfter(o, value, stamp)) {
-                if (isLinearizable(ops, done, next.value(), next.modRevision(), seen)) {
+            for (SearchState next : possibleStatesAfter(operation, value, modRevision)) {
+                if (isLinearizable(operations, done, next.value(), next.modRevision(), visited)) {
                     return true;
                 }
             }
@@ -89,23 +92,28 @@
         return false;
     }
 
-    /** What the key may be after this request, if it comes now and its answer is right; -1 is a stamp that nobody was told. */
-    private static List<SearchState> possibleStatesAfter(Operation o, String value, long stamp) {
-        SearchState same = new SearchState(Set.of(), value, stamp);
-        boolean may = stamp == UNKNOWN_REVISION || stamp == o.conditionRevision;
-        boolean mayNot = stamp == UNKNOWN_REVISION || stamp != o.conditionRevision;
-        if (o.answerTime == NOT_ANSWERED) {
-            SearchState changed = new SearchState(Set.of(), o.value, UNKNOWN_REVISION);
-            return !o.write || !may ? List.of(same) : mayNot ? List.of(changed, same) : List.of(changed);
+    /**
+     * The states of the key in which the operation may leave it if it is the next one and its answer is right; none if the
+     * answer would be wrong. The revision of a write without an answer is {@link #UNKNOWN_REVISION}.
+     */
+    private static List<SearchState> possibleStatesAfter(Operation operation, String value, long modRevision) {
+        SearchState unchanged = new SearchState(Set.of(), value, modRevision);
+        boolean mayHold = modRevision == UNKNOWN_REVISION || modRevision == operation.conditionRevision;
+        boolean mayFail = modRevision == UNKNOWN_REVISION || modRevision != operation.conditionRevision;
+        if (operation.answerTime == NOT_ANSWERED) {
+            SearchState changed = new SearchState(Set.of(), operation.value, UNKNOWN_REVISION);
+            return !operation.write || !mayHold
+                    ? List.of(unchanged)
+                    : mayFail ? List.of(changed, unchanged) : List.of(changed);
         }
-        if (!o.write) {
-            boolean right = java.util.Objects.equals(o.valueRead, value)
-                    && (stamp == UNKNOWN_REVISION || o.modRevision == stamp);
-            return right ? List.of(new SearchState(Set.of(), value, o.modRevision)) : List.of();
+        if (!operation.write) {
+            boolean answerIsRight = java.util.Objects.equals(operation.valueRead, value)
+                    && (modRevision == UNKNOWN_REVISION || operation.modRevision == modRevision);
+            return answerIsRight ? List.of(new SearchState(Set.of(), value, operation.modRevision)) : List.of();
         }
-        return o.conditionHeld
-                ? may ? List.of(new SearchState(Set.of(), o.value, o.modRevision)) : List.of()
-                : mayNot ? List.of(same) : List.of();
+        return operation.conditionHeld
+                ? mayHold ? List.of(new SearchState(Set.of(), operation.value, operation.modRevision)) : List.of()
+                : mayFail ? List.of(unchanged) : List.of();
     }
 
     private static final class History {
@@ -121,78 +129,78 @@
             random = new SplittableRandom(seed);
         }
 
-        void submit(DurableStore k) {
+        void submit(DurableStore store) {
             String key = "k" + random.nextInt(2);
             boolean write = random.nextInt(3) > 0;
             long condition = random.nextInt(4) == 0 ? random.nextInt(4) : lastModRevision.getOrDefault(key, 0L);
-            Operation o = new Operation(write, condition, "v" + lastRequestId, clock++);
-            operationsByKey.computeIfAbsent(key, x -> new ArrayList<>()).add(o);
-            openOperations.put(++lastRequestId, o);
-            recordAnswers(k.handle(
+            Operation operation = new Operation(write, condition, "v" + lastRequestId, clock++);
+            operationsByKey.computeIfAbsent(key, newKey -> new ArrayList<>()).add(operation);
+            openOperations.put(++lastRequestId, operation);
+            recordAnswers(store.handle(
                     clock,
                     lastRequestId,
                     write
                             ? new Request.Transaction(
                                     List.of(new Request.Condition(key, condition)),
-                                    List.of(new Write.Set(key, o.value.getBytes(StandardCharsets.UTF_8), 0)),
+                                    List.of(new Write.Set(key, operation.value.getBytes(StandardCharsets.UTF_8), 0)),
                                     100,
                                     10)
                             : new Request.Get(key)));
         }
 
         void recordAnswers(List<Engine.Answer> answers) {
-            for (Engine.Answer a : answers) {
-                Operation o = openOperations.remove(a.requestId());
+            for (Engine.Answer answer : answers) {
+                Operation operation = openOperations.remove(answer.requestId());
                 String key = operationsByKey.entrySet().stream()
-                        .filter(e -> e.getValue().contains(o))
+                        .filter(entry -> entry.getValue().contains(operation))
                         .findFirst()
                         .orElseThrow()
                         .getKey();
-                if (a.reply() instanceof Reply.Unavailable) {
-                    operationsByKey.get(key).remove(o);
+                if (answer.reply() instanceof Reply.Unavailable) {
+                    operationsByKey.get(key).remove(operation);
                     continue;
                 }
-                if (a.reply() instanceof Reply.OutcomeUnknown) {
+                if (answer.reply() instanceof Reply.OutcomeUnknown) {
                     continue;
                 }
                 answeredCount++;
-                o.answerTime = clock++;
-                if (a.reply() instanceof Reply.Found f) {
-                    o.valueRead = new String(f.row().value(), StandardCharsets.UTF_8);
-                    o.modRevision = f.row().modRevision();
-                } else if (a.reply() instanceof Reply.Committed c) {
-                    o.conditionHeld = true;
-                    o.modRevision = c.revision();
-                } else if (a.reply() instanceof Reply.ConditionsFailed) {
-                    o.conditionHeld = false;
+                operation.answerTime = clock++;
+                if (answer.reply() instanceof Reply.Found found) {
+                    operation.valueRead = new String(found.row().value(), StandardCharsets.UTF_8);
+                    operation.modRevision = found.row().modRevision();
+                } else if (answer.reply() instanceof Reply.Committed committed) {
+                    operation.conditionHeld = true;
+                    operation.modRevision = committed.revision();
+                } else if (answer.reply() instanceof Reply.ConditionsFailed) {
+                    operation.conditionHeld = false;
                 } else {
-                    assertThat(a.reply()).isInstanceOf(Reply.NotFound.class);
+                    assertThat(answer.reply()).isInstanceOf(Reply.NotFound.class);
                 }
-                if (o.modRevision > 0) {
-                    lastModRevision.merge(key, o.modRevision, Math::max);
+                if (operation.modRevision > 0) {
+                    lastModRevision.merge(key, operation.modRevision, Math::max);
                 }
             }
         }
 
-        /** One life: requests come at any moment, also while a batch is being written. */
-        void runIncarnation(DurableStore k) {
+        /** Runs one incarnation of the service: requests arrive at any time, also while a batch is being written. */
+        void runIncarnation(DurableStore store) {
             for (int i = 0; i < 12; i++) {
-                int n = random.nextInt(3);
-                for (int j = 0; j < n; j++) {
-                    submit(k);
+                int requests = random.nextInt(3);
+                for (int j = 0; j < requests; j++) {
+                    submit(store);
                 }
-                DurableStore.Batch b = k.takeBatch();
-                if (b != null) {
+                DurableStore.Batch batch = store.takeBatch();
+                if (batch != null) {
                     if (random.nextBoolean()) {
-                        submit(k);
+                        submit(store);
                     }
-                    b.write();
+                    batch.write();
                     if (random.nextBoolean()) {
-                        submit(k);
+                        submit(store);
                     }
-                    recordAnswers(k.onBatchWritten(clock, b));
+                    recordAnswers(store.onBatchWritten(clock, batch));
                 }
-                recordAnswers(k.tick(clock + 2_000L * i));
+                recordAnswers(store.tick(clock + 2_000L * i));
             }
         }
     }
@@ -200,35 +208,38 @@
     @Test
     void everyHistoryIsLinearizable() throws IOException {
         int answered = 0;
-        int ends = 0;
+        int crashes = 0;
         for (long seed = 0; seed < 500; seed++) {
-            History h = new History(seed);
-            FaultDirectory disk = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
-            for (int life = 0; life < 3; life++) {
-                if (h.random.nextInt(3) == 0) {
-                    disk.failAt(h.random.nextInt(25), h.random.nextInt(40), 1 + h.random.nextInt(3));
+            History history = new History(seed);
+            FaultDirectory directory = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
+            for (int incarnation = 0; incarnation < 3; incarnation++) {
+                if (history.random.nextInt(3) == 0) {
+                    directory.failAt(
+                            history.random.nextInt(25), history.random.nextInt(40), 1 + history.random.nextInt(3));
                 } else {
-                    disk.crashAt(h.random.nextInt(25), h.random.nextInt(120));
+                    directory.crashAt(history.random.nextInt(25), history.random.nextInt(120));
                 }
                 try {
-                    h.runIncarnation(DurableStore.open(disk, new WriteAheadLog.Options(700, 2), 500, LIMITS, h.clock));
+                    history.runIncarnation(DurableStore.open(
+                            directory, new WriteAheadLog.Options(700, 2), 500, LIMITS, history.clock));
                 } catch (FaultDirectory.SimulatedCrash e) {
-                    ends++;
+                    crashes++;
                 } catch (IOException e) {
-                    // The fault fell on the start.
+                    // The fault hit the recovery at the start.
                 }
-                h.openOperations.clear();
-                disk = h.random.nextBoolean() ? disk.afterKill() : disk.afterPowerCut(h.random);
+                history.openOperations.clear();
+                directory =
+                        history.random.nextBoolean() ? directory.afterKill() : directory.afterPowerCut(history.random);
             }
-            for (Map.Entry<String, List<Operation>> e : h.operationsByKey.entrySet()) {
-                assertThat(isLinearizable(e.getValue()))
-                        .as("seed " + seed + ", " + e.getKey())
+            for (Map.Entry<String, List<Operation>> entry : history.operationsByKey.entrySet()) {
+                assertThat(isLinearizable(entry.getValue()))
+                        .as("seed " + seed + ", " + entry.getKey())
                         .isTrue();
             }
-            answered += h.answeredCount;
+            answered += history.answeredCount;
         }
         assertThat(answered).isGreaterThan(5_000);
-        assertThat(ends).isGreaterThan(400);
+        assertThat(crashes).isGreaterThan(400);
     }
 
     @Test
@@ -237,20 +248,20 @@
         write.answerTime = 1;
         write.conditionHeld = true;
         write.modRevision = 1;
-        Operation old = new Operation(false, 0, null, 2);
-        old.answerTime = 3;
-        assertThat(isLinearizable(List.of(write, old)))
-                .as("a read that has not seen a write before it")
+        Operation staleRead = new Operation(false, 0, null, 2);
+        staleRead.answerTime = 3;
+        assertThat(isLinearizable(List.of(write, staleRead)))
+                .as("a read that misses a write answered before it")
                 .isFalse();
-        Operation beside = new Operation(false, 0, null, 0);
-        beside.answerTime = 3;
-        assertThat(isLinearizable(List.of(write, beside))).isTrue();
-        Operation twice = new Operation(true, 0, "b", 2);
-        twice.answerTime = 3;
-        twice.conditionHeld = true;
-        twice.modRevision = 2;
-        assertThat(isLinearizable(List.of(write, twice)))
-                .as("two writes on the same condition")
+        Operation concurrentRead = new Operation(false, 0, null, 0);
+        concurrentRead.answerTime = 3;
+        assertThat(isLinearizable(List.of(write, concurrentRead))).isTrue();
+        Operation secondWrite = new Operation(true, 0, "b", 2);
+        secondWrite.answerTime = 3;
+        secondWrite.conditionHeld = true;
+        secondWrite.modRevision = 2;
+        assertThat(isLinearizable(List.of(write, secondWrite)))
+                .as("two successful writes on the same condition")
                 .isFalse();
     }
 }
