--- a/src/main/java/birchusher/wal/CorruptedDataException.java
+++ b/src/main/java/birchusher/wal/CorruptedDataException.java
@@ -2,14 +2,16 @@
 
 import java.io.IOException;
 
-/** What was durable can't be read any more. Nothing was changed; {@link Repair} says what would be lost. */
+/** Data that was durable can't be read any more. The directory is unchanged; {@link Repair} reports what would be lost. */
 public final class CorruptedDataException extends IOException {
     private static final long serialVersionUID = 1;
+    /** The name of the file within its directory. */
     public final String file;
+    /** The byte of the file from which on it is invalid. */
     public final long offset;
 
-    public CorruptedDataException(String file, long offset, String what) {
-        super(file + " at byte " + offset + ": " + what);
+    public CorruptedDataException(String file, long offset, String description) {
+        super(file + " at byte " + offset + ": " + description);
         this.file = file;
         this.offset = offset;
     }
--- a/src/main/java/birchusher/wal/DirectoryListing.java
+++ b/src/main/java/birchusher/wal/DirectoryListing.java
@@ -4,21 +4,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The files of a log's directory by what they are, oldest first. */
+/** The names of the files in a log's directory by kind; segments and snapshots oldest first. */
 record DirectoryListing(List<String> segments, List<String> snapshots, List<String> temporaryFiles) {
-    static DirectoryListing of(StorageDirectory disk) throws IOException {
-        DirectoryListing l = new DirectoryListing(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-        for (String n : disk.fileNames()) {
-            if (Segment.firstSequence(n) > 0) {
-                l.segments.add(n);
-            } else if (Snapshot.sequenceOf(n) >= 0) {
-                l.snapshots.add(n);
-            } else if (n.endsWith(Snapshot.TEMPORARY_SUFFIX)) {
-                l.temporaryFiles.add(n);
+    static DirectoryListing of(StorageDirectory directory) throws IOException {
+        DirectoryListing listing = new DirectoryListing(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+        for (String name : directory.fileNames()) {
+            if (Segment.firstSequence(name) > 0) {
+                listing.segments.add(name);
+            } else if (Snapshot.sequenceOf(name) >= 0) {
+                listing.snapshots.add(name);
+            } else if (name.endsWith(Snapshot.TEMPORARY_SUFFIX)) {
+                listing.temporaryFiles.add(name);
             }
         }
-        l.segments.sort(null);
-        l.snapshots.sort(null);
-        return l;
+        listing.segments.sort(null);
+        listing.snapshots.sort(null);
+        return listing;
     }
 }
--- a/src/main/java/birchusher/wal/LockedDirectory.java
+++ b/src/main/java/birchusher/wal/LockedDirectory.java
@@ -14,19 +14,26 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A directory of this host, held by a lock on its file {@code lock} so that no second daemon writes there. */
+/**
+ * A directory of the local file system. It is held by a lock on its file {@code lock} until {@link #close}, so that no second
+ * process writes there.
+ */
 public final class LockedDirectory implements StorageDirectory {
     private static final String LOCK_FILE_NAME = "lock";
 
     private final Path path;
     private final FileChannel lockChannel;
 
-    /** @throws IOException also if another process, or this one, holds the directory; the message says so */
-    public LockedDirectory(Path dir) throws IOException {
-        this.path = dir;
-        Files.createDirectories(dir);
+    /**
+     * Creates the directory if necessary and locks it.
+     *
+     * @throws IOException also if this process or another one holds the directory; the message says so
+     */
+    public LockedDirectory(Path path) throws IOException {
+        this.path = path;
+        Files.createDirectories(path);
         lockChannel =
-                FileChannel.open(dir.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileChannel.open(path.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock;
         try {
             lock = lockChannel.tryLock();
@@ -35,7 +42,7 @@
         }
         if (lock == null) {
             lockChannel.close();
-            throw new IOException(dir + ": in use by another process");
+            throw new IOException(path + ": in use by another process");
         }
     }
 
@@ -44,8 +51,8 @@
         List<String> names = new ArrayList<>();
         try (Stream<Path> files = Files.list(path)) {
             files.filter(Files::isRegularFile)
-                    .map(p -> p.getFileName().toString())
-                    .filter(n -> !n.equals(LOCK_FILE_NAME))
+                    .map(file -> file.getFileName().toString())
+                    .filter(name -> !name.equals(LOCK_FILE_NAME))
                     .forEach(names::add);
         }
         return names;
@@ -82,8 +89,8 @@
 
     @Override
     public void syncDirectory() throws IOException {
-        try (FileChannel c = FileChannel.open(path, StandardOpenOption.READ)) {
-            c.force(true);
+        try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
@@ -114,9 +121,9 @@
         }
 
         @Override
-        public void truncate(long to) throws IOException {
-            channel.truncate(to);
-            length = to;
+        public void truncate(long newLength) throws IOException {
+            channel.truncate(newLength);
+            length = newLength;
         }
 
         @Override
--- a/src/main/java/birchusher/wal/Recovery.java
+++ b/src/main/java/birchusher/wal/Recovery.java
@@ -5,114 +5,122 @@
 import java.util.List;
 
 /**
- * Reads what a directory keeps and changes nothing: the newest snapshot that is whole, then the log from there on.
+ * Reads a log directory without changing it: the newest valid snapshot, then the log after it.
  *
- * <p>Refused as {@link Damaged}: a record that can't be read although it had been durable, a gap or an overlap between
- * files, a log that begins after the newest readable snapshot ends. A torn tail is no damage: it was never answered for.
+ * <p>Refused with {@link CorruptedDataException}: a record that can't be read although it was durable, a gap or an overlap
+ * between segments, and a log that begins after the newest readable snapshot ends. A torn tail is not corruption: no request
+ * was answered on the strength of it.
  */
 final class Recovery {
-    /** Where the log goes on: its last file, null if none can be written on, and how much of it is good. */
+    /** Where appending continues: the last segment, how many of its bytes are valid, and whether a torn tail follows them. */
     record AppendPosition(String segmentName, int validBytes, boolean torn) {}
 
-    private final StorageDirectory disk;
+    private final StorageDirectory directory;
     private final WriteAheadLog.RecoveryHandler handler;
     private final List<String> segments;
     private final List<String> snapshots;
-    /** What an operator should know, one line each. */
+    /** Findings for the operator, one line each. */
     final List<String> notes = new ArrayList<>();
-    /** Files that are left over and hold nothing that counts. */
+    /** Files that hold no recoverable data and may be deleted. */
     final List<String> removableFiles;
 
+    /** The last record of the snapshot that was read, 0 without one. */
     long snapshotSequence;
+
+    /** The last record that was recovered. */
     long lastSequence;
-    /** Bytes of log read, about what was written since the snapshot. */
+    /** Bytes of the segments read: about what was written since the snapshot. */
     long logBytes;
 
+    /** Null if the log has to continue in a new segment. */
     AppendPosition appendPosition;
 
-    Recovery(StorageDirectory disk, WriteAheadLog.RecoveryHandler to) throws IOException {
-        this.disk = disk;
-        this.handler = to;
-        DirectoryListing kept = DirectoryListing.of(disk);
-        segments = kept.segments();
-        snapshots = kept.snapshots();
-        removableFiles = kept.temporaryFiles();
+    Recovery(StorageDirectory directory, WriteAheadLog.RecoveryHandler handler) throws IOException {
+        this.directory = directory;
+        this.handler = handler;
+        DirectoryListing listing = DirectoryListing.of(directory);
+        segments = listing.segments();
+        snapshots = listing.snapshots();
+        removableFiles = listing.temporaryFiles();
     }
 
     List<String> segments() {
         return segments;
     }
 
+    /** Reads snapshot and log, passes their records to the handler, and sets the fields of this object. */
     void run() throws IOException {
         readSnapshot();
         lastSequence = snapshotSequence;
-        int from = -1;
+        int firstToRead = -1;
         for (int i = 0; i < segments.size() && Segment.firstSequence(segments.get(i)) <= snapshotSequence + 1; i++) {
-            from = i;
+            firstToRead = i;
         }
-        if (from < 0 && !segments.isEmpty()) {
+        if (firstToRead < 0 && !segments.isEmpty()) {
             throw new CorruptedDataException(
                     segments.get(0),
                     0,
                     "begins with record " + Segment.firstSequence(segments.get(0))
-                            + ", but what is kept before it ends with " + snapshotSequence);
+                            + ", but the data before it ends with record " + snapshotSequence);
         }
-        for (int i = from; i >= 0 && i < segments.size(); i++) {
-            readSegment(segments.get(i), i == from, i == segments.size() - 1);
+        for (int i = firstToRead; i >= 0 && i < segments.size(); i++) {
+            readSegment(segments.get(i), i == firstToRead, i == segments.size() - 1);
         }
     }
 
-    /** Gives the reader the newest snapshot that can be read, and sets {@code base} to its sequence, 0 without one. */
+    /** Passes the newest readable snapshot to the handler and sets {@code snapshotSequence}, which stays 0 without one. */
     void readSnapshot() throws IOException {
-        CorruptedDataException first = null;
+        CorruptedDataException firstFailure = null;
         for (int i = snapshots.size() - 1; i >= 0; i--) {
             handler.reset();
             try {
-                Snapshot.read(disk, snapshots.get(i), handler::snapshotRecord);
+                Snapshot.read(directory, snapshots.get(i), handler::snapshotRecord);
                 snapshotSequence = Snapshot.sequenceOf(snapshots.get(i));
                 return;
             } catch (CorruptedDataException e) {
-                first = first == null ? e : first;
-                notes.add("snapshot passed over, " + e.getMessage());
+                firstFailure = firstFailure == null ? e : firstFailure;
+                notes.add("skipped a corrupted snapshot: " + e.getMessage());
             }
         }
         handler.reset();
-        // Without any snapshot the log must reach back to the first record; with nothing at all, this is a new
-        // directory.
-        if (first != null && (segments.isEmpty() || Segment.firstSequence(segments.get(0)) != 1)) {
-            throw first;
+        // Without a readable snapshot the log must reach back to the first record. Neither snapshots nor segments mean
+        // a new directory.
+        if (firstFailure != null && (segments.isEmpty() || Segment.firstSequence(segments.get(0)) != 1)) {
+            throw firstFailure;
         }
     }
 
-    private void readSegment(String name, boolean firstRead, boolean lastOne) throws IOException {
-        long first = Segment.firstSequence(name);
-        if (!firstRead && first != lastSequence + 1) {
+    private void readSegment(String name, boolean isFirstRead, boolean isLast) throws IOException {
+        long firstSequence = Segment.firstSequence(name);
+        if (!isFirstRead && firstSequence != lastSequence + 1) {
             throw new CorruptedDataException(
-                    name, 0, "begins with record " + first + " where " + (lastSequence + 1) + " should be");
+                    name,
+                    0,
+                    "begins with record " + firstSequence + " where record " + (lastSequence + 1) + " is expected");
         }
-        Segment.Scan s = Segment.scan(disk, name, (sequence, payload) -> {
+        Segment.Scan scan = Segment.scan(directory, name, (sequence, payload) -> {
             if (sequence > snapshotSequence) {
                 handler.logRecord(sequence, payload);
             }
         });
-        if (!s.isComplete() && (!lastOne || s.remainderWasDurable())) {
+        if (!scan.isComplete() && (!isLast || scan.remainderWasDurable())) {
             throw new CorruptedDataException(
-                    name, s.validBytes(), "can't be read from there on, though it had been durable");
+                    name, scan.validBytes(), "unreadable from this offset on, although it was durable");
         }
-        if (s.validBytes() < Segment.HEADER_BYTES) {
-            notes.add(name + ": never finished, dropped");
+        if (scan.validBytes() < Segment.HEADER_BYTES) {
+            notes.add(name + ": segment was never completed, will be deleted");
             removableFiles.add(name);
             return;
         }
-        if (!s.isComplete()) {
-            notes.add(name + ": torn tail of " + (s.sizeBytes() - s.validBytes())
-                    + " bytes cut off, nothing of it was answered");
+        if (!scan.isComplete()) {
+            notes.add(name + ": torn tail of " + (scan.sizeBytes() - scan.validBytes())
+                    + " bytes truncated, no request was answered from it");
         }
-        logBytes += s.validBytes();
-        // An older log beside a newer snapshot: all of it is in the snapshot, and the log goes on in a new file.
-        if (s.lastSequence() >= lastSequence) {
-            lastSequence = s.lastSequence();
-            appendPosition = lastOne ? new AppendPosition(name, s.validBytes(), !s.isComplete()) : null;
+        logBytes += scan.validBytes();
+        // A log that ends before the snapshot is covered by it completely; the log then continues in a new segment.
+        if (scan.lastSequence() >= lastSequence) {
+            lastSequence = scan.lastSequence();
+            appendPosition = isLast ? new AppendPosition(name, scan.validBytes(), !scan.isComplete()) : null;
         }
     }
 }
--- a/src/main/java/birchusher/wal/Repair.java
+++ b/src/main/java/birchusher/wal/Repair.java
@@ -9,16 +9,22 @@
 import java.util.TreeMap;
 
 /**
- * The way out of {@link Damaged}, for an operator who has no backup: keeps the newest readable snapshot and every record
- * that follows it without a gap, also from behind the damage, and says what is lost. {@link #plan} changes nothing;
- * {@link #apply} leaves a copy of each file of the log beside it, named {@code .damaged1} and so on.
+ * Repairs a log directory that is refused with {@link CorruptedDataException}, for an operator without a backup. Kept are the
+ * newest readable snapshot and every record that follows it without a gap, also records behind the corrupted bytes.
+ * {@link #plan} reports what would be lost and changes nothing; {@link #apply} first copies each segment to a file named
+ * after it with the suffix {@code .damaged1} and so on.
  */
 public final class Repair {
     private static final String COPY_SUFFIX = ".damaged";
 
     /**
-     * @param kept the last record that stays
-     * @param lost records that can be read but stand behind a gap; those in the gap are lost as well
+     * What a repair keeps and loses.
+     *
+     * @param corruption the fault for which the directory was refused
+     * @param snapshotSequence the last record of the snapshot that is kept, 0 without one
+     * @param lastKeptSequence the last record that is kept
+     * @param readableRecordsLost records that can be read but follow a gap; the records in the gap are lost as well
+     * @param segmentNames the segments to be replaced
      */
     public record Plan(
             CorruptedDataException corruption,
@@ -26,31 +32,29 @@
             long lastKeptSequence,
             int readableRecordsLost,
             List<String> segmentNames) {
-        /** For the operator. */
+        /** Describes the plan to the operator, one line each. */
         public List<String> summaryLines() {
             return List.of(
                     "damaged: " + corruption.getMessage(),
-                    "kept: all up to record " + lastKeptSequence,
+                    "kept: all records up to " + lastKeptSequence,
                     readableRecordsLost == 0
-                            ? "lost: what came after record " + lastKeptSequence
-                                    + ", if anything; none of it can be read"
-                            : "lost: what came after record " + lastKeptSequence + ", of which " + readableRecordsLost
-                                    + " could still be read",
-                    "copied beside themselves with " + COPY_SUFFIX + " in their names: "
-                            + String.join(", ", segmentNames));
+                            ? "lost: any records after " + lastKeptSequence + "; none of them can be read"
+                            : "lost: all records after " + lastKeptSequence + ", of which " + readableRecordsLost
+                                    + " are still readable",
+                    "copied to files with the suffix " + COPY_SUFFIX + ": " + String.join(", ", segmentNames));
         }
     }
 
-    private final StorageDirectory disk;
+    private final StorageDirectory directory;
     private final Recovery recovery;
     private final TreeMap<Long, byte[]> readableRecords = new TreeMap<>();
 
-    private Repair(StorageDirectory disk) throws IOException {
-        this.disk = disk;
-        this.recovery = new Recovery(disk, IGNORE_RECORDS);
+    private Repair(StorageDirectory directory) throws IOException {
+        this.directory = directory;
+        this.recovery = new Recovery(directory, IGNORE_RECORDS);
         recovery.readSnapshot();
         for (String name : recovery.segments()) {
-            Segment.salvage(disk, name, (sequence, payload) -> {
+            Segment.salvage(directory, name, (sequence, payload) -> {
                 if (sequence > recovery.snapshotSequence) {
                     readableRecords.putIfAbsent(sequence, payload);
                 }
@@ -70,74 +74,76 @@
     };
 
     /**
-     * What a repair would keep and lose; null if nothing is damaged.
+     * Returns what a repair would keep and lose, or null if nothing is corrupted.
      *
-     * @throws Damaged if no snapshot can be read and the log does not reach back to the first record: only a backup helps
+     * @throws CorruptedDataException if no snapshot can be read and the log does not reach back to the first record: only a
+     *     backup helps then
      */
-    public static Plan plan(StorageDirectory disk) throws IOException {
+    public static Plan plan(StorageDirectory directory) throws IOException {
         try {
-            new Recovery(disk, IGNORE_RECORDS).run();
+            new Recovery(directory, IGNORE_RECORDS).run();
             return null;
         } catch (CorruptedDataException e) {
-            Repair r = new Repair(disk);
-            long kept = r.lastContiguousSequence();
+            Repair repair = new Repair(directory);
+            long lastKeptSequence = repair.lastContiguousSequence();
             return new Plan(
                     e,
-                    r.recovery.snapshotSequence,
-                    kept,
-                    r.readableRecords.tailMap(kept, false).size(),
-                    r.recovery.segments());
+                    repair.recovery.snapshotSequence,
+                    lastKeptSequence,
+                    repair.readableRecords.tailMap(lastKeptSequence, false).size(),
+                    repair.recovery.segments());
         }
     }
 
     private long lastContiguousSequence() {
-        long at = recovery.snapshotSequence;
-        while (readableRecords.containsKey(at + 1)) {
-            at++;
+        long sequence = recovery.snapshotSequence;
+        while (readableRecords.containsKey(sequence + 1)) {
+            sequence++;
         }
-        return at;
+        return sequence;
     }
 
-    /** Does what the plan says. May be ended at any moment and begun again. */
-    public static void apply(StorageDirectory disk, Plan plan) throws IOException {
-        Repair r = new Repair(disk);
-        if (r.lastContiguousSequence() != plan.lastKeptSequence()
-                || r.recovery.snapshotSequence != plan.snapshotSequence()) {
+    /** Carries out the plan. If the process ends at any point, the repair can be planned and applied again. */
+    public static void apply(StorageDirectory directory, Plan plan) throws IOException {
+        Repair repair = new Repair(directory);
+        if (repair.lastContiguousSequence() != plan.lastKeptSequence()
+                || repair.recovery.snapshotSequence != plan.snapshotSequence()) {
             throw new IOException("the directory has changed since the repair was planned");
         }
-        Set<String> taken = new HashSet<>(disk.fileNames());
+        Set<String> usedNames = new HashSet<>(directory.fileNames());
         for (String name : plan.segmentNames()) {
-            // A repair that was ended and begun again must not put its own work over the copy of the original.
-            int n = 1;
-            while (!taken.add(name + COPY_SUFFIX + n)) {
-                n++;
+            // A repair that was interrupted and started again must not overwrite the copies of the original files.
+            int copyNumber = 1;
+            while (!usedNames.add(name + COPY_SUFFIX + copyNumber)) {
+                copyNumber++;
             }
-            try (InputStream in = disk.openForRead(name);
-                    StorageDirectory.OutputFile out = disk.create(name + COPY_SUFFIX + n)) {
+            try (InputStream in = directory.openForRead(name);
+                    StorageDirectory.OutputFile out = directory.create(name + COPY_SUFFIX + copyNumber)) {
                 out.write(ByteBuffer.wrap(in.readAllBytes()));
                 out.sync();
             }
         }
-        String whole = Segment.fileName(plan.snapshotSequence() + 1);
-        try (StorageDirectory.OutputFile out = disk.create(whole + Snapshot.TEMPORARY_SUFFIX)) {
+        String newSegmentName = Segment.fileName(plan.snapshotSequence() + 1);
+        try (StorageDirectory.OutputFile out = directory.create(newSegmentName + Snapshot.TEMPORARY_SUFFIX)) {
             out.write(Segment.encodeHeader(plan.snapshotSequence() + 1));
-            for (var e :
-                    r.readableRecords.headMap(plan.lastKeptSequence(), true).entrySet()) {
-                ByteBuffer b = ByteBuffer.allocate(Segment.FRAME_BYTES + e.getValue().length);
-                Segment.encodeRecord(b, e.getKey(), out.length(), e.getValue());
-                out.write(b.flip());
+            for (var entry : repair.readableRecords
+                    .headMap(plan.lastKeptSequence(), true)
+                    .entrySet()) {
+                ByteBuffer buffer = ByteBuffer.allocate(Segment.FRAME_BYTES + entry.getValue().length);
+                Segment.encodeRecord(buffer, entry.getKey(), out.length(), entry.getValue());
+                out.write(buffer.flip());
             }
             out.sync();
         }
-        // The copies and the new file are durable under their names before any old one goes: whatever is left by an
-        // end in between still reads as damaged, or as repaired, and never as an empty log.
-        disk.rename(whole + Snapshot.TEMPORARY_SUFFIX, whole);
-        disk.syncDirectory();
+        // The copies and the new segment are durable under their names before an old segment is deleted. If the process
+        // ends in between, the directory reads as corrupted or as repaired, and never as an empty log.
+        directory.rename(newSegmentName + Snapshot.TEMPORARY_SUFFIX, newSegmentName);
+        directory.syncDirectory();
         for (String name : plan.segmentNames()) {
-            if (!name.equals(whole)) {
-                disk.delete(name);
+            if (!name.equals(newSegmentName)) {
+                directory.delete(name);
             }
         }
-        disk.syncDirectory();
+        directory.syncDirectory();
     }
 }
--- a/src/main/java/birchusher/wal/Segment.java
+++ b/src/main/java/birchusher/wal/Segment.java
@@ -6,16 +6,17 @@
 import java.util.zip.CRC32C;
 
 /**
- * One file of the log: a header and then records, all numbers big-endian.
+ * One file of the log: a header followed by records; all numbers are big-endian.
  *
  * <pre>
  * header  int "BSEG", int version, long first sequence, int CRC-32C of these
  * record  int "BREC", int length, long sequence, long synced, int CRC-32C of length, sequence, synced and payload, payload
  * </pre>
  *
- * {@code synced} is how many bytes of this file were known to be durable when the record was made. It tells a torn tail
- * from damage: bytes that can't be read were lost with a power cut only if no record after them says that they had
- * been durable. The last batch before a crash has no record after it, so damage there looks like a torn tail.
+ * {@code synced} is the number of bytes of this file that were known to be durable when the record was encoded. It
+ * distinguishes a torn tail from corruption: unreadable bytes are a torn tail, left by a power cut, only if no later record
+ * states that they were durable. No record follows the last batch before a crash, so corruption there looks like a torn
+ * tail.
  */
 final class Segment {
     static final int FORMAT_VERSION = 1;
@@ -26,12 +27,18 @@
     private static final int RECORD_MAGIC = 0x42524543;
     private static final String FILE_PREFIX = "log-";
 
-    /** Takes each record in order. */
+    /** Receives each record in file order. */
     interface RecordConsumer {
         void accept(long sequence, byte[] payload) throws IOException;
     }
 
-    /** How far a segment can be read: {@code good} bytes, up to {@code last}; {@code durable}: what follows was durable once. */
+    /**
+     * How much of a segment can be read.
+     *
+     * @param validBytes how many bytes from the start are valid; 0 if the header is not
+     * @param lastSequence the last valid record; without one, the number before the first record of the segment
+     * @param remainderWasDurable whether a later record states that the bytes after the valid ones were durable
+     */
     record Scan(int validBytes, int sizeBytes, long lastSequence, boolean remainderWasDurable) {
         boolean isComplete() {
             return validBytes == sizeBytes;
@@ -40,114 +47,124 @@
 
     private Segment() {}
 
-    static String fileName(long first) {
-        return String.format("%s%016x", FILE_PREFIX, first);
+    static String fileName(long firstSequence) {
+        return String.format("%s%016x", FILE_PREFIX, firstSequence);
     }
 
-    /** The first sequence that a file's name says, -1 if it is no segment. */
+    /** The sequence number of the first record according to the file's name, -1 if the file is not a segment. */
     static long firstSequence(String name) {
         return SequencedFileNames.parseSequence(name, FILE_PREFIX);
     }
 
-    static ByteBuffer encodeHeader(long first) {
-        ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES)
+    static ByteBuffer encodeHeader(long firstSequence) {
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES)
                 .putInt(SEGMENT_MAGIC)
                 .putInt(FORMAT_VERSION)
-                .putLong(first);
-        b.putInt(crc(b, 0, HEADER_BYTES - 4));
-        return b.flip();
+                .putLong(firstSequence);
+        buffer.putInt(crc(buffer, 0, HEADER_BYTES - 4));
+        return buffer.flip();
     }
 
-    /** Appends one record to a buffer with room for it. */
-    static void encodeRecord(ByteBuffer to, long sequence, long synced, byte[] payload) {
-        int at = to.position();
-        to.putInt(RECORD_MAGIC)
+    /**
+     * Appends one record to a buffer, which must have enough space left.
+     *
+     * @param synced how many bytes of the segment are durable
+     */
+    static void encodeRecord(ByteBuffer buffer, long sequence, long synced, byte[] payload) {
+        int offset = buffer.position();
+        buffer.putInt(RECORD_MAGIC)
                 .putInt(payload.length)
                 .putLong(sequence)
                 .putLong(synced)
                 .putInt(0)
                 .put(payload);
-        to.putInt(at + 24, recordCrc(to, at, payload.length));
+        buffer.putInt(offset + 24, recordCrc(buffer, offset, payload.length));
     }
 
-    private static int crc(ByteBuffer b, int from, int length) {
+    private static int crc(ByteBuffer buffer, int offset, int length) {
         CRC32C crc = new CRC32C();
-        crc.update(b.array(), from, length);
+        crc.update(buffer.array(), offset, length);
         return (int) crc.getValue();
     }
 
-    private static int recordCrc(ByteBuffer b, int at, int length) {
+    private static int recordCrc(ByteBuffer buffer, int offset, int length) {
         CRC32C crc = new CRC32C();
-        crc.update(b.array(), at + 4, 20);
-        crc.update(b.array(), at + FRAME_BYTES, length);
+        crc.update(buffer.array(), offset + 4, 20);
+        crc.update(buffer.array(), offset + FRAME_BYTES, length);
         return (int) crc.getValue();
     }
 
-    private static boolean isRecordAt(ByteBuffer b, int at) {
-        if (b.limit() - at < FRAME_BYTES || b.getInt(at) != RECORD_MAGIC) {
+    private static boolean isRecordAt(ByteBuffer buffer, int offset) {
+        if (buffer.limit() - offset < FRAME_BYTES || buffer.getInt(offset) != RECORD_MAGIC) {
             return false;
         }
-        int length = b.getInt(at + 4);
+        int length = buffer.getInt(offset + 4);
         return length >= 0
                 && length <= MAX_RECORD_BYTES
-                && length <= b.limit() - at - FRAME_BYTES
-                && b.getInt(at + 24) == recordCrc(b, at, length);
+                && length <= buffer.limit() - offset - FRAME_BYTES
+                && buffer.getInt(offset + 24) == recordCrc(buffer, offset, length);
     }
 
-    static Scan scan(StorageDirectory disk, String name, RecordConsumer each) throws IOException {
-        ByteBuffer b = readFile(disk, name);
-        long first = firstSequence(name);
-        if (b.limit() < HEADER_BYTES || b.getInt(0) != SEGMENT_MAGIC || b.getInt(16) != crc(b, 0, HEADER_BYTES - 4)) {
-            return new Scan(0, b.limit(), first - 1, wasDurableAt(b, 0));
+    /** Reads the records of a segment up to the first unreadable byte. */
+    static Scan scan(StorageDirectory directory, String name, RecordConsumer consumer) throws IOException {
+        ByteBuffer buffer = readFile(directory, name);
+        long firstSequence = firstSequence(name);
+        if (buffer.limit() < HEADER_BYTES
+                || buffer.getInt(0) != SEGMENT_MAGIC
+                || buffer.getInt(16) != crc(buffer, 0, HEADER_BYTES - 4)) {
+            return new Scan(0, buffer.limit(), firstSequence - 1, wasDurableAt(buffer, 0));
         }
-        if (b.getInt(4) != FORMAT_VERSION) {
-            throw new IOException(
-                    name + ": version " + b.getInt(4) + " of the log is not known here, " + FORMAT_VERSION + " is");
+        if (buffer.getInt(4) != FORMAT_VERSION) {
+            throw new IOException(name + ": version " + buffer.getInt(4) + " of the log format is not supported, only "
+                    + FORMAT_VERSION + " is");
         }
-        if (b.getLong(8) != first) {
-            throw new CorruptedDataException(name, 8, "says that it begins with record " + b.getLong(8));
+        if (buffer.getLong(8) != firstSequence) {
+            throw new CorruptedDataException(
+                    name, 8, "header says that the segment begins with record " + buffer.getLong(8));
         }
-        int at = HEADER_BYTES;
-        long sequence = first;
-        while (at < b.limit() && isRecordAt(b, at)) {
-            if (b.getLong(at + 8) != sequence) {
+        int offset = HEADER_BYTES;
+        long sequence = firstSequence;
+        while (offset < buffer.limit() && isRecordAt(buffer, offset)) {
+            if (buffer.getLong(offset + 8) != sequence) {
                 throw new CorruptedDataException(
-                        name, at, "record " + b.getLong(at + 8) + " where " + sequence + " should be");
+                        name,
+                        offset,
+                        "record " + buffer.getLong(offset + 8) + " where record " + sequence + " is expected");
             }
-            byte[] payload = new byte[b.getInt(at + 4)];
-            b.get(at + FRAME_BYTES, payload);
-            each.accept(sequence++, payload);
-            at += FRAME_BYTES + payload.length;
+            byte[] payload = new byte[buffer.getInt(offset + 4)];
+            buffer.get(offset + FRAME_BYTES, payload);
+            consumer.accept(sequence++, payload);
+            offset += FRAME_BYTES + payload.length;
         }
-        return new Scan(at, b.limit(), sequence - 1, wasDurableAt(b, at));
+        return new Scan(offset, buffer.limit(), sequence - 1, wasDurableAt(buffer, offset));
     }
 
-    /** Gives every record of a file that can be read, damaged parts passed over; its own number is what counts. */
-    static void salvage(StorageDirectory disk, String name, RecordConsumer each) throws IOException {
-        ByteBuffer b = readFile(disk, name);
-        int at = 0;
-        while (at <= b.limit() - FRAME_BYTES) {
-            if (isRecordAt(b, at)) {
-                byte[] payload = new byte[b.getInt(at + 4)];
-                b.get(at + FRAME_BYTES, payload);
-                each.accept(b.getLong(at + 8), payload);
-                at += FRAME_BYTES + payload.length;
+    /** Passes on every readable record of a file under its own sequence number, skipping corrupted parts. */
+    static void salvage(StorageDirectory directory, String name, RecordConsumer consumer) throws IOException {
+        ByteBuffer buffer = readFile(directory, name);
+        int offset = 0;
+        while (offset <= buffer.limit() - FRAME_BYTES) {
+            if (isRecordAt(buffer, offset)) {
+                byte[] payload = new byte[buffer.getInt(offset + 4)];
+                buffer.get(offset + FRAME_BYTES, payload);
+                consumer.accept(buffer.getLong(offset + 8), payload);
+                offset += FRAME_BYTES + payload.length;
             } else {
-                at++;
+                offset++;
             }
         }
     }
 
-    private static ByteBuffer readFile(StorageDirectory disk, String name) throws IOException {
-        try (InputStream in = disk.openForRead(name)) {
+    private static ByteBuffer readFile(StorageDirectory directory, String name) throws IOException {
+        try (InputStream in = directory.openForRead(name)) {
             return ByteBuffer.wrap(in.readAllBytes());
         }
     }
 
-    /** Whether a record after {@code at} was made when the byte there had been durable. */
-    private static boolean wasDurableAt(ByteBuffer b, int at) {
-        for (int i = at; i <= b.limit() - FRAME_BYTES; i++) {
-            if (b.getInt(i) == RECORD_MAGIC && b.getLong(i + 16) > at && isRecordAt(b, i)) {
+    /** Whether a valid record at or after {@code offset} states that the byte at {@code offset} was durable. */
+    private static boolean wasDurableAt(ByteBuffer buffer, int offset) {
+        for (int i = offset; i <= buffer.limit() - FRAME_BYTES; i++) {
+            if (buffer.getInt(i) == RECORD_MAGIC && buffer.getLong(i + 16) > offset && isRecordAt(buffer, i)) {
                 return true;
             }
         }
--- a/src/main/java/birchusher/wal/SequencedFileNames.java
+++ b/src/main/java/birchusher/wal/SequencedFileNames.java
@@ -1,10 +1,10 @@
 package birchusher.wal;
 
-/** File names that carry a sequence in 16 hexadecimal digits, so that they sort by it. */
+/** File names that end with a sequence number in 16 hexadecimal digits, so that they sort by it. */
 final class SequencedFileNames {
     private SequencedFileNames() {}
 
-    /** The number after the prefix, -1 if the name is of another form. */
+    /** Returns the sequence number after the prefix, or -1 if the name has another form. */
     static long parseSequence(String name, String prefix) {
         if (!name.startsWith(prefix) || name.length() != prefix.length() + 16) {
             return -1;
--- a/src/main/java/birchusher/wal/Snapshot.java
+++ b/src/main/java/birchusher/wal/Snapshot.java
@@ -13,14 +13,15 @@
 import net.jpountz.lz4.LZ4FrameOutputStream.FLG.Bits;
 
 /**
- * A picture of everything up to one sequence: a file that is either whole or not there.
+ * A file with the complete state after one log record. It is either complete or absent.
  *
  * <pre>
  * int "BSNP", int version, long sequence, then one LZ4 frame with checksums of
- *   long sequence, rows (int length, payload), int -1, long number of rows
+ *   long sequence, records (int length, payload), int -1, long number of records
  * </pre>
  *
- * It is written aside, synced, renamed, and the directory synced. May run on any thread beside the log's.
+ * It is written under a temporary name, synced and renamed, then the directory is synced. Writing may run on any thread,
+ * concurrently with the log's.
  */
 public final class Snapshot {
     static final int FORMAT_VERSION = 1;
@@ -29,12 +30,12 @@
     private static final int MAGIC = 0x42534E50;
     private static final int HEADER_BYTES = 16;
 
-    /** Takes the rows of a snapshot being written. */
+    /** Receives the records of a snapshot, in order. */
     public interface RecordSink {
         void accept(byte[] payload) throws IOException;
     }
 
-    /** Gives all rows. */
+    /** Produces the records of a snapshot. */
     public interface RecordSource {
         void writeTo(RecordSink to) throws IOException;
     }
@@ -45,91 +46,98 @@
         return String.format("%s%016x", FILE_PREFIX, sequence);
     }
 
+    /** The log record up to which the snapshot of this file name reaches, -1 if the file is not a snapshot. */
     static long sequenceOf(String name) {
         return SequencedFileNames.parseSequence(name, FILE_PREFIX);
     }
 
     /**
-     * Writes the snapshot of all records up to {@code sequence}, every one of which must be durable.
-     * A failure leaves at most a file aside, which the next start deletes.
+     * Writes the snapshot of the state after log record {@code sequence}; that record and all before it must be durable.
+     * A failure leaves at most a temporary file, which the next start deletes.
      */
-    public static void write(StorageDirectory disk, long sequence, RecordSource body) throws IOException {
+    public static void write(StorageDirectory directory, long sequence, RecordSource source) throws IOException {
         String name = fileName(sequence);
-        try (StorageDirectory.OutputFile out = disk.create(name + TEMPORARY_SUFFIX)) {
+        try (StorageDirectory.OutputFile out = directory.create(name + TEMPORARY_SUFFIX)) {
             out.write(ByteBuffer.allocate(HEADER_BYTES)
                     .putInt(MAGIC)
                     .putInt(FORMAT_VERSION)
                     .putLong(sequence)
                     .flip());
-            try (DataOutputStream rows = new DataOutputStream(new LZ4FrameOutputStream(
+            try (DataOutputStream stream = new DataOutputStream(new LZ4FrameOutputStream(
                     new OutputFileStream(out), BLOCKSIZE.SIZE_256KB, Bits.BLOCK_INDEPENDENCE, Bits.CONTENT_CHECKSUM))) {
-                rows.writeLong(sequence);
+                stream.writeLong(sequence);
                 long[] count = {0};
-                body.writeTo(p -> {
-                    if (p.length > Segment.MAX_RECORD_BYTES) {
-                        throw new IOException("a row of " + p.length + " bytes");
+                source.writeTo(payload -> {
+                    if (payload.length > Segment.MAX_RECORD_BYTES) {
+                        throw new IOException("snapshot record too large: " + payload.length + " bytes");
                     }
-                    rows.writeInt(p.length);
-                    rows.write(p);
+                    stream.writeInt(payload.length);
+                    stream.write(payload);
                     count[0]++;
                 });
-                rows.writeInt(-1);
-                rows.writeLong(count[0]);
+                stream.writeInt(-1);
+                stream.writeLong(count[0]);
             }
             out.sync();
         }
-        disk.rename(name + TEMPORARY_SUFFIX, name);
-        disk.syncDirectory();
+        directory.rename(name + TEMPORARY_SUFFIX, name);
+        directory.syncDirectory();
     }
 
-    /** Reads a snapshot to its end; rows are given out before it is known to be whole. */
-    static void read(StorageDirectory disk, String name, RecordSink to) throws IOException {
-        try (InputStream in = new BufferedInputStream(disk.openForRead(name))) {
-            ByteBuffer head = ByteBuffer.wrap(in.readNBytes(HEADER_BYTES));
-            if (head.limit() < HEADER_BYTES || head.getInt() != MAGIC) {
-                throw new CorruptedDataException(name, 0, "is no snapshot");
+    /**
+     * Reads a snapshot to its end. Records are passed on before the snapshot is known to be valid.
+     *
+     * @throws CorruptedDataException if it is not valid
+     */
+    static void read(StorageDirectory directory, String name, RecordSink sink) throws IOException {
+        try (InputStream in = new BufferedInputStream(directory.openForRead(name))) {
+            ByteBuffer header = ByteBuffer.wrap(in.readNBytes(HEADER_BYTES));
+            if (header.limit() < HEADER_BYTES || header.getInt() != MAGIC) {
+                throw new CorruptedDataException(name, 0, "not a snapshot file");
             }
-            int version = head.getInt();
+            int version = header.getInt();
             if (version != FORMAT_VERSION) {
-                throw new IOException(name + ": version " + version + " of the snapshot is not known here, "
+                throw new IOException(name + ": version " + version + " of the snapshot format is not supported, only "
                         + FORMAT_VERSION + " is");
             }
             try {
                 readRecords(
                         name,
-                        head.getLong(),
+                        header.getLong(),
                         new DataInputStream(new BufferedInputStream(new LZ4FrameInputStream(in))),
-                        to);
+                        sink);
             } catch (CorruptedDataException e) {
                 throw e;
             } catch (IOException | RuntimeException e) {
-                // Whatever the decompressor finds wrong, and a device that can't read: an older snapshot may still do.
-                throw new CorruptedDataException(name, HEADER_BYTES, "can't be read: " + e);
+                // Any fault found by the decompressor, or a read error of the device: an older snapshot may be
+                // readable.
+                throw new CorruptedDataException(name, HEADER_BYTES, "snapshot can't be read: " + e);
             }
         }
     }
 
-    private static void readRecords(String name, long said, DataInputStream in, RecordSink to) throws IOException {
-        if (said != sequenceOf(name) || in.readLong() != said) {
-            throw new CorruptedDataException(name, 8, "says that it is of record " + said);
+    private static void readRecords(String name, long headerSequence, DataInputStream in, RecordSink sink)
+            throws IOException {
+        if (headerSequence != sequenceOf(name) || in.readLong() != headerSequence) {
+            throw new CorruptedDataException(name, 8, "header names record " + headerSequence);
         }
         long count = 0;
         for (int length = in.readInt(); length != -1; length = in.readInt()) {
             if (length < 0 || length > Segment.MAX_RECORD_BYTES) {
-                throw new CorruptedDataException(name, HEADER_BYTES, "a row of " + length + " bytes");
+                throw new CorruptedDataException(name, HEADER_BYTES, "invalid record length of " + length + " bytes");
             }
             byte[] payload = new byte[length];
             in.readFully(payload);
-            to.accept(payload);
+            sink.accept(payload);
             count++;
         }
-        // Reading on to the end is what checks the content's checksum.
+        // The content checksum is only verified when the stream is read to its end.
         if (in.readLong() != count || in.read() != -1) {
-            throw new CorruptedDataException(name, HEADER_BYTES, "does not end as it should");
+            throw new CorruptedDataException(name, HEADER_BYTES, "wrong record count or data after the end");
         }
     }
 
-    /** Whole writes to the file, as the compressor makes them. */
+    /** Passes each write of the compressor to the file unbuffered. */
     private static final class OutputFileStream extends OutputStream {
         private final StorageDirectory.OutputFile out;
 
--- a/src/main/java/birchusher/wal/StorageDirectory.java
+++ b/src/main/java/birchusher/wal/StorageDirectory.java
@@ -7,42 +7,45 @@
 import java.util.List;
 
 /**
- * All that a log asks of its one directory; tests replace it to fail or cut each call.
+ * The file operations that a log needs in its one directory; tests replace it to make each call fail or end in part.
  *
- * <p>What is promised: bytes written last once {@link Out#sync} has returned; names made, renamed or deleted last once
- * {@link #syncNames} has returned. Anything else may be lost by a power cut in any order and any part, each write
- * on its own. A call that throws may have been done in whole, in part or not at all.
+ * <p>Guarantees: written bytes are durable once {@link OutputFile#sync} has returned; created, renamed and deleted names are
+ * durable once {@link #syncDirectory} has returned. A power cut may lose anything else in any order and any part, each write
+ * independently. A call that throws may have been carried out completely, in part or not at all.
  */
 public interface StorageDirectory extends Closeable {
-    /** One file being written at its end. */
+    /** A file that is written at its end. */
     interface OutputFile extends Closeable {
-        /** Writes all remaining bytes at the end. */
+        /** Appends all remaining bytes of the buffer. */
         void write(ByteBuffer bytes) throws IOException;
 
+        /** Makes everything written to the file durable. */
         void sync() throws IOException;
 
-        /** Drops all bytes from {@code length} on. */
+        /** Discards all bytes from offset {@code length} on. */
         void truncate(long length) throws IOException;
 
+        /** The length of the file in bytes. */
         long length();
     }
 
-    /** The names of all files, in no order. */
+    /** The names of all files, in no particular order. */
     List<String> fileNames() throws IOException;
 
     InputStream openForRead(String name) throws IOException;
 
-    /** A new empty file; one of that name is emptied. */
+    /** Creates an empty file, or truncates an existing one of that name. */
     OutputFile create(String name) throws IOException;
 
-    /** Goes on with a file that exists. */
+    /** Opens an existing file to append to it. */
     OutputFile openForAppend(String name) throws IOException;
 
-    /** Replaces {@code to} at one stroke. */
+    /** Renames a file, atomically replacing {@code to} if it exists. */
     void rename(String from, String to) throws IOException;
 
-    /** No failure if there is no such file. */
+    /** Deletes the file if it exists. */
     void delete(String name) throws IOException;
 
+    /** Makes all created, renamed and deleted names durable. */
     void syncDirectory() throws IOException;
 }
--- a/src/main/java/birchusher/wal/WriteAheadLog.java
+++ b/src/main/java/birchusher/wal/WriteAheadLog.java
@@ -7,58 +7,66 @@
 import java.util.List;
 
 /**
- * A durable sequence of records, numbered from 1, with snapshots that stand for its beginning.
+ * A durable sequence of records, numbered from 1, with snapshots that replace its beginning.
  *
- * <p>Contract: {@link #append} only gathers; after {@link #sync} has returned, all that was appended survives a kill and a
- * power cut, in order. After it has thrown {@link NotWritten}, nothing of that batch counts, and the next one may be tried: what
- * was written of the failed one is cut off first, and a new file begun, as a file whose sync failed once is not to be
- * trusted with more. One thread at a time; only {@link Snapshot#write} may run beside it.
+ * <p>{@link #append} only adds a record to a batch. Once {@link #sync} has returned, the batch survives a kill of the process
+ * and a power cut, in order. If it throws {@link WriteFailedException}, no record of the batch counts and the next batch may
+ * be written: the failed one is truncated away first, and a new segment is started, as a file whose sync has failed once
+ * can't be trusted with further writes.
  *
- * <p>Memory: the batch being gathered, which callers keep near {@link #MAX_BATCH} bytes. Opening reads one file at a time
- * into memory.
+ * <p>Threads: one at a time; only {@link Snapshot#write} may run concurrently.
+ *
+ * <p>Memory: the current batch, which callers keep near {@link #MAX_BATCH_BYTES}. Opening reads one whole file at a time.
  */
 public final class WriteAheadLog implements Closeable {
-    /** A batch should not grow beyond this, in bytes; one record more is no harm. */
+    /** Target for the size of a batch; a batch may exceed it by one record. */
     public static final int MAX_BATCH_BYTES = 4 << 20;
 
     /**
-     * @param segmentBytes from this size on the log goes on in a new file
-     * @param snapshotsKept the newest so many snapshots stay, with the log since the oldest of them; with 2 or more, one
-     *     damaged snapshot costs nothing
+     * How the log uses its directory.
+     *
+     * @param maxSegmentBytes a batch that would make a segment larger starts a new one
+     * @param retainedSnapshots how many of the newest snapshots are kept, with the log since the oldest of them; with 2 or
+     *     more, one corrupted snapshot loses no data
      */
     public record Options(int maxSegmentBytes, int retainedSnapshots) {
         public static final Options DEFAULT = new Options(16 << 20, 2);
 
         public Options {
             if (maxSegmentBytes < 1 || maxSegmentBytes > 1 << 30 || retainedSnapshots < 1 || retainedSnapshots > 100) {
-                throw new IllegalArgumentException("segmentBytes 1 to 2^30, snapshotsKept 1 to 100");
+                throw new IllegalArgumentException("maxSegmentBytes must be 1 to 2^30 and retainedSnapshots 1 to 100");
             }
         }
     }
 
-    /** Takes what was kept, in order: {@code begin}, the rows of one snapshot, the records after it. */
+    /** Receives the recovered data in order: a reset, the records of one snapshot, then the log records after it. */
     public interface RecoveryHandler {
-        /** From nothing; comes again when a snapshot turns out damaged after some of its rows. */
+        /** Discards everything received; called again if a snapshot proves corrupted after some of its records. */
         void reset();
 
+        /** Receives the next record of the snapshot. */
         void snapshotRecord(byte[] payload) throws IOException;
 
+        /** Receives the next log record; sequence numbers are contiguous. */
         void logRecord(long sequence, byte[] payload) throws IOException;
     }
 
-    /** A batch that does not count. */
+    /** A batch could not be made durable and does not count. */
     public static final class WriteFailedException extends IOException {
         private static final long serialVersionUID = 1;
-        /** Whether it may count after all if the process ends before the log is mended; nobody may be told "not done". */
+        /**
+         * Whether the batch may still be recovered if the process ends before it is truncated away; its requests must not be
+         * reported as not executed.
+         */
         public final boolean outcomeUnknown;
 
-        WriteFailedException(IOException cause, boolean unclear) {
+        WriteFailedException(IOException cause, boolean outcomeUnknown) {
             super(cause.getMessage(), cause);
-            this.outcomeUnknown = unclear;
+            this.outcomeUnknown = outcomeUnknown;
         }
     }
 
-    private final StorageDirectory disk;
+    private final StorageDirectory directory;
     private final Options options;
     private final List<String> recoveryNotes;
     private final List<byte[]> batch = new ArrayList<>();
@@ -67,78 +75,79 @@
     private final long bytesSinceSnapshot;
     private StorageDirectory.OutputFile openSegment;
     private String segmentName;
-    /** The durable bytes of {@code file}. */
+    /** How many bytes at the start of the open segment are durable. */
     private long segmentDurableBytes;
-    /** {@code file} may hold more than {@code good}, which has to go before anything else is written. */
+    /** Whether the segment may hold bytes after the durable ones, to be truncated before anything else is written. */
     private boolean mayHoldFailedBatch;
 
-    private WriteAheadLog(StorageDirectory disk, Options options, Recovery r) {
-        this.disk = disk;
+    private WriteAheadLog(StorageDirectory directory, Options options, Recovery recovery) {
+        this.directory = directory;
         this.options = options;
-        this.recoveryNotes = List.copyOf(r.notes);
-        this.durableSequence = r.lastSequence;
-        this.bytesSinceSnapshot = r.logBytes;
+        this.recoveryNotes = List.copyOf(recovery.notes);
+        this.durableSequence = recovery.lastSequence;
+        this.bytesSinceSnapshot = recovery.logBytes;
     }
 
     /**
-     * Reads everything kept, cuts a torn tail off, and goes on from there.
+     * Recovers the directory's data, truncates a torn tail, and continues the log after the last valid record.
      *
-     * @throws Damaged if something durable can't be read; nothing was changed then
+     * @throws CorruptedDataException if data that was durable can't be read; the directory is left unchanged
      */
-    public static WriteAheadLog open(StorageDirectory disk, Options options, RecoveryHandler to) throws IOException {
-        Recovery r = new Recovery(disk, to);
-        r.run();
-        for (String name : r.removableFiles) {
-            disk.delete(name);
-        }
-        WriteAheadLog log = new WriteAheadLog(disk, options, r);
-        if (r.appendPosition != null) {
-            log.segmentName = r.appendPosition.segmentName();
-            log.segmentDurableBytes = r.appendPosition.validBytes();
-            log.openSegment = disk.openForAppend(log.segmentName);
-            if (r.appendPosition.torn()) {
+    public static WriteAheadLog open(StorageDirectory directory, Options options, RecoveryHandler handler)
+            throws IOException {
+        Recovery recovery = new Recovery(directory, handler);
+        recovery.run();
+        for (String name : recovery.removableFiles) {
+            directory.delete(name);
+        }
+        WriteAheadLog log = new WriteAheadLog(directory, options, recovery);
+        if (recovery.appendPosition != null) {
+            log.segmentName = recovery.appendPosition.segmentName();
+            log.segmentDurableBytes = recovery.appendPosition.validBytes();
+            log.openSegment = directory.openForAppend(log.segmentName);
+            if (recovery.appendPosition.torn()) {
                 log.openSegment.truncate(log.segmentDurableBytes);
             }
-            // What a killed process wrote and had not synced was read just now, and will be answered from: it must
-            // last.
+            // A killed process may have written records without syncing them. They were recovered and answers will be
+            // based on them, so they must be durable.
             log.openSegment.sync();
         }
-        disk.syncDirectory();
+        directory.syncDirectory();
         return log;
     }
 
-    /** What opening found, one line each, for the operator. */
+    /** Findings of the recovery for the operator, one line each. */
     public List<String> recoveryNotes() {
         return recoveryNotes;
     }
 
-    /** The last record that is durable, 0 if none. */
+    /** The sequence number of the last durable record, 0 if there is none. */
     public long durableSequence() {
         return durableSequence;
     }
 
-    /** The last record appended. */
+    /** The sequence number of the last appended record, durable or not. */
     public long appendedSequence() {
         return durableSequence + batch.size();
     }
 
-    /** Bytes of log that opening has read beyond the newest snapshot, about. */
+    /** About how many bytes of log were read after the newest snapshot when this log was opened. */
     public long bytesSinceSnapshot() {
         return bytesSinceSnapshot;
     }
 
-    /** Gathers one record; returns its number. Nothing is durable before {@link #sync}. */
+    /** Adds one record to the batch and returns its sequence number; it is not durable before {@link #sync}. */
     public long append(byte[] payload) {
         if (payload.length > Segment.MAX_RECORD_BYTES) {
-            throw new IllegalArgumentException(
-                    "a record of " + payload.length + " bytes, " + Segment.MAX_RECORD_BYTES + " is the most");
+            throw new IllegalArgumentException("record of " + payload.length + " bytes exceeds the limit of "
+                    + Segment.MAX_RECORD_BYTES + " bytes");
         }
         batch.add(payload);
         batchBytes += Segment.FRAME_BYTES + payload.length;
         return appendedSequence();
     }
 
-    /** Makes all that was appended durable, with one sync. */
+    /** Makes all appended records durable with one sync. */
     public void sync() throws WriteFailedException {
         if (batch.isEmpty()) {
             return;
@@ -150,12 +159,12 @@
                             && segmentDurableBytes + batchBytes > options.maxSegmentBytes) {
                 startNextSegment();
             }
-            ByteBuffer b = ByteBuffer.allocate(batchBytes);
+            ByteBuffer buffer = ByteBuffer.allocate(batchBytes);
             for (int i = 0; i < batch.size(); i++) {
-                Segment.encodeRecord(b, durableSequence + 1 + i, segmentDurableBytes, batch.get(i));
+                Segment.encodeRecord(buffer, durableSequence + 1 + i, segmentDurableBytes, batch.get(i));
             }
             mayHoldFailedBatch = true;
-            openSegment.write(b.flip());
+            openSegment.write(buffer.flip());
             openSegment.sync();
             mayHoldFailedBatch = false;
             segmentDurableBytes = openSegment.length();
@@ -168,7 +177,7 @@
         }
     }
 
-    /** Whether a failed batch is known to be gone; tries once to make it so. Nothing is written before it is. */
+    /** Tries once to remove a failed batch; returns whether none is left. No batch is written while one is left. */
     public boolean tryRemoveFailedBatch() {
         try {
             removeFailedBatch();
@@ -183,63 +192,70 @@
             return;
         }
         if (openSegment == null) {
-            openSegment = disk.openForAppend(segmentName);
+            openSegment = directory.openForAppend(segmentName);
         }
         openSegment.truncate(segmentDurableBytes);
         openSegment.sync();
         mayHoldFailedBatch = false;
-        // After a failed sync the host may take pages for written that are not: nothing more goes into that file.
+        // After a failed sync the operating system may mark pages as written that are not: the file is not reused.
         closeSegment();
     }
 
     private void closeSegment() throws IOException {
-        StorageDirectory.OutputFile o = openSegment;
+        StorageDirectory.OutputFile segment = openSegment;
         openSegment = null;
-        if (o != null) {
-            o.close();
+        if (segment != null) {
+            segment.close();
         }
     }
 
-    /** Begins a new file. The one before is durable to its end, so only the last file can have a torn tail. */
+    /** Starts a new segment. The previous one is durable to its end, so only the last segment can have a torn tail. */
     private void startNextSegment() throws IOException {
         closeSegment();
         String name = Segment.fileName(durableSequence + 1);
-        StorageDirectory.OutputFile o = disk.create(name);
+        StorageDirectory.OutputFile segment = directory.create(name);
         try {
-            o.write(Segment.encodeHeader(durableSequence + 1));
-            o.sync();
-            disk.syncDirectory();
+            segment.write(Segment.encodeHeader(durableSequence + 1));
+            segment.sync();
+            directory.syncDirectory();
         } catch (IOException e) {
-            o.close();
+            segment.close();
             throw e;
         }
-        openSegment = o;
+        openSegment = segment;
         segmentName = name;
         segmentDurableBytes = Segment.HEADER_BYTES;
     }
 
-    /** A snapshot up to that record is durable: drops older snapshots, and the log before the oldest one kept. */
-    public void prune(long snapshot) throws IOException {
-        if (snapshot > durableSequence) {
-            throw new IllegalArgumentException("snapshot of record " + snapshot + ", durable is " + durableSequence);
+    /**
+     * Deletes snapshots beyond the retained ones, and the segments that the oldest retained one replaces.
+     *
+     * @param snapshotSequence the sequence number of a durable snapshot
+     */
+    public void prune(long snapshotSequence) throws IOException {
+        if (snapshotSequence > durableSequence) {
+            throw new IllegalArgumentException(
+                    "snapshot of record " + snapshotSequence + ", but the last durable record is " + durableSequence);
         }
-        DirectoryListing kept = DirectoryListing.of(disk);
-        List<String> segments = kept.segments();
-        List<String> snapshots = kept.snapshots();
-        int drop = snapshots.size() - options.retainedSnapshots;
-        if (drop < 0) {
+        DirectoryListing listing = DirectoryListing.of(directory);
+        List<String> segments = listing.segments();
+        List<String> snapshots = listing.snapshots();
+        int excessSnapshots = snapshots.size() - options.retainedSnapshots;
+        if (excessSnapshots < 0) {
             return;
         }
-        for (String n : snapshots.subList(0, drop)) {
-            disk.delete(n);
+        for (String name : snapshots.subList(0, excessSnapshots)) {
+            directory.delete(name);
         }
-        long oldest = Snapshot.sequenceOf(snapshots.get(drop));
-        for (int i = 0; i + 1 < segments.size() && Segment.firstSequence(segments.get(i + 1)) <= oldest + 1; i++) {
-            disk.delete(segments.get(i));
+        long oldestSnapshotSequence = Snapshot.sequenceOf(snapshots.get(excessSnapshots));
+        for (int i = 0;
+                i + 1 < segments.size() && Segment.firstSequence(segments.get(i + 1)) <= oldestSnapshotSequence + 1;
+                i++) {
+            directory.delete(segments.get(i));
         }
     }
 
-    /** Drops what was not synced. */
+    /** Discards records that were not synced and closes the open segment. */
     @Override
     public void close() throws IOException {
         batch.clear();
--- a/src/test/java/birchusher/wal/FaultDirectory.java
+++ b/src/test/java/birchusher/wal/FaultDirectory.java
@@ -14,11 +14,12 @@
 import java.util.SplittableRandom;
 
 /**
- * A directory in memory that knows what is durable. One chosen call ends the process or fails, after a chosen part of it;
- * {@link #killed} is what is found then, {@link #powerCut} drops what was not synced, each piece on its own.
+ * A directory in memory that tracks which data is durable. One chosen call crashes the process, or it and its successors
+ * fail, after a chosen part of the call. {@link #afterKill} is the directory that a killed process leaves, {@link
+ * #afterPowerCut} one in which each unsynced change is kept or lost independently.
  */
 public final class FaultDirectory implements StorageDirectory {
-    /** The process ended in the middle of a call. */
+    /** The process crashes in the middle of a call. */
     public static final class SimulatedCrash extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -27,38 +28,41 @@
         }
     }
 
-    /** What the disk does wrong. */
+    /** Which syncs have no effect. */
     public enum IgnoredSyncs {
         NONE,
         OF_FILES,
         OF_DIRECTORY
     }
 
+    /** A write at an offset, or a truncation to {@code offset} bytes, that is not durable. */
     private record UnsyncedChange(long offset, byte[] bytes, boolean isTruncation) {}
 
+    /** The content of a file, whatever its names. */
     private static final class FileContent {
         byte[] durableBytes = {};
         byte[] currentBytes = {};
         final List<UnsyncedChange> unsyncedChanges = new ArrayList<>();
 
         FileContent copy() {
-            FileContent n = new FileContent();
-            n.durableBytes = durableBytes.clone();
-            n.currentBytes = currentBytes.clone();
-            n.unsyncedChanges.addAll(unsyncedChanges);
-            return n;
+            FileContent copy = new FileContent();
+            copy.durableBytes = durableBytes.clone();
+            copy.currentBytes = currentBytes.clone();
+            copy.unsyncedChanges.addAll(unsyncedChanges);
+            return copy;
         }
     }
 
+    /** A creation, deletion or renaming that is not durable; each name may be null. */
     private record NameChange(String removedName, String addedName, FileContent content) {}
 
     private final Map<String, FileContent> durableFiles = new LinkedHashMap<>();
-    private final Map<String, FileContent> names = new LinkedHashMap<>();
+    private final Map<String, FileContent> files = new LinkedHashMap<>();
     private final List<NameChange> unsyncedNameChanges = new ArrayList<>();
     private final IgnoredSyncs ignoredSyncs;
-    /** Calls that change something, so far. */
+    /** How many calls that change something were made so far. */
     int callCount;
-    /** The bytes of the write that the fault fell on, 0 if it was another call. */
+    /** The size in bytes of the write that the first fault hit, 0 if it hit another call or a write of one byte. */
     int faultedWriteBytes;
 
     private int firstFaultCall = -1;
@@ -66,115 +70,121 @@
     private boolean faultThrows;
     private int faultCallCount = 1;
 
-    public FaultDirectory(IgnoredSyncs lie) {
-        this.ignoredSyncs = lie;
+    public FaultDirectory(IgnoredSyncs ignoredSyncs) {
+        this.ignoredSyncs = ignoredSyncs;
     }
 
-    /** Ends the process in that call, a write after so many of its bytes; other calls are done if {@code part} is not 0. */
+    /**
+     * Crashes the process in the call with this number.
+     *
+     * @param afterBytes how many bytes of a write are carried out; any other call is carried out unless this is 0
+     */
     public FaultDirectory crashAt(int call, int afterBytes) {
         firstFaultCall = call;
         completedPart = afterBytes;
         return this;
     }
 
-    /** That call and those after it, {@code count} in all, throw. */
+    /** Makes the call with this number and the following ones, {@code count} in all, throw an IOException. */
     public FaultDirectory failAt(int call, int afterBytes, int count) {
         faultThrows = true;
         faultCallCount = count;
         return crashAt(call, afterBytes);
     }
 
-    /** As a killed process leaves it: all that was done is there, and no more of it durable than before. */
+    /** The directory as a killed process leaves it: every change is visible, and no more of it is durable than before. */
     public FaultDirectory afterKill() {
-        FaultDirectory d = new FaultDirectory(ignoredSyncs);
+        FaultDirectory copy = new FaultDirectory(ignoredSyncs);
         Map<FileContent, FileContent> copies = new IdentityHashMap<>();
-        names.forEach((name, n) -> d.names.put(name, copies.computeIfAbsent(n, FileContent::copy)));
-        durableFiles.forEach((name, n) -> d.durableFiles.put(name, copies.computeIfAbsent(n, FileContent::copy)));
-        unsyncedNameChanges.forEach(n -> d.unsyncedNameChanges.add(new NameChange(
-                n.removedName,
-                n.addedName,
-                n.content == null ? null : copies.computeIfAbsent(n.content, FileContent::copy))));
-        return d;
+        files.forEach((name, content) -> copy.files.put(name, copies.computeIfAbsent(content, FileContent::copy)));
+        durableFiles.forEach(
+                (name, content) -> copy.durableFiles.put(name, copies.computeIfAbsent(content, FileContent::copy)));
+        unsyncedNameChanges.forEach(change -> copy.unsyncedNameChanges.add(new NameChange(
+                change.removedName,
+                change.addedName,
+                change.content == null ? null : copies.computeIfAbsent(change.content, FileContent::copy))));
+        return copy;
     }
 
-    /** As a power cut leaves it. */
-    public FaultDirectory afterPowerCut(SplittableRandom r) {
-        Map<String, FileContent> left = new LinkedHashMap<>(durableFiles);
-        for (NameChange n : unsyncedNameChanges) {
-            if (r.nextBoolean()) {
-                if (n.removedName != null) {
-                    left.remove(n.removedName);
+    /** The directory after a power cut: each change that is not durable is kept, lost or kept in part, at random. */
+    public FaultDirectory afterPowerCut(SplittableRandom random) {
+        Map<String, FileContent> remainingFiles = new LinkedHashMap<>(durableFiles);
+        for (NameChange change : unsyncedNameChanges) {
+            if (random.nextBoolean()) {
+                if (change.removedName != null) {
+                    remainingFiles.remove(change.removedName);
                 }
-                if (n.addedName != null) {
-                    left.put(n.addedName, n.content);
+                if (change.addedName != null) {
+                    remainingFiles.put(change.addedName, change.content);
                 }
             }
         }
-        FaultDirectory d = new FaultDirectory(ignoredSyncs);
-        left.forEach((name, node) -> {
-            FileContent n = new FileContent();
-            n.currentBytes = node.durableBytes;
-            for (UnsyncedChange p : node.unsyncedChanges) {
+        FaultDirectory result = new FaultDirectory(ignoredSyncs);
+        remainingFiles.forEach((name, content) -> {
+            FileContent remainder = new FileContent();
+            remainder.currentBytes = content.durableBytes;
+            for (UnsyncedChange change : content.unsyncedChanges) {
                 int kept =
-                        switch (r.nextInt(3)) {
+                        switch (random.nextInt(3)) {
                             case 0 -> 0;
-                            case 1 -> p.isTruncation ? 1 : r.nextInt(p.bytes.length + 1);
-                            default -> p.isTruncation ? 1 : p.bytes.length;
+                            case 1 -> change.isTruncation ? 1 : random.nextInt(change.bytes.length + 1);
+                            default -> change.isTruncation ? 1 : change.bytes.length;
                         };
                 if (kept > 0) {
-                    n.currentBytes = p.isTruncation
-                            ? Arrays.copyOf(n.currentBytes, (int) p.offset)
-                            : overwrite(n.currentBytes, p.offset, p.bytes, kept);
+                    remainder.currentBytes = change.isTruncation
+                            ? Arrays.copyOf(remainder.currentBytes, (int) change.offset)
+                            : overwrite(remainder.currentBytes, change.offset, change.bytes, kept);
                 }
             }
-            n.durableBytes = n.currentBytes.clone();
-            d.names.put(name, n);
-            d.durableFiles.put(name, n);
+            remainder.durableBytes = remainder.currentBytes.clone();
+            result.files.put(name, remainder);
+            result.durableFiles.put(name, remainder);
         });
-        return d;
+        return result;
     }
 
-    /** Flips one bit of a durable file. */
+    /** Flips one bit of a file. */
     void flipBit(String name, int offset) {
-        names.get(name).currentBytes[offset] ^= 0x10;
+        files.get(name).currentBytes[offset] ^= 0x10;
     }
 
-    private static byte[] overwrite(byte[] to, long offset, byte[] bytes, int count) {
-        byte[] b = Arrays.copyOf(to, (int) Math.max(to.length, offset + count));
-        System.arraycopy(bytes, 0, b, (int) offset, count);
-        return b;
+    private static byte[] overwrite(byte[] oldBytes, long offset, byte[] written, int count) {
+        byte[] newBytes = Arrays.copyOf(oldBytes, (int) Math.max(oldBytes.length, offset + count));
+        System.arraycopy(written, 0, newBytes, (int) offset, count);
+        return newBytes;
     }
 
+    /** A call that is carried out up to {@code part} of its bytes; calls that are no writes count as one byte. */
     private interface PartialCall {
         void run(int part);
     }
 
-    /** Counts a call and lets the fault fall on it: all of it is 1 or its bytes. */
-    private void runCall(int all, PartialCall doing) throws IOException {
-        int c = callCount++;
-        if (firstFaultCall < 0 || c < firstFaultCall || c >= firstFaultCall + faultCallCount) {
-            doing.run(all);
+    /** Counts a call of {@code size} bytes and carries it out, in part if a fault hits it. */
+    private void runCall(int size, PartialCall partialCall) throws IOException {
+        int call = callCount++;
+        if (firstFaultCall < 0 || call < firstFaultCall || call >= firstFaultCall + faultCallCount) {
+            partialCall.run(size);
             return;
         }
-        faultedWriteBytes = c == firstFaultCall && all > 1 ? all : faultedWriteBytes;
-        doing.run(Math.min(completedPart, all));
+        faultedWriteBytes = call == firstFaultCall && size > 1 ? size : faultedWriteBytes;
+        partialCall.run(Math.min(completedPart, size));
         if (faultThrows) {
-            throw new IOException("no space left, says the test");
+            throw new IOException("simulated: no space left on device");
         }
         throw new SimulatedCrash();
     }
 
     @Override
     public List<String> fileNames() {
-        return List.copyOf(names.keySet());
+        return List.copyOf(files.keySet());
     }
 
     private FileContent contentOf(String name) throws IOException {
-        FileContent n = names.get(name);
-        if (n == null) {
+        FileContent content = files.get(name);
+        if (content == null) {
             throw new FileNotFoundException(name);
         }
-        return n;
+        return content;
     }
 
     long size(String name) throws IOException {
@@ -188,23 +198,23 @@
 
     @Override
     public OutputFile create(String name) throws IOException {
-        FileContent old = names.get(name);
-        FileContent[] made = {old};
+        FileContent existing = files.get(name);
+        FileContent[] created = {existing};
         runCall(1, part -> {
-            if (part > 0 && old == null) {
-                made[0] = new FileContent();
-                names.put(name, made[0]);
-                unsyncedNameChanges.add(new NameChange(null, name, made[0]));
+            if (part > 0 && existing == null) {
+                created[0] = new FileContent();
+                files.put(name, created[0]);
+                unsyncedNameChanges.add(new NameChange(null, name, created[0]));
             } else if (part > 0) {
-                truncateContent(old, 0);
+                truncateContent(existing, 0);
             }
         });
-        return new MemoryFile(made[0]);
+        return new MemoryFile(created[0]);
     }
 
-    private static void truncateContent(FileContent n, long length) {
-        n.currentBytes = Arrays.copyOf(n.currentBytes, (int) length);
-        n.unsyncedChanges.add(new UnsyncedChange(length, null, true));
+    private static void truncateContent(FileContent content, long length) {
+        content.currentBytes = Arrays.copyOf(content.currentBytes, (int) length);
+        content.unsyncedChanges.add(new UnsyncedChange(length, null, true));
     }
 
     @Override
@@ -212,14 +222,14 @@
         return new MemoryFile(contentOf(name));
     }
 
-    private void changeName(NameChange n) throws IOException {
+    private void changeName(NameChange change) throws IOException {
         runCall(1, part -> {
             if (part > 0) {
-                names.remove(n.removedName);
-                if (n.addedName != null) {
-                    names.put(n.addedName, n.content);
+                files.remove(change.removedName);
+                if (change.addedName != null) {
+                    files.put(change.addedName, change.content);
                 }
-                unsyncedNameChanges.add(n);
+                unsyncedNameChanges.add(change);
             }
         });
     }
@@ -239,7 +249,7 @@
         runCall(1, part -> {
             if (part > 0 && ignoredSyncs != IgnoredSyncs.OF_DIRECTORY) {
                 durableFiles.clear();
-                durableFiles.putAll(names);
+                durableFiles.putAll(files);
                 unsyncedNameChanges.clear();
             }
         });
@@ -251,22 +261,23 @@
     private final class MemoryFile implements OutputFile {
         private final FileContent content;
 
-        MemoryFile(FileContent node) {
-            this.content = node;
+        MemoryFile(FileContent content) {
+            this.content = content;
         }
 
         @Override
-        public void write(ByteBuffer bytes) throws IOException {
-            byte[] b = new byte[bytes.remaining()];
-            bytes.get(b);
-            if (b.length == 0) {
+        public void write(ByteBuffer buffer) throws IOException {
+            byte[] written = new byte[buffer.remaining()];
+            buffer.get(written);
+            if (written.length == 0) {
                 return;
             }
-            runCall(b.length, part -> {
+            runCall(written.length, part -> {
                 if (part > 0) {
-                    byte[] done = Arrays.copyOf(b, part);
-                    content.unsyncedChanges.add(new UnsyncedChange(content.currentBytes.length, done, false));
-                    content.currentBytes = overwrite(content.currentBytes, content.currentBytes.length, done, part);
+                    byte[] completed = Arrays.copyOf(written, part);
+                    content.unsyncedChanges.add(new UnsyncedChange(content.currentBytes.length, completed, false));
+                    content.currentBytes =
+                            overwrite(content.currentBytes, content.currentBytes.length, completed, part);
                 }
             });
         }
--- a/src/test/java/birchusher/wal/LockedDirectoryTest.java
+++ b/src/test/java/birchusher/wal/LockedDirectoryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The log on a real directory. */
+/** The log, snapshots and repair on a directory of the file system. */
 class LockedDirectoryTest {
     private static final class TextRecords implements WriteAheadLog.RecoveryHandler {
         final List<String> all = new ArrayList<>();
@@ -33,44 +33,47 @@
     }
 
     @Test
-    void logSnapshotsAndRepairWorkOnRealFiles(@TempDir Path dir) throws IOException {
+    void logSnapshotsAndRepairWorkOnRealFiles(@TempDir Path path) throws IOException {
         List<String> written = new ArrayList<>();
-        try (LockedDirectory disk = new LockedDirectory(dir);
-                WriteAheadLog log = WriteAheadLog.open(disk, new WriteAheadLog.Options(200, 2), new TextRecords())) {
+        try (LockedDirectory directory = new LockedDirectory(path);
+                WriteAheadLog log =
+                        WriteAheadLog.open(directory, new WriteAheadLog.Options(200, 2), new TextRecords())) {
             for (int i = 0; i < 20; i++) {
                 written.add("record " + i);
                 log.append(written.get(i).getBytes(StandardCharsets.UTF_8));
                 log.sync();
                 if (i % 8 == 7) {
-                    Snapshot.write(disk, log.durableSequence(), to -> {
-                        for (String s : written) {
-                            to.accept(s.getBytes(StandardCharsets.UTF_8));
+                    Snapshot.write(directory, log.durableSequence(), sink -> {
+                        for (String text : written) {
+                            sink.accept(text.getBytes(StandardCharsets.UTF_8));
                         }
                     });
                     log.prune(log.durableSequence());
                 }
             }
-            assertThatThrownBy(() -> new LockedDirectory(dir)).hasMessageContaining("in use by another process");
+            assertThatThrownBy(() -> new LockedDirectory(path)).hasMessageContaining("in use by another process");
         }
-        try (LockedDirectory disk = new LockedDirectory(dir)) {
-            TextRecords found = new TextRecords();
-            WriteAheadLog.open(disk, WriteAheadLog.Options.DEFAULT, found).close();
-            assertThat(found.all).isEqualTo(written);
-            assertThat(Repair.plan(disk)).isNull();
-            // One file of the log lost: refused, then repaired up to the gap.
-            String lost = disk.fileNames().stream()
-                    .filter(n -> n.startsWith("log-"))
+        try (LockedDirectory directory = new LockedDirectory(path)) {
+            TextRecords recovered = new TextRecords();
+            WriteAheadLog.open(directory, WriteAheadLog.Options.DEFAULT, recovered)
+                    .close();
+            assertThat(recovered.all).isEqualTo(written);
+            assertThat(Repair.plan(directory)).isNull();
+            // One segment is missing: the log is refused, then repaired up to the gap.
+            String lostSegment = directory.fileNames().stream()
+                    .filter(name -> name.startsWith("log-"))
                     .sorted()
                     .toList()
                     .get(2);
-            disk.delete(lost);
-            assertThatThrownBy(() -> WriteAheadLog.open(disk, WriteAheadLog.Options.DEFAULT, new TextRecords()))
+            directory.delete(lostSegment);
+            assertThatThrownBy(() -> WriteAheadLog.open(directory, WriteAheadLog.Options.DEFAULT, new TextRecords()))
                     .isInstanceOf(CorruptedDataException.class);
-            Repair.Plan plan = Repair.plan(disk);
-            assertThat(plan.summaryLines()).anyMatch(l -> l.startsWith("lost: "));
-            Repair.apply(disk, plan);
-            WriteAheadLog.open(disk, WriteAheadLog.Options.DEFAULT, found).close();
-            assertThat(found.all).hasSize((int) plan.lastKeptSequence()).isEqualTo(written.subList(0, (int)
+            Repair.Plan plan = Repair.plan(directory);
+            assertThat(plan.summaryLines()).anyMatch(line -> line.startsWith("lost: "));
+            Repair.apply(directory, plan);
+            WriteAheadLog.open(directory, WriteAheadLog.Options.DEFAULT, recovered)
+                    .close();
+            assertThat(recovered.all).hasSize((int) plan.lastKeptSequence()).isEqualTo(written.subList(0, (int)
                     plan.lastKeptSequence()));
         }
     }
--- a/src/test/java/birchusher/wal/WriteAheadLogFaultTest.java
+++ b/src/test/java/birchusher/wal/WriteAheadLogFaultTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every write, sync, rename, deletion and cut of seeded histories ends the process or fails in turn, writes after each of
- * their bytes; what is not synced is dropped at random. Found again are exactly the answered records, then perhaps those
- * in flight, in order.
+ * In seeded histories, each write, sync, rename, deletion and truncation in turn crashes the process or fails, writes after
+ * each number of their bytes, and unsynced changes are lost at random. The next start must recover exactly the answered
+ * records, then possibly a prefix of the records in flight, in order.
  */
 class WriteAheadLogFaultTest {
     private static final WriteAheadLog.Options SMALL_SEGMENTS = new WriteAheadLog.Options(220, 2);
 
-    /** What a history may have left: all of {@code answered}, then a beginning of {@code inFlight}. */
+    /** What a history may leave: all answered records, then a prefix of the records in flight. */
     private static final class Model implements WriteAheadLog.RecoveryHandler {
         final List<Long> answeredIds = new ArrayList<>();
         final List<Long> inFlightIds = new ArrayList<>();
@@ -42,12 +42,12 @@
             foundIds.add(id(payload));
         }
 
-        /** What was found is what may be, and counts from now on. */
+        /** Checks the recovered records; they count as answered from then on. */
         void verifyFound() {
-            List<Long> most = new ArrayList<>(answeredIds);
-            most.addAll(inFlightIds);
+            List<Long> allowed = new ArrayList<>(answeredIds);
+            allowed.addAll(inFlightIds);
             if (foundIds.size() < answeredIds.size()
-                    || !foundIds.equals(most.subList(0, Math.min(foundIds.size(), most.size())))) {
+                    || !foundIds.equals(allowed.subList(0, Math.min(foundIds.size(), allowed.size())))) {
                 fail("answered %s, in flight %s, found %s", answeredIds, inFlightIds, foundIds);
             }
             answeredIds.clear();
@@ -64,28 +64,28 @@
         return ByteBuffer.wrap(payload).getLong();
     }
 
-    /** Opens, checks, and plays batches and snapshots until the end or the fault. */
-    private static void runWorkload(FaultDirectory disk, Model m, long seed, int batches) throws IOException {
-        SplittableRandom r = new SplittableRandom(seed);
-        WriteAheadLog log = WriteAheadLog.open(disk, SMALL_SEGMENTS, m);
-        m.verifyFound();
+    /** Opens the log, checks what it recovers, then writes batches and snapshots until the end or the fault. */
+    private static void runWorkload(FaultDirectory directory, Model model, long seed, int batches) throws IOException {
+        SplittableRandom random = new SplittableRandom(seed);
+        WriteAheadLog log = WriteAheadLog.open(directory, SMALL_SEGMENTS, model);
+        model.verifyFound();
         for (int i = 0; i < batches; i++) {
-            if (r.nextInt(4) == 0) {
-                snapshot(disk, log, m);
+            if (random.nextInt(4) == 0) {
+                snapshot(directory, log, model);
             }
-            int n = 1 + r.nextInt(3);
-            for (int k = 0; k < n; k++) {
-                long id = seed * 1_000_000 + i * 10 + k;
-                log.append(payload(id, r.nextInt(12)));
-                m.inFlightIds.add(id);
+            int records = 1 + random.nextInt(3);
+            for (int j = 0; j < records; j++) {
+                long id = seed * 1_000_000 + i * 10 + j;
+                log.append(payload(id, random.nextInt(12)));
+                model.inFlightIds.add(id);
             }
             try {
                 log.sync();
-                m.answeredIds.addAll(m.inFlightIds);
-                m.inFlightIds.clear();
+                model.answeredIds.addAll(model.inFlightIds);
+                model.inFlightIds.clear();
             } catch (WriteAheadLog.WriteFailedException e) {
                 if (!e.outcomeUnknown || log.tryRemoveFailedBatch()) {
-                    m.inFlightIds.clear();
+                    model.inFlightIds.clear();
                 } else {
                     return;
                 }
@@ -93,95 +93,106 @@
         }
     }
 
-    private static void snapshot(FaultDirectory disk, WriteAheadLog log, Model m) {
+    private static void snapshot(FaultDirectory directory, WriteAheadLog log, Model model) {
         try {
-            long at = log.durableSequence();
-            Snapshot.write(disk, at, to -> {
-                for (long id : m.answeredIds) {
-                    to.accept(payload(id, 0));
+            long sequence = log.durableSequence();
+            Snapshot.write(directory, sequence, sink -> {
+                for (long id : model.answeredIds) {
+                    sink.accept(payload(id, 0));
                 }
             });
-            log.prune(at);
+            log.prune(sequence);
         } catch (IOException e) {
-            // The log goes on without it.
+            // A log continues without the snapshot.
         }
     }
 
     private static int countCalls(long seed, int batches) throws IOException {
-        FaultDirectory d = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
-        runWorkload(d, new Model(), seed, batches);
-        return d.callCount;
+        FaultDirectory directory = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
+        runWorkload(directory, new Model(), seed, batches);
+        return directory.callCount;
     }
 
-    /** One history with one fault, what is left of it, and another start that must read and go on. Returns the bytes hit. */
-    private static int runWithFault(FaultDirectory disk, long seed, int batches, UnaryOperator<FaultDirectory> after)
-            throws IOException {
-        Model m = new Model();
+    /**
+     * Runs one history with one fault, then a second start on what is left, which must recover and continue.
+     *
+     * @return the size in bytes of the write that the fault hit
+     */
+    private static int runWithFault(
+            FaultDirectory directory, long seed, int batches, UnaryOperator<FaultDirectory> after) throws IOException {
+        Model model = new Model();
         try {
-            runWorkload(disk, m, seed, batches);
+            runWorkload(directory, model, seed, batches);
         } catch (FaultDirectory.SimulatedCrash e) {
-            // As wanted.
+            // The crash was scheduled.
         } catch (IOException e) {
-            if (m.answeredIds.isEmpty() && !disk.fileNames().isEmpty()) {
-                // Opening failed: nothing was answered.
-                m.inFlightIds.clear();
+            if (model.answeredIds.isEmpty() && !directory.fileNames().isEmpty()) {
+                // Opening failed, so nothing was written.
+                model.inFlightIds.clear();
             }
         }
-        FaultDirectory left = after.apply(disk);
-        runWorkload(left, m, seed + 7, 3);
-        return disk.faultedWriteBytes;
+        FaultDirectory remaining = after.apply(directory);
+        runWorkload(remaining, model, seed + 7, 3);
+        return directory.faultedWriteBytes;
     }
 
-    /** Faults at all calls and all bytes of a few histories; returns how many were played. */
-    private static int runWithEveryFault(FaultDirectory.IgnoredSyncs lie, long seeds, boolean byteByByte)
+    /** Runs some histories with a fault at each call, and at each byte or three points of a write; returns how many ran. */
+    private static int runWithEveryFault(FaultDirectory.IgnoredSyncs ignoredSyncs, long seeds, boolean byteByByte)
             throws IOException {
-        int played = 0;
+        int runs = 0;
         for (long seed = 1; seed <= seeds; seed++) {
             int batches = 8;
             int calls = countCalls(seed, batches);
-            for (int c = 0; c < calls; c++) {
+            for (int call = 0; call < calls; call++) {
                 int bytes = 1;
                 for (int part = 0; part <= bytes; part += byteByByte ? 1 : Math.max(1, bytes / 2)) {
-                    SplittableRandom r = new SplittableRandom(seed * 100_003 + c * 1009L + part);
-                    int hit = runWithFault(
-                            new FaultDirectory(lie).crashAt(c, part), seed, batches, FaultDirectory::afterKill);
-                    bytes = Math.max(bytes, hit);
-                    runWithFault(new FaultDirectory(lie).crashAt(c, part), seed, batches, d -> d.afterPowerCut(r));
-                    // Killed, read again, and the power cut before anything more is written.
-                    runWithFault(new FaultDirectory(lie).crashAt(c, part), seed, batches, d -> {
-                        FaultDirectory k = d.afterKill();
-                        Model seen = new Model();
+                    SplittableRandom random = new SplittableRandom(seed * 100_003 + call * 1009L + part);
+                    int writeBytes = runWithFault(
+                            new FaultDirectory(ignoredSyncs).crashAt(call, part),
+                            seed,
+                            batches,
+                            FaultDirectory::afterKill);
+                    bytes = Math.max(bytes, writeBytes);
+                    runWithFault(
+                            new FaultDirectory(ignoredSyncs).crashAt(call, part),
+                            seed,
+                            batches,
+                            faulty -> faulty.afterPowerCut(random));
+                    // A kill, a recovery, and a power cut before anything more is written.
+                    runWithFault(new FaultDirectory(ignoredSyncs).crashAt(call, part), seed, batches, faulty -> {
+                        FaultDirectory killed = faulty.afterKill();
+                        Model recovered = new Model();
                         try {
-                            WriteAheadLog.open(k, SMALL_SEGMENTS, seen);
+                            WriteAheadLog.open(killed, SMALL_SEGMENTS, recovered);
                         } catch (IOException e) {
                             throw new AssertionError(e);
                         }
-                        FaultDirectory cut = k.afterPowerCut(r);
-                        Model again = new Model();
-                        again.answeredIds.addAll(seen.foundIds);
+                        FaultDirectory afterCut = killed.afterPowerCut(random);
+                        Model recoveredAgain = new Model();
+                        recoveredAgain.answeredIds.addAll(recovered.foundIds);
                         try {
-                            WriteAheadLog.open(cut, SMALL_SEGMENTS, again);
+                            WriteAheadLog.open(afterCut, SMALL_SEGMENTS, recoveredAgain);
                         } catch (IOException e) {
                             throw new AssertionError(e);
                         }
-                        again.verifyFound();
-                        return cut;
+                        recoveredAgain.verifyFound();
+                        return afterCut;
                     });
                     runWithFault(
-                            new FaultDirectory(lie).failAt(c, part, 1 + r.nextInt(4)),
+                            new FaultDirectory(ignoredSyncs).failAt(call, part, 1 + random.nextInt(4)),
                             seed,
                             batches,
-                            d -> d.afterPowerCut(r));
+                            faulty -> faulty.afterPowerCut(random));
                     runWithFault(
-                            new FaultDirectory(lie).failAt(c, part, 1 + r.nextInt(4)),
+                            new FaultDirectory(ignoredSyncs).failAt(call, part, 1 + random.nextInt(4)),
                             seed,
                             batches,
                             FaultDirectory::afterKill);
-                    played += 5;
+                    runs += 5;
                 }
             }
         }
-        return played;
+        return runs;
     }
 
     @Test
@@ -201,53 +212,57 @@
 
     @Test
     void corruptionIsRefusedAndRepairKeepsTheRecordsBeforeIt() throws IOException {
-        FaultDirectory whole = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
-        Model m = new Model();
-        runWorkload(whole, m, 5, 12);
+        FaultDirectory intact = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
+        Model model = new Model();
+        runWorkload(intact, model, 5, 12);
         int refused = 0;
-        for (String name : whole.fileNames()) {
-            for (int at = 0; at < whole.size(name); at++) {
-                FaultDirectory d = whole.afterKill();
-                d.flipBit(name, at);
-                Model seen = new Model();
+        for (String name : intact.fileNames()) {
+            for (int offset = 0; offset < intact.size(name); offset++) {
+                FaultDirectory corrupted = intact.afterKill();
+                corrupted.flipBit(name, offset);
+                Model recovered = new Model();
                 try {
-                    WriteAheadLog.open(d, SMALL_SEGMENTS, seen);
-                    // An older snapshot, a file not needed any more, or the last batch, which nothing vouches for.
-                    assertThat(m.answeredIds.subList(0, seen.foundIds.size())).isEqualTo(seen.foundIds);
-                    assertThat(m.answeredIds.size() - seen.foundIds.size()).isLessThanOrEqualTo(3);
+                    WriteAheadLog.open(corrupted, SMALL_SEGMENTS, recovered);
+                    // The flipped bit is in an older snapshot, in a file that is no longer needed, or in the last
+                    // batch, after which no record states that it was durable.
+                    assertThat(model.answeredIds.subList(0, recovered.foundIds.size()))
+                            .isEqualTo(recovered.foundIds);
+                    assertThat(model.answeredIds.size() - recovered.foundIds.size())
+                            .isLessThanOrEqualTo(3);
                 } catch (CorruptedDataException e) {
                     refused++;
                     assertThat(e.file).isEqualTo(name);
-                    Repair.Plan plan = Repair.plan(d);
-                    Repair.apply(d, plan);
-                    WriteAheadLog.open(d, SMALL_SEGMENTS, seen);
-                    assertThat(seen.foundIds).hasSize((int) plan.lastKeptSequence());
-                    assertThat(m.answeredIds.subList(0, seen.foundIds.size())).isEqualTo(seen.foundIds);
-                    assertThat(d.fileNames()).anyMatch(n -> n.startsWith(name + ".damaged"));
+                    Repair.Plan plan = Repair.plan(corrupted);
+                    Repair.apply(corrupted, plan);
+                    WriteAheadLog.open(corrupted, SMALL_SEGMENTS, recovered);
+                    assertThat(recovered.foundIds).hasSize((int) plan.lastKeptSequence());
+                    assertThat(model.answeredIds.subList(0, recovered.foundIds.size()))
+                            .isEqualTo(recovered.foundIds);
+                    assertThat(corrupted.fileNames()).anyMatch(file -> file.startsWith(name + ".damaged"));
                 } catch (IOException e) {
                     assertThat(e).hasMessageContaining("version");
                 }
             }
         }
         assertThat(refused).isGreaterThan(100);
-        assertThat(Repair.plan(whole)).isNull();
+        assertThat(Repair.plan(intact)).isNull();
     }
 
     @Test
     void aLogThatBeginsAfterAGapIsRefused() throws IOException {
-        FaultDirectory d = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
-        Model m = new Model();
-        runWorkload(d, m, 5, 12);
-        List<String> snapshots = d.fileNames().stream()
-                .filter(n -> n.startsWith("snap-"))
+        FaultDirectory directory = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
+        Model model = new Model();
+        runWorkload(directory, model, 5, 12);
+        List<String> snapshots = directory.fileNames().stream()
+                .filter(name -> name.startsWith("snap-"))
                 .sorted()
                 .toList();
         assertThat(snapshots).hasSize(2);
-        // Both snapshots gone, as if an older directory had been restored beside newer files.
-        for (String n : snapshots) {
-            d.delete(n);
+        // Both snapshots are missing, as if an older directory had been restored over newer files.
+        for (String name : snapshots) {
+            directory.delete(name);
         }
-        assertThatThrownBy(() -> WriteAheadLog.open(d, SMALL_SEGMENTS, new Model()))
+        assertThatThrownBy(() -> WriteAheadLog.open(directory, SMALL_SEGMENTS, new Model()))
                 .isInstanceOf(CorruptedDataException.class)
                 .hasMessageContaining("begins with record");
     }
