--- a/src/main/java/birchusher/statehost/DurableStore.java
+++ b/src/main/java/birchusher/statehost/DurableStore.java
@@ -17,23 +17,24 @@
 import java.util.List;
 
 /**
- * The engine and its log together: what requests change is gathered into a {@link Batch}, made durable with one sync, and only
- * then are the answers given that rest on it. Time is an input.
+ * The key-value engine and its write-ahead log. The entries of changing requests are collected into a {@link Batch}, made
+ * durable with one sync, and only then are the answers released that depend on them. The caller passes the time, in
+ * milliseconds.
  *
- * <p>One thread owns a keeper. {@link Batch#write} may run on another one, and requests gather meanwhile; only one batch is under
- * way at a time, so what became of it is always told before the next begins. {@link MachineStatus#write} may run on a third: a
- * picture is of a state that never changes. {@link #flush} does it all in one thread.
+ * <p>Threads: one thread owns a store. {@link Batch#write} may run on another thread while further requests are handled. Only
+ * one batch is written at a time, so its result is always reported before the next one begins. {@link PendingSnapshot#write}
+ * may run on a third thread, as the state that it writes is immutable. {@link #flush} writes batches on the calling thread.
  */
 public final class DurableStore implements Closeable {
-    /** A state to be written as a snapshot, and the last record that it holds. */
-    public record PendingSnapshot(StorageDirectory disk, long sequence, State state) {
-        /** Writes it; {@link Keeper#pictured} has to be told once it has returned. */
+    /** A state to be written as a snapshot; {@code sequence} is the last log record that it includes. */
+    public record PendingSnapshot(StorageDirectory directory, long sequence, State state) {
+        /** Writes the snapshot; {@link DurableStore#onSnapshotWritten} must be called afterwards. */
         public void write() throws IOException {
-            Snapshot.write(disk, sequence, to -> Codec.encode(state, to::accept));
+            Snapshot.write(directory, sequence, sink -> Codec.encode(state, sink::accept));
         }
     }
 
-    /** Records to be made durable together, and a snapshot whose predecessors may go. */
+    /** Records to be made durable with one sync and, optionally, a durable snapshot up to which the log may be pruned. */
     public static final class Batch {
         private final WriteAheadLog log;
         private final long firstSequence;
@@ -42,22 +43,22 @@
         private WriteAheadLog.WriteFailedException writeFailure;
         private IOException pruneFailure;
 
-        private Batch(WriteAheadLog log, long first, List<byte[]> records, long prune) {
+        private Batch(WriteAheadLog log, long firstSequence, List<byte[]> records, long pruneSequence) {
             this.log = log;
-            this.firstSequence = first;
+            this.firstSequence = firstSequence;
             this.records = records;
-            this.pruneSequence = prune;
+            this.pruneSequence = pruneSequence;
         }
 
-        /** Once; {@link Keeper#written} has to be told when it has returned. */
+        /** Writes the batch, at most once; {@link DurableStore#onBatchWritten} must be called afterwards. */
         public void write() {
             try {
                 for (int i = 0; i < records.size(); i++) {
-                    long at = log.append(records.get(i));
-                    if (at != firstSequence + i) {
-                        // Answers would be given for another record than the one synced.
-                        throw new IllegalStateException(
-                                "record " + at + " in the log, " + (firstSequence + i) + " in the engine");
+                    long sequence = log.append(records.get(i));
+                    if (sequence != firstSequence + i) {
+                        // Otherwise answers would be released for another record than the one synced.
+                        throw new IllegalStateException("sequence mismatch: record " + sequence + " in the log, "
+                                + (firstSequence + i) + " in the engine");
                     }
                 }
                 log.sync();
@@ -71,98 +72,110 @@
             }
         }
 
-        /** Why it does not count, or why old files could not be dropped; null if neither. */
+        /** Why the batch was not written or old files were not deleted; null if neither failed. */
         public String failureMessage() {
             return writeFailure != null
-                    ? "not written: " + writeFailure.getMessage()
-                    : pruneFailure != null ? "old files stay: " + pruneFailure.getMessage() : null;
+                    ? "batch not written: " + writeFailure.getMessage()
+                    : pruneFailure != null ? "old files not deleted: " + pruneFailure.getMessage() : null;
         }
     }
 
     private static final long SNAPSHOT_RETRY_DELAY_MS = 60_000;
+    /** The value of {@code pruneSequence} if nothing is to be pruned. */
     private static final long NO_PRUNE = -1;
 
-    private final StorageDirectory disk;
+    private final StorageDirectory directory;
     private final WriteAheadLog log;
     private final Engine engine;
     private final long snapshotIntervalBytes;
     private final ArrayDeque<byte[]> pendingRecords = new ArrayDeque<>();
-    /** The last record given to a batch. */
+    /** The last record passed to a batch. */
     private long lastBatchedSequence;
 
     private Batch activeBatch;
     private long pruneSequence = NO_PRUNE;
     private boolean snapshotInProgress;
     private long nextSnapshotMs;
-    /** Bytes of log since the newest snapshot, and as many of them as the picture being written stands for. */
+    /** Bytes of log since the newest snapshot. */
     private long logBytesSinceSnapshot;
 
+    /** How many of these bytes the snapshot being written covers. */
     private long logBytesInSnapshot;
 
-    private DurableStore(StorageDirectory disk, WriteAheadLog log, Engine engine, long snapshotBytes) {
-        this.disk = disk;
+    private DurableStore(StorageDirectory directory, WriteAheadLog log, Engine engine, long snapshotIntervalBytes) {
+        this.directory = directory;
         this.log = log;
         this.engine = engine;
-        this.snapshotIntervalBytes = snapshotBytes;
+        this.snapshotIntervalBytes = snapshotIntervalBytes;
         this.lastBatchedSequence = log.durableSequence();
         this.logBytesSinceSnapshot = log.bytesSinceSnapshot();
     }
 
     /**
-     * Reads what the directory keeps. To its clients this looks like the end of an outage: leases have their full time again,
-     * and revisions go on where the last durable change was.
+     * Recovers the state kept in the directory. To clients this looks like the end of an outage: each lease has its full time
+     * to live again, and revisions continue after the last durable change.
      *
-     * @param snapshotBytes of log, after which a snapshot is due
-     * @throws birchusher.wal.Damaged if something durable can't be read; nothing was changed then
+     * @param snapshotIntervalBytes a snapshot is due after so many bytes of log
+     * @throws birchusher.wal.CorruptedDataException if data that was durable can't be read; the directory is left unchanged
      */
     public static DurableStore open(
-            StorageDirectory disk, WriteAheadLog.Options options, long snapshotBytes, Limits limits, long now)
+            StorageDirectory directory,
+            WriteAheadLog.Options options,
+            long snapshotIntervalBytes,
+            Limits limits,
+            long nowMs)
             throws IOException {
-        StateRestorer kept = new StateRestorer();
-        WriteAheadLog log = WriteAheadLog.open(disk, options, new WriteAheadLog.RecoveryHandler() {
+        StateRestorer restorer = new StateRestorer();
+        WriteAheadLog log = WriteAheadLog.open(directory, options, new WriteAheadLog.RecoveryHandler() {
             @Override
             public void reset() {
-                kept.reset();
+                restorer.reset();
             }
 
             @Override
             public void snapshotRecord(byte[] payload) throws IOException {
-                kept.addSnapshotRecord(payload);
+                restorer.addSnapshotRecord(payload);
             }
 
             @Override
             public void logRecord(long sequence, byte[] payload) throws IOException {
-                kept.applyLogRecord(payload);
+                restorer.applyLogRecord(payload);
             }
         });
-        return new DurableStore(disk, log, new Engine(kept, log.durableSequence(), limits, now), snapshotBytes);
+        return new DurableStore(
+                directory, log, new Engine(restorer, log.durableSequence(), limits, nowMs), snapshotIntervalBytes);
     }
 
-    /** What opening found, for the operator. */
+    /** Findings of the recovery for the operator, one line each. */
     public List<String> recoveryNotes() {
         return log.recoveryNotes();
     }
 
-    /** Whether changes are refused at present, as they can't be made durable. */
+    /** Whether changes are refused because the last write failed. */
     public boolean readOnly() {
         return engine.readOnly();
     }
 
-    /** Everything that is durable. */
+    /** The state after the last durable entry; immutable. */
     public State durableState() {
         return engine.durableState();
     }
 
-    /** Answers that rest on nothing new; the others come with {@link #flush}. */
-    public List<Engine.Answer> handle(long now, long ticket, Request r) {
-        return collectAnswers(engine.handle(now, ticket, r));
+    /**
+     * Handles one request; see {@link Engine#handle}.
+     *
+     * @return answers that depend on no pending entry; the others follow from {@link #onBatchWritten} or {@link #flush}
+     */
+    public List<Engine.Answer> handle(long nowMs, long requestId, Request request) {
+        return collectAnswers(engine.handle(nowMs, requestId, request));
     }
 
-    public List<Engine.Answer> tick(long now) {
-        return collectAnswers(engine.tick(now));
+    /** Expires leases and watches; see {@link Engine#tick}. */
+    public List<Engine.Answer> tick(long nowMs) {
+        return collectAnswers(engine.tick(nowMs));
     }
 
-    /** What is to be made durable next; null if nothing is, or if a batch is under way. */
+    /** Returns the next batch to write, or null if there is nothing to write or a batch is being written. */
     public Batch takeBatch() {
         if (activeBatch != null || pendingRecords.isEmpty() && pruneSequence == NO_PRUNE) {
             return null;
@@ -180,77 +193,80 @@
         return activeBatch;
     }
 
-    /** The batch's writing has ended: the answers that waited for it. */
-    public List<Engine.Answer> onBatchWritten(long now, Batch b) {
-        if (b != activeBatch) {
-            throw new IllegalArgumentException("not the batch that is under way");
+    /** Reports that the writing of the batch has ended, successfully or not; returns the answers that depended on it. */
+    public List<Engine.Answer> onBatchWritten(long nowMs, Batch batch) {
+        if (batch != activeBatch) {
+            throw new IllegalArgumentException("not the batch being written");
         }
         activeBatch = null;
-        if (b.writeFailure != null) {
-            // What gathered meanwhile rests on what is taken back: it goes with it.
+        if (batch.writeFailure != null) {
+            // Records collected meanwhile depend on entries that are rolled back, so they are discarded as well.
             pendingRecords.clear();
             lastBatchedSequence = log.durableSequence();
-            return collectAnswers(engine.onWriteFailed(now, b.writeFailure.outcomeUnknown));
+            return collectAnswers(engine.onWriteFailed(nowMs, batch.writeFailure.outcomeUnknown));
         }
-        return collectAnswers(engine.onDurable(now, lastBatchedSequence));
+        return collectAnswers(engine.onDurable(nowMs, lastBatchedSequence));
     }
 
-    /** All that is gathered, written in this thread, and the answers that waited for it. */
-    public List<Engine.Answer> flush(long now) {
+    /** Writes all pending records on this thread and returns the answers that depended on them. */
+    public List<Engine.Answer> flush(long nowMs) {
         List<Engine.Answer> answers = new ArrayList<>();
-        for (Batch b = takeBatch(); b != null; b = takeBatch()) {
-            b.write();
-            answers.addAll(onBatchWritten(now, b));
+        for (Batch batch = takeBatch(); batch != null; batch = takeBatch()) {
+            batch.write();
+            answers.addAll(onBatchWritten(nowMs, batch));
         }
         return answers;
     }
 
     private List<Engine.Answer> collectAnswers(List<Engine.Output> outputs) {
         List<Engine.Answer> answers = new ArrayList<>();
-        for (Engine.Output o : outputs) {
-            if (o instanceof Engine.Append a) {
-                addPendingRecord(a.sequence(), a.entry());
+        for (Engine.Output output : outputs) {
+            if (output instanceof Engine.Append append) {
+                addPendingRecord(append.sequence(), append.entry());
             } else {
-                answers.add((Engine.Answer) o);
+                answers.add((Engine.Answer) output);
             }
         }
         return answers;
     }
 
-    private void addPendingRecord(long sequence, Entry e) {
-        pendingRecords.add(Codec.encode(e));
+    private void addPendingRecord(long sequence, Entry entry) {
+        pendingRecords.add(Codec.encode(entry));
         if (lastBatchedSequence + pendingRecords.size() != sequence) {
-            throw new IllegalStateException("record " + (lastBatchedSequence + pendingRecords.size()) + " gathered, "
-                    + sequence + " in the engine");
+            throw new IllegalStateException("sequence mismatch: record " + (lastBatchedSequence + pendingRecords.size())
+                    + " is pending, " + sequence + " in the engine");
         }
     }
 
-    /** A snapshot that is due, null if none is or one is being written, or could not be written just now. */
-    public PendingSnapshot takeDueSnapshot(long now) {
-        if (snapshotInProgress || logBytesSinceSnapshot < snapshotIntervalBytes || now < nextSnapshotMs) {
+    /**
+     * Returns the snapshot that is due, or null if none is due, one is being written, or the last attempt failed less than
+     * {@value #SNAPSHOT_RETRY_DELAY_MS} ms ago.
+     */
+    public PendingSnapshot takeDueSnapshot(long nowMs) {
+        if (snapshotInProgress || logBytesSinceSnapshot < snapshotIntervalBytes || nowMs < nextSnapshotMs) {
             return null;
         }
         snapshotInProgress = true;
         logBytesInSnapshot = logBytesSinceSnapshot;
-        return new PendingSnapshot(disk, engine.durableSequence(), engine.durableState());
+        return new PendingSnapshot(directory, engine.durableSequence(), engine.durableState());
     }
 
-    /** A picture's writing has ended; if it was written, what it stands for is dropped from the log with the next batch. */
-    public void onSnapshotWritten(long now, PendingSnapshot p, boolean written) {
+    /** Reports that writing the snapshot has ended; if it succeeded, the log that it covers is pruned with the next batch. */
+    public void onSnapshotWritten(long nowMs, PendingSnapshot snapshot, boolean written) {
         snapshotInProgress = false;
         if (written) {
-            pruneSequence = p.sequence();
+            pruneSequence = snapshot.sequence();
             logBytesSinceSnapshot -= logBytesInSnapshot;
         } else {
-            // A full disk would otherwise be filled again and again with the beginning of a snapshot.
-            nextSnapshotMs = now + SNAPSHOT_RETRY_DELAY_MS;
+            // Retrying at once would fill a full disk with the beginning of a snapshot again and again.
+            nextSnapshotMs = nowMs + SNAPSHOT_RETRY_DELAY_MS;
         }
     }
 
-    /** A batch under way must have ended. */
+    /** Closes the log and the directory. No batch may be in the process of being written. */
     @Override
     public void close() throws IOException {
         log.close();
-        disk.close();
+        directory.close();
     }
 }
--- a/src/main/java/birchusher/statehost/DurableStoreRunner.java
+++ b/src/main/java/birchusher/statehost/DurableStoreRunner.java
@@ -17,10 +17,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives a {@link Keeper} from an event loop's thread: one thread beside it syncs the log, another writes snapshots. While a
- * sync is under way, requests gather for the next one, so the more come, the more share a sync.
+ * Runs a {@link DurableStore} on an event loop. One further thread syncs the log, another one writes snapshots. Requests that
+ * arrive during a sync are collected for the next one, so under load more requests share a sync.
  *
- * <p>All methods are for the loop's thread, but {@link #close}, which is for after the loop has ended.
+ * <p>Threads: all methods must be called on the loop's thread, except {@link #close}, which must be called after the loop has
+ * ended.
  */
 public final class DurableStoreRunner {
     private static final Logger LOG = LoggerFactory.getLogger(DurableStoreRunner.class);
@@ -34,108 +35,117 @@
     private long nextRequestId = 1;
     private boolean wasReadOnly;
 
-    public DurableStoreRunner(EventLoop loop, DurableStore keeper) {
+    public DurableStoreRunner(EventLoop loop, DurableStore store) {
         this.loop = loop;
-        this.store = keeper;
-        keeper.recoveryNotes().forEach(n -> LOG.info("found at the start: {}", n));
+        this.store = store;
+        store.recoveryNotes().forEach(note -> LOG.info("recovery of the state log: {}", note));
     }
 
     private static ExecutorService newSingleThreadExecutor(String name) {
-        return Executors.newSingleThreadExecutor(r -> {
-            Thread t = new Thread(r, name);
-            t.setDaemon(true);
-            return t;
+        return Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, name);
+            thread.setDaemon(true);
+            return thread;
         });
     }
 
-    /** Exactly one reply comes, now or later, on the loop's thread. */
-    public void submit(Request r, Consumer<Reply> reply) {
-        long ticket = nextRequestId++;
-        pendingReplies.put(ticket, reply);
-        deliver(store.handle(EventLoop.nowMs(), ticket, r));
+    /** Handles one request. Exactly one reply is passed to the consumer, during this call or later, on the loop's thread. */
+    public void submit(Request request, Consumer<Reply> consumer) {
+        long requestId = nextRequestId++;
+        pendingReplies.put(requestId, consumer);
+        deliver(store.handle(EventLoop.nowMs(), requestId, request));
         startNextBatch();
     }
 
-    /** Whether changes can't be made durable at present. */
+    /** Whether changes are refused because the last write failed. */
     public boolean readOnly() {
         return store.readOnly();
     }
 
-    /** Everything durable; never changes. */
+    /** The state after the last durable entry; immutable. */
     public State durableState() {
         return store.durableState();
     }
 
+    /** Expires leases and watches, and starts a snapshot if one is due. */
     public void tick() {
         deliver(store.tick(EventLoop.nowMs()));
         startNextBatch();
-        DurableStore.PendingSnapshot p = store.takeDueSnapshot(EventLoop.nowMs());
-        if (p != null) {
-            snapshotExecutor.execute(() -> writeSnapshot(p));
+        DurableStore.PendingSnapshot snapshot = store.takeDueSnapshot(EventLoop.nowMs());
+        if (snapshot != null) {
+            snapshotExecutor.execute(() -> writeSnapshot(snapshot));
         }
         if (wasReadOnly != store.readOnly()) {
             wasReadOnly = store.readOnly();
-            LOG.error(wasReadOnly ? "changes are refused: the log can't be written" : "the log can be written again");
+            LOG.error(
+                    wasReadOnly
+                            ? "writing the state log failed: changes are refused"
+                            : "state log is writable again: changes are accepted");
         }
     }
 
-    private void writeSnapshot(DurableStore.PendingSnapshot p) {
+    private void writeSnapshot(DurableStore.PendingSnapshot snapshot) {
         boolean written = false;
         try {
-            p.write();
+            snapshot.write();
             written = true;
         } catch (IOException | RuntimeException e) {
-            LOG.error("no snapshot: {}", e.toString());
+            LOG.error("writing the state snapshot failed: {}", e.toString());
         }
         boolean ok = written;
         loop.post(() -> {
-            store.onSnapshotWritten(EventLoop.nowMs(), p, ok);
+            store.onSnapshotWritten(EventLoop.nowMs(), snapshot, ok);
             startNextBatch();
         });
     }
 
-    /** Hands the next batch to the syncing thread, unless it has one. */
+    /** Passes the next batch to the sync thread, unless a batch is being written. */
     private void startNextBatch() {
-        DurableStore.Batch b = store.takeBatch();
-        if (b != null) {
-            syncExecutor.execute(() -> writeBatch(b));
+        DurableStore.Batch batch = store.takeBatch();
+        if (batch != null) {
+            syncExecutor.execute(() -> writeBatch(batch));
         }
     }
 
-    private void writeBatch(DurableStore.Batch b) {
+    private void writeBatch(DurableStore.Batch batch) {
         try {
-            b.write();
+            batch.write();
         } catch (RuntimeException | Error e) {
-            // Engine and log no longer agree: nothing that is not durable may be answered any more.
-            LOG.error("the log failed in a way it must not; stopping", e);
+            // The engine and the log may differ, so no further answer may be released.
+            LOG.error("unexpected failure while writing the state log; stopping", e);
             loop.stop();
             return;
         }
         loop.post(() -> {
-            if (b.failureMessage() != null) {
-                LOG.error("log: {}", b.failureMessage());
+            if (batch.failureMessage() != null) {
+                LOG.error("state log: {}", batch.failureMessage());
             }
-            deliver(store.onBatchWritten(EventLoop.nowMs(), b));
+            deliver(store.onBatchWritten(EventLoop.nowMs(), batch));
             startNextBatch();
         });
     }
 
     private void deliver(List<Answer> answers) {
-        for (Answer a : answers) {
-            Consumer<Reply> to = pendingReplies.remove(a.requestId());
-            if (to != null) {
-                to.accept(a.reply());
+        for (Answer answer : answers) {
+            Consumer<Reply> consumer = pendingReplies.remove(answer.requestId());
+            if (consumer != null) {
+                consumer.accept(answer.reply());
             }
         }
     }
 
-    /** After the loop has ended: lets the sync under way end, and gives the directory free. What was not answered may count or not. */
+    /**
+     * Waits for the current sync and snapshot to end, then releases the directory. Requests without a reply may have taken
+     * effect or not.
+     *
+     * @throws IOException also if the disk does not respond within {@value #CLOSE_TIMEOUT_S} s
+     */
     public void close() throws IOException, InterruptedException {
         syncExecutor.shutdown();
         snapshotExecutor.shutdown();
         if (!syncExecutor.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)
                 || !snapshotExecutor.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)) {
-            throw new IOException("the disk has not answered for " + CLOSE_TIMEOUT_S + " s");
+            throw new IOException("the disk did not respond within " + CLOSE_TIMEOUT_S + " s");
         }
         store.close();
     }
--- a/src/main/java/birchusher/statehost/ProtocolCodec.java
+++ b/src/main/java/birchusher/statehost/ProtocolCodec.java
@@ -17,12 +17,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** The published form of the state service's requests and replies. Pure. */
+/** Translates between the published HTTP protocol of the state service and its typed requests and replies. Stateless. */
 final class ProtocolCodec {
-    /** How a reply goes out; {@code status} 0: not at all, the connection ends. */
+    /**
+     * A response as it is sent.
+     *
+     * @param status the HTTP status; 0 means that no response is sent and the connection is closed
+     * @param retryAfterS the value of Retry-After in seconds, 0 for none
+     */
     record HttpResponse(int status, Map<String, ?> body, int retryAfterS) {}
 
-    /** A request that the protocol does not have. */
+    /** A request for a path, method or lease that does not exist; carries the HTTP status of the response. */
     static final class HttpStatusException extends Exception {
         private static final long serialVersionUID = 1;
         final int status;
@@ -35,45 +40,54 @@
 
     private ProtocolCodec() {}
 
+    /**
+     * Parses a request.
+     *
+     * @throws InvalidInputException if a field is missing or invalid; the message names it
+     */
     static Request parseRequest(String method, String target, byte[] body) throws HttpStatusException {
         try {
-            RequestTarget t = RequestTarget.parse(target);
-            if (t.path().equals(Wire.STORE)) {
+            RequestTarget parsedTarget = RequestTarget.parse(target);
+            if (parsedTarget.path().equals(Wire.STORE)) {
                 requireMethod(method, "GET");
-                return new Request.Page(t.text(Wire.PREFIX, ""), t.text(Wire.AFTER, null), pageLimit(t));
+                return new Request.Page(
+                        parsedTarget.text(Wire.PREFIX, ""),
+                        parsedTarget.text(Wire.AFTER, null),
+                        pageLimit(parsedTarget));
             }
-            if (t.path().startsWith(Wire.STORE + "/")) {
+            if (parsedTarget.path().startsWith(Wire.STORE + "/")) {
                 requireMethod(method, "GET");
-                return new Request.Get(t.path().substring(Wire.STORE.length() + 1));
+                return new Request.Get(parsedTarget.path().substring(Wire.STORE.length() + 1));
             }
-            if (t.path().equals(Wire.TRANSACTIONS)) {
+            if (parsedTarget.path().equals(Wire.TRANSACTIONS)) {
                 requireMethod(method, "POST");
                 return parseTransaction(Fields.map(MessagePackCodec.decode(body), "body"));
             }
-            if (t.path().equals(Wire.WATCH)) {
+            if (parsedTarget.path().equals(Wire.WATCH)) {
                 requireMethod(method, "GET");
-                if (!t.parameters().containsKey(Wire.AFTER)) {
+                if (!parsedTarget.parameters().containsKey(Wire.AFTER)) {
                     throw new InvalidInputException(Wire.AFTER + ": missing");
                 }
-                long wait = t.count("wait_ms", 0);
-                if (wait > Limits.MAX_WATCH_WAIT_MS) {
+                long waitMs = parsedTarget.count("wait_ms", 0);
+                if (waitMs > Limits.MAX_WATCH_WAIT_MS) {
                     throw new InvalidInputException("wait_ms: above " + Limits.MAX_WATCH_WAIT_MS);
                 }
-                return new Request.Watch(t.text(Wire.PREFIX, ""), t.count(Wire.AFTER, 0), wait);
+                return new Request.Watch(parsedTarget.text(Wire.PREFIX, ""), parsedTarget.count(Wire.AFTER, 0), waitMs);
             }
-            if (t.path().equals(Wire.LEASES)) {
+            if (parsedTarget.path().equals(Wire.LEASES)) {
                 requireMethod(method, "POST");
                 return new Request.GrantLease(
                         Fields.count(Fields.map(MessagePackCodec.decode(body), "body"), Wire.TTL_MS));
             }
-            if (t.path().startsWith(Wire.LEASES + "/")) {
-                String id = t.path().substring(Wire.LEASES.length() + 1);
-                if (id.endsWith(Wire.RENEW)) {
+            if (parsedTarget.path().startsWith(Wire.LEASES + "/")) {
+                String leaseId = parsedTarget.path().substring(Wire.LEASES.length() + 1);
+                if (leaseId.endsWith(Wire.RENEW)) {
                     requireMethod(method, "POST");
-                    return new Request.RenewLease(parseLeaseId(id.substring(0, id.length() - Wire.RENEW.length())));
+                    return new Request.RenewLease(
+                            parseLeaseId(leaseId.substring(0, leaseId.length() - Wire.RENEW.length())));
                 }
                 requireMethod(method, "DELETE");
-                return new Request.EndLease(parseLeaseId(id));
+                return new Request.EndLease(parseLeaseId(leaseId));
             }
         } catch (RequestTarget.InvalidTargetException e) {
             throw new InvalidInputException(e.getMessage());
@@ -87,12 +101,12 @@
         }
     }
 
-    private static int pageLimit(RequestTarget t) throws RequestTarget.InvalidTargetException {
-        long n = t.count(Wire.LIMIT, Limits.MAX_PAGE_ROWS);
-        if (n < 1 || n > Limits.MAX_PAGE_ROWS) {
+    private static int pageLimit(RequestTarget target) throws RequestTarget.InvalidTargetException {
+        long limit = target.count(Wire.LIMIT, Limits.MAX_PAGE_ROWS);
+        if (limit < 1 || limit > Limits.MAX_PAGE_ROWS) {
             throw new InvalidInputException(Wire.LIMIT + ": 1 to " + Limits.MAX_PAGE_ROWS);
         }
-        return (int) n;
+        return (int) limit;
     }
 
     private static long parseLeaseId(String id) throws HttpStatusException {
@@ -103,86 +117,89 @@
         }
     }
 
-    private static Request parseTransaction(Map<String, Object> m) {
+    private static Request parseTransaction(Map<String, Object> body) {
         List<Request.Condition> conditions = new ArrayList<>();
-        if (m.get(Wire.CONDITIONS) != null) {
-            for (Object o : Fields.list(m, Wire.CONDITIONS)) {
-                Map<String, Object> c = Fields.map(o, Wire.CONDITIONS);
-                conditions.add(new Request.Condition(requiredText(c, Wire.KEY), Fields.count(c, Wire.VERSION)));
+        if (body.get(Wire.CONDITIONS) != null) {
+            for (Object item : Fields.list(body, Wire.CONDITIONS)) {
+                Map<String, Object> condition = Fields.map(item, Wire.CONDITIONS);
+                conditions.add(new Request.Condition(
+                        requiredText(condition, Wire.KEY), Fields.count(condition, Wire.VERSION)));
             }
         }
         List<Write> writes = new ArrayList<>();
-        int largest = 0;
-        if (m.get(Wire.WRITES) != null) {
-            for (Object o : Fields.list(m, Wire.WRITES)) {
-                Map<String, Object> w = Fields.map(o, Wire.WRITES);
-                if (w.get(Wire.PUT) != null) {
-                    if (!w.containsKey(Wire.VALUE)) {
+        int largestValueBytes = 0;
+        if (body.get(Wire.WRITES) != null) {
+            for (Object item : Fields.list(body, Wire.WRITES)) {
+                Map<String, Object> write = Fields.map(item, Wire.WRITES);
+                if (write.get(Wire.PUT) != null) {
+                    if (!write.containsKey(Wire.VALUE)) {
                         throw new InvalidInputException(Wire.VALUE + ": missing");
                     }
-                    largest = Math.max(largest, Json.sizeBytes(w.get(Wire.VALUE)));
+                    largestValueBytes = Math.max(largestValueBytes, Json.sizeBytes(write.get(Wire.VALUE)));
                     writes.add(new Write.Set(
-                            requiredText(w, Wire.PUT),
-                            MessagePackCodec.encode(w.get(Wire.VALUE)),
-                            Fields.countOr(w, Wire.LEASE, 0)));
+                            requiredText(write, Wire.PUT),
+                            MessagePackCodec.encode(write.get(Wire.VALUE)),
+                            Fields.countOr(write, Wire.LEASE, 0)));
                 } else {
-                    writes.add(new Write.Remove(requiredText(w, Wire.DELETE)));
+                    writes.add(new Write.Remove(requiredText(write, Wire.DELETE)));
                 }
             }
         }
-        return new Request.Transaction(conditions, writes, Json.sizeBytes(m), largest);
+        return new Request.Transaction(conditions, writes, Json.sizeBytes(body), largestValueBytes);
     }
 
-    private static String requiredText(Map<String, Object> m, String field) {
-        if (m.get(field) instanceof String s) {
-            return s;
+    private static String requiredText(Map<String, Object> fields, String field) {
+        if (fields.get(field) instanceof String text) {
+            return text;
         }
         throw new InvalidInputException(field + ": missing or not text");
     }
 
-    static HttpResponse encodeReply(Request asked, Reply r) {
-        if (r instanceof Reply.Found f) {
-            return okResponse(rowFields(f.key(), f.row()));
+    /** Encodes the reply to {@code request}. */
+    static HttpResponse encodeReply(Request request, Reply reply) {
+        if (reply instanceof Reply.Found found) {
+            return okResponse(rowFields(found.key(), found.row()));
         }
-        if (r instanceof Reply.NotFound m) {
-            return new HttpResponse(404, Map.of(Wire.REVISION, m.revision()), 0);
+        if (reply instanceof Reply.NotFound notFound) {
+            return new HttpResponse(404, Map.of(Wire.REVISION, notFound.revision()), 0);
         }
-        if (r instanceof Reply.Rows rows) {
+        if (reply instanceof Reply.Rows rows) {
             List<Object> items = new ArrayList<>();
-            rows.rows().forEach(e -> items.add(rowFields(e.getKey(), e.getValue())));
+            rows.rows().forEach(entry -> items.add(rowFields(entry.getKey(), entry.getValue())));
             return okResponse(Map.of(Wire.ROWS, items, Wire.HAS_MORE, rows.hasMore(), Wire.REVISION, rows.revision()));
         }
-        if (r instanceof Reply.Committed c) {
-            return okResponse(Map.of(Wire.REVISION, c.revision()));
+        if (reply instanceof Reply.Committed committed) {
+            return okResponse(Map.of(Wire.REVISION, committed.revision()));
         }
-        if (r instanceof Reply.ConditionsFailed f) {
-            return new HttpResponse(409, Map.of(Wire.FAILED_CONDITIONS, f.keys(), Wire.REVISION, f.revision()), 0);
+        if (reply instanceof Reply.ConditionsFailed failed) {
+            return new HttpResponse(
+                    409, Map.of(Wire.FAILED_CONDITIONS, failed.keys(), Wire.REVISION, failed.revision()), 0);
         }
-        if (r instanceof Reply.LeaseGranted l) {
-            return okResponse(Map.of(Wire.LEASE, l.leaseId()));
+        if (reply instanceof Reply.LeaseGranted granted) {
+            return okResponse(Map.of(Wire.LEASE, granted.leaseId()));
         }
-        if (r instanceof Reply.Done) {
+        if (reply instanceof Reply.Done) {
             return okResponse(Map.of());
         }
-        if (r instanceof Reply.Events e) {
+        if (reply instanceof Reply.Events changes) {
             List<Object> events = new ArrayList<>();
-            e.events().forEach(x -> events.add(eventFields(x)));
-            return okResponse(Map.of(Wire.REVISION, e.revision(), Wire.EVENTS, events));
+            changes.events().forEach(event -> events.add(eventFields(event)));
+            return okResponse(Map.of(Wire.REVISION, changes.revision(), Wire.EVENTS, events));
         }
-        if (r instanceof Reply.LeaseNotFound) {
-            return errorResponse(asked instanceof Request.Transaction ? 400 : 404, "no such lease", 0);
+        if (reply instanceof Reply.LeaseNotFound) {
+            return errorResponse(request instanceof Request.Transaction ? 400 : 404, "no such lease", 0);
         }
-        if (r instanceof Reply.RevisionCompacted) {
-            return errorResponse(410, "changes that old are not remembered: read the keys again", 0);
+        if (reply instanceof Reply.RevisionCompacted) {
+            return errorResponse(410, "changes after this revision are no longer available: read the keys again", 0);
         }
-        if (r instanceof Reply.LimitExceeded t) {
-            return errorResponse(429, "too many", t.retryAfterS());
+        if (reply instanceof Reply.LimitExceeded exceeded) {
+            return errorResponse(429, "too many requests, watches or leases", exceeded.retryAfterS());
         }
-        if (r instanceof Reply.Unavailable u) {
-            return errorResponse(503, "not executed: the log can't be written at present", u.retryAfterS());
+        if (reply instanceof Reply.Unavailable unavailable) {
+            return errorResponse(503, "not executed: the state log can't be written", unavailable.retryAfterS());
         }
-        if (r instanceof Reply.InvalidRequest b) {
-            return errorResponse(400, b.message(), 0);
+        if (reply instanceof Reply.InvalidRequest invalid) {
+            return errorResponse(400, invalid.message(), 0);
         }
         return new HttpResponse(0, Map.of(), 0);
     }
@@ -191,28 +208,28 @@
         return new HttpResponse(200, body, 0);
     }
 
-    static HttpResponse errorResponse(int status, String why, int retryAfterS) {
-        return new HttpResponse(status, Map.of("error", why), retryAfterS);
+    static HttpResponse errorResponse(int status, String message, int retryAfterS) {
+        return new HttpResponse(status, Map.of("error", message), retryAfterS);
     }
 
-    private static Map<String, Object> rowFields(String key, Row r) {
-        Map<String, Object> m = new HashMap<>();
-        m.put(Wire.KEY, key);
-        m.put(Wire.VALUE, MessagePackCodec.decode(r.value()));
-        m.put(Wire.VERSION, r.modRevision());
-        if (r.leaseId() != 0) {
-            m.put(Wire.LEASE, r.leaseId());
+    private static Map<String, Object> rowFields(String key, Row row) {
+        Map<String, Object> fields = new HashMap<>();
+        fields.put(Wire.KEY, key);
+        fields.put(Wire.VALUE, MessagePackCodec.decode(row.value()));
+        fields.put(Wire.VERSION, row.modRevision());
+        if (row.leaseId() != 0) {
+            fields.put(Wire.LEASE, row.leaseId());
         }
-        return m;
+        return fields;
     }
 
-    private static Map<String, Object> eventFields(State.Event e) {
-        Map<String, Object> m = new HashMap<>();
-        m.put(e.value() == null ? Wire.DELETE : Wire.PUT, e.key());
-        if (e.value() != null) {
-            m.put(Wire.VALUE, MessagePackCodec.decode(e.value()));
+    private static Map<String, Object> eventFields(State.Event event) {
+        Map<String, Object> fields = new HashMap<>();
+        fields.put(event.value() == null ? Wire.DELETE : Wire.PUT, event.key());
+        if (event.value() != null) {
+            fields.put(Wire.VALUE, MessagePackCodec.decode(event.value()));
         }
-        m.put(Wire.VERSION, e.revision());
-        return m;
+        fields.put(Wire.VERSION, event.revision());
+        return fields;
     }
 }
--- a/src/main/java/birchusher/statehost/StateServer.java
+++ b/src/main/java/birchusher/statehost/StateServer.java
@@ -9,16 +9,16 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Serves a {@link Host} on the published protocol of the state service, and {@code GET /ready}. */
+/** Serves a {@link DurableStoreRunner} over the published HTTP protocol of the state service, and {@code GET /ready}. */
 public final class StateServer {
-    /** A body within the protocol's 64 KiB, counted as JSON, may be larger as MessagePack: "1.0" has nine bytes there. */
+    /** The protocol's limit of 64 KiB counts JSON; MessagePack may be larger: "1.0" takes nine bytes there. */
     private static final int MAX_BODY_BYTES = 256 * 1024;
 
     private final DurableStoreRunner store;
     private final HttpServer server;
 
-    public StateServer(EventLoop loop, String address, int port, int maxConnections, DurableStoreRunner host) {
-        this.store = host;
+    public StateServer(EventLoop loop, String address, int port, int maxConnections, DurableStoreRunner store) {
+        this.store = store;
         this.server = new HttpServer(loop, address, port, maxConnections, MAX_BODY_BYTES, this::handleRequest);
     }
 
@@ -40,13 +40,13 @@
             answer(
                     exchange,
                     store.readOnly()
-                            ? ProtocolCodec.errorResponse(503, "the log can't be written", 1)
+                            ? ProtocolCodec.errorResponse(503, "the state log can't be written", 1)
                             : new ProtocolCodec.HttpResponse(200, Map.of(), 0));
             return;
         }
         try {
-            Request r = ProtocolCodec.parseRequest(method, target, body);
-            store.submit(r, reply -> answer(exchange, ProtocolCodec.encodeReply(r, reply)));
+            Request request = ProtocolCodec.parseRequest(method, target, body);
+            store.submit(request, reply -> answer(exchange, ProtocolCodec.encodeReply(request, reply)));
         } catch (InvalidInputException e) {
             answer(exchange, ProtocolCodec.errorResponse(400, e.getMessage(), 0));
         } catch (ProtocolCodec.HttpStatusException e) {
@@ -54,11 +54,12 @@
         }
     }
 
-    private void answer(long exchange, ProtocolCodec.HttpResponse out) {
-        if (out.status() == 0) {
+    private void answer(long exchange, ProtocolCodec.HttpResponse response) {
+        if (response.status() == 0) {
             server.abort(exchange);
         } else {
-            server.answer(exchange, out.status(), MessagePackCodec.encode(out.body()), out.retryAfterS());
+            server.answer(
+                    exchange, response.status(), MessagePackCodec.encode(response.body()), response.retryAfterS());
         }
     }
 }
--- a/src/test/java/birchusher/statehost/DurableStoreTest.java
+++ b/src/test/java/birchusher/statehost/DurableStoreTest.java
@@ -20,143 +20,150 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The state service through kills, power cuts and a full disk: what was answered stands, and nothing stands in half. */
+/** Through kills, power cuts and a full disk, answered changes survive, and no transaction survives in part. */
 class DurableStoreTest {
     private static final Limits LIMITS = new Limits(1e6, 1e6, 8, 100);
     private static final WriteAheadLog.Options SMALL_SEGMENTS = new WriteAheadLog.Options(700, 2);
 
-    private static byte[] bytes(String s) {
-        return s.getBytes(StandardCharsets.UTF_8);
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static TreeMap<String, String> rows(State s) {
-        TreeMap<String, String> m = new TreeMap<>();
-        for (Map.Entry<String, Row> e : s.rows().entrySet()) {
-            Row r = e.getValue();
-            m.put(
-                    e.getKey(),
-                    new String(r.value(), StandardCharsets.UTF_8) + "@" + r.modRevision() + "/" + r.leaseId());
+    private static TreeMap<String, String> rows(State state) {
+        TreeMap<String, String> rows = new TreeMap<>();
+        for (Map.Entry<String, Row> entry : state.rows().entrySet()) {
+            Row row = entry.getValue();
+            rows.put(
+                    entry.getKey(),
+                    new String(row.value(), StandardCharsets.UTF_8) + "@" + row.modRevision() + "/" + row.leaseId());
         }
-        return m;
+        return rows;
     }
 
-    /** Everything a life of the service saw: its states by revision, and the last one that was answered for. */
+    /** What was observed of a service: its states by revision, and the last revision that was answered. */
     private static final class ObservedHistory {
         final TreeMap<Long, TreeMap<String, String>> statesByRevision = new TreeMap<>(Map.of(0L, new TreeMap<>()));
         long answeredRevision;
         long lastLeaseId;
 
         void recordAnswers(List<Answer> answers) {
-            for (Answer a : answers) {
-                if (a.reply() instanceof Reply.Committed c) {
-                    assertThat(c.revision()).isGreaterThanOrEqualTo(answeredRevision);
-                    answeredRevision = c.revision();
-                } else if (a.reply() instanceof Reply.LeaseGranted l) {
-                    assertThat(l.leaseId()).as("a lease is never granted twice").isGreaterThan(lastLeaseId);
-                    lastLeaseId = l.leaseId();
+            for (Answer answer : answers) {
+                if (answer.reply() instanceof Reply.Committed committed) {
+                    assertThat(committed.revision()).isGreaterThanOrEqualTo(answeredRevision);
+                    answeredRevision = committed.revision();
+                } else if (answer.reply() instanceof Reply.LeaseGranted granted) {
+                    assertThat(granted.leaseId())
+                            .as("a lease is never granted twice")
+                            .isGreaterThan(lastLeaseId);
+                    lastLeaseId = granted.leaseId();
                 }
             }
         }
 
-        /** What a start found is a state that was there, not older than what was answered; later ones never were. */
-        void verifyRecovered(State s) {
-            assertThat(s.revision()).isGreaterThanOrEqualTo(answeredRevision);
-            assertThat(rows(s)).isEqualTo(statesByRevision.get(s.revision()));
-            s.rows().forEach((k, r) -> {
-                if (r.leaseId() != 0) {
-                    assertThat(s.leases().get(r.leaseId()).keys()).contains(k);
+        /**
+         * Checks that the recovered state is one that existed and is not older than the last answered one. States after it
+         * are forgotten, as they did not survive.
+         */
+        void verifyRecovered(State state) {
+            assertThat(state.revision()).isGreaterThanOrEqualTo(answeredRevision);
+            assertThat(rows(state)).isEqualTo(statesByRevision.get(state.revision()));
+            state.rows().forEach((key, row) -> {
+                if (row.leaseId() != 0) {
+                    assertThat(state.leases().get(row.leaseId()).keys()).contains(key);
                 }
             });
-            s.leases().values().forEach(l -> l.keys()
-                    .forEach(k -> assertThat(s.rows()).containsKey(k)));
-            statesByRevision.tailMap(s.revision(), false).clear();
-            answeredRevision = s.revision();
+            state.leases().values().forEach(lease -> lease.keys()
+                    .forEach(key -> assertThat(state.rows()).containsKey(key)));
+            statesByRevision.tailMap(state.revision(), false).clear();
+            answeredRevision = state.revision();
         }
     }
 
-    private static void runWorkload(FaultDirectory disk, ObservedHistory seen, SplittableRandom r) throws IOException {
-        long now = 0;
-        DurableStore k = DurableStore.open(disk, SMALL_SEGMENTS, 500, LIMITS, now);
-        seen.verifyRecovered(k.durableState());
-        long ticket = 0;
+    private static void runWorkload(FaultDirectory directory, ObservedHistory history, SplittableRandom random)
+            throws IOException {
+        long nowMs = 0;
+        DurableStore store = DurableStore.open(directory, SMALL_SEGMENTS, 500, LIMITS, nowMs);
+        history.verifyRecovered(store.durableState());
+        long requestId = 0;
         TreeMap<String, String> model =
-                new TreeMap<>(seen.statesByRevision.get(k.durableState().revision()));
-        long revision = k.durableState().revision();
+                new TreeMap<>(history.statesByRevision.get(store.durableState().revision()));
+        long revision = store.durableState().revision();
         for (int i = 0; i < 40; i++) {
-            now += 50;
-            if (r.nextInt(8) == 0) {
-                seen.recordAnswers(k.handle(now, ++ticket, new Request.GrantLease(200)));
+            nowMs += 50;
+            if (random.nextInt(8) == 0) {
+                history.recordAnswers(store.handle(nowMs, ++requestId, new Request.GrantLease(200)));
             }
             TreeMap<String, Write> writes = new TreeMap<>();
-            for (int w = r.nextInt(3); w >= 0; w--) {
-                String key = "k" + r.nextInt(8);
+            for (int remaining = random.nextInt(3); remaining >= 0; remaining--) {
+                String key = "k" + random.nextInt(8);
                 writes.put(
                         key,
-                        r.nextInt(5) == 0
+                        random.nextInt(5) == 0
                                 ? new Write.Remove(key)
                                 : new Write.Set(
                                         key,
-                                        bytes("v" + r.nextInt(1_000)),
-                                        k.durableState().leases().isEmpty()
+                                        bytes("v" + random.nextInt(1_000)),
+                                        store.durableState().leases().isEmpty()
                                                 ? 0
-                                                : new TreeSet<>(k.durableState()
+                                                : new TreeSet<>(store.durableState()
                                                                 .leases()
                                                                 .keySet())
                                                         .last()));
             }
-            // Nothing else is open here, so the engine's newest state is what the model has.
-            if (!k.readOnly()
-                    && writes.values().stream().anyMatch(w -> w instanceof Write.Set || model.containsKey(w.key()))) {
+            // No other request is pending, so the model equals the engine's newest state.
+            if (!store.readOnly()
+                    && writes.values().stream()
+                            .anyMatch(write -> write instanceof Write.Set || model.containsKey(write.key()))) {
                 revision++;
-                for (Write w : writes.values()) {
-                    model.remove(w.key());
-                    if (w instanceof Write.Set s) {
+                for (Write write : writes.values()) {
+                    model.remove(write.key());
+                    if (write instanceof Write.Set set) {
                         model.put(
-                                w.key(),
-                                new String(s.value(), StandardCharsets.UTF_8) + "@" + revision + "/" + s.leaseId());
+                                write.key(),
+                                new String(set.value(), StandardCharsets.UTF_8) + "@" + revision + "/" + set.leaseId());
                     }
                 }
-                seen.statesByRevision.put(revision, new TreeMap<>(model));
+                history.statesByRevision.put(revision, new TreeMap<>(model));
             }
-            seen.recordAnswers(
-                    k.handle(now, ++ticket, new Request.Transaction(List.of(), List.copyOf(writes.values()), 100, 10)));
-            seen.recordAnswers(k.flush(now));
-            // Leases end by time, and their keys go.
-            boolean ends = !k.readOnly();
-            seen.recordAnswers(k.tick(now));
-            if (ends) {
-                seen.statesByRevision.putAll(statesAfterLeaseExpiry(model, revision, k.durableState()));
+            history.recordAnswers(store.handle(
+                    nowMs, ++requestId, new Request.Transaction(List.of(), List.copyOf(writes.values()), 100, 10)));
+            history.recordAnswers(store.flush(nowMs));
+            // Leases expire, and their rows are removed.
+            boolean writable = !store.readOnly();
+            history.recordAnswers(store.tick(nowMs));
+            if (writable) {
+                history.statesByRevision.putAll(statesAfterLeaseExpiry(model, revision, store.durableState()));
             }
-            seen.recordAnswers(k.flush(now));
+            history.recordAnswers(store.flush(nowMs));
             model.clear();
-            model.putAll(rows(k.durableState()));
-            revision = k.durableState().revision();
-            if (!k.readOnly()) {
-                seen.statesByRevision.tailMap(revision, false).clear();
-                assertThat(model).isEqualTo(seen.statesByRevision.get(revision));
+            model.putAll(rows(store.durableState()));
+            revision = store.durableState().revision();
+            if (!store.readOnly()) {
+                history.statesByRevision.tailMap(revision, false).clear();
+                assertThat(model).isEqualTo(history.statesByRevision.get(revision));
             }
-            DurableStore.PendingSnapshot p = k.takeDueSnapshot(now);
-            if (p != null) {
+            DurableStore.PendingSnapshot snapshot = store.takeDueSnapshot(nowMs);
+            if (snapshot != null) {
                 boolean written = true;
                 try {
-                    p.write();
+                    snapshot.write();
                 } catch (IOException e) {
                     written = false;
                 }
-                k.onSnapshotWritten(now, p, written);
+                store.onSnapshotWritten(nowMs, snapshot, written);
             }
         }
     }
 
-    /** The states after any of the leases' ends that may be under way, one after the other in the order of their numbers. */
+    /** The states after the expiry of one lease after the other, in the order of their ids, by revision. */
     private static Map<Long, TreeMap<String, String>> statesAfterLeaseExpiry(
-            TreeMap<String, String> model, long revision, State durable) {
+            TreeMap<String, String> model, long revision, State state) {
         Map<Long, TreeMap<String, String>> states = new TreeMap<>();
-        TreeMap<String, String> m = new TreeMap<>(model);
-        long at = revision;
-        for (long lease : new TreeSet<>(durable.leases().keySet())) {
-            if (m.values().removeIf(v -> v.endsWith("/" + lease))) {
-                states.put(++at, new TreeMap<>(m));
+        TreeMap<String, String> rows = new TreeMap<>(model);
+        long lastRevision = revision;
+        for (long leaseId : new TreeSet<>(state.leases().keySet())) {
+            if (rows.values().removeIf(value -> value.endsWith("/" + leaseId))) {
+                states.put(++lastRevision, new TreeMap<>(rows));
             }
         }
         return states;
@@ -164,32 +171,32 @@
 
     @Test
     void answeredChangesSurviveCrashesAndUnansweredOnesAreWholeOrAbsent() throws IOException {
-        int ends = 0;
+        int crashes = 0;
         int failures = 0;
         for (long seed = 0; seed < 400; seed++) {
-            SplittableRandom r = new SplittableRandom(seed);
-            ObservedHistory seen = new ObservedHistory();
-            FaultDirectory disk = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
-            for (int life = 0; life < 5; life++) {
-                int at = r.nextInt(160);
-                if (r.nextInt(4) == 0) {
-                    disk.failAt(at, r.nextInt(40), 1 + r.nextInt(6));
+            SplittableRandom random = new SplittableRandom(seed);
+            ObservedHistory history = new ObservedHistory();
+            FaultDirectory directory = new FaultDirectory(FaultDirectory.IgnoredSyncs.NONE);
+            for (int incarnation = 0; incarnation < 5; incarnation++) {
+                int call = random.nextInt(160);
+                if (random.nextInt(4) == 0) {
+                    directory.failAt(call, random.nextInt(40), 1 + random.nextInt(6));
                     failures++;
                 } else {
-                    disk.crashAt(at, r.nextInt(120));
+                    directory.crashAt(call, random.nextInt(120));
                 }
                 try {
-                    runWorkload(disk, seen, r);
+                    runWorkload(directory, history, random);
                 } catch (FaultDirectory.SimulatedCrash e) {
-                    ends++;
+                    crashes++;
                 } catch (IOException e) {
-                    // The fault fell on the start.
+                    // The fault hit the recovery at the start.
                 }
-                disk = r.nextBoolean() ? disk.afterKill() : disk.afterPowerCut(r);
+                directory = random.nextBoolean() ? directory.afterKill() : directory.afterPowerCut(random);
             }
-            runWorkload(disk, seen, r);
+            runWorkload(directory, history, random);
         }
-        assertThat(ends).isGreaterThan(500);
+        assertThat(crashes).isGreaterThan(500);
         assertThat(failures).isGreaterThan(200);
     }
 }
--- a/src/test/java/birchusher/statehost/ProtocolCodecTest.java
+++ b/src/test/java/birchusher/statehost/ProtocolCodecTest.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The state service as its protocol page shows it, message by message. */
+/** The requests and replies of the state service, compared with the published protocol. */
 class ProtocolCodecTest {
     private final DurableStore store;
     private long lastRequestId;
@@ -38,15 +38,15 @@
                 ? new byte[0]
                 : MessagePackCodec.encode(SettingsReader.parseJson(json.getBytes(StandardCharsets.UTF_8)));
         try {
-            Request r = ProtocolCodec.parseRequest(method, target, body);
-            ProtocolCodec.HttpResponse[] out = new ProtocolCodec.HttpResponse[1];
-            long mine = ++lastRequestId;
-            List<Engine.Answer> answers = new ArrayList<>(store.handle(0, mine, r));
+            Request request = ProtocolCodec.parseRequest(method, target, body);
+            ProtocolCodec.HttpResponse[] response = new ProtocolCodec.HttpResponse[1];
+            long requestId = ++lastRequestId;
+            List<Engine.Answer> answers = new ArrayList<>(store.handle(0, requestId, request));
             answers.addAll(store.flush(0));
             answers.stream()
-                    .filter(a -> a.requestId() == mine)
-                    .forEach(a -> out[0] = ProtocolCodec.encodeReply(r, a.reply()));
-            return out[0] == null ? "waits" : out[0].status() + " " + Json.toText(out[0].body(), false);
+                    .filter(answer -> answer.requestId() == requestId)
+                    .forEach(answer -> response[0] = ProtocolCodec.encodeReply(request, answer.reply()));
+            return response[0] == null ? "waits" : response[0].status() + " " + Json.toText(response[0].body(), false);
         } catch (ProtocolCodec.HttpStatusException e) {
             return e.status + "";
         } catch (InvalidInputException e) {
