--- a/src/main/java/birchusher/http/Acceptor.java
+++ b/src/main/java/birchusher/http/Acceptor.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes connections as long as the listener is open, handing each to the loop's thread. */
+/** Accepts connections while the listener is open and hands each to a handler on the event loop's thread. */
 public final class Acceptor implements CompletionHandler<AsynchronousSocketChannel, Void> {
     private static final Logger LOG = LoggerFactory.getLogger(Acceptor.class);
 
@@ -17,37 +17,41 @@
     private final Consumer<AsynchronousSocketChannel> connectionHandler;
 
     public Acceptor(
-            EventLoop loop, AsynchronousServerSocketChannel listener, Consumer<AsynchronousSocketChannel> then) {
+            EventLoop loop,
+            AsynchronousServerSocketChannel listener,
+            Consumer<AsynchronousSocketChannel> connectionHandler) {
         this.loop = loop;
         this.listener = listener;
-        this.connectionHandler = then;
+        this.connectionHandler = connectionHandler;
     }
 
+    /** Accepts the next connection, and further ones after it. */
     public void accept() {
         listener.accept(null, this);
     }
 
     @Override
-    public void completed(AsynchronousSocketChannel channel, Void a) {
+    public void completed(AsynchronousSocketChannel channel, Void attachment) {
         loop.post(() -> connectionHandler.accept(channel));
         accept();
     }
 
     @Override
-    public void failed(Throwable e, Void a) {
-        // Such as no free sockets: through the loop, so that it is tried again without spinning in this thread.
+    public void failed(Throwable error, Void attachment) {
+        // For example, no free file descriptors. Retried through the loop, so that this thread does not spin.
         if (listener.isOpen()) {
             loop.post(this::accept);
         }
     }
 
+    /** Closes a channel, which may be null; errors are only logged. */
     public static void closeQuietly(AsynchronousSocketChannel channel) {
         try {
             if (channel != null) {
                 channel.close();
             }
         } catch (IOException e) {
-            LOG.debug("close failed: {}", e.getMessage());
+            LOG.debug("closing a connection failed: {}", e.getMessage());
         }
     }
 }
--- a/src/main/java/birchusher/http/EventLoop.java
+++ b/src/main/java/birchusher/http/EventLoop.java
@@ -7,14 +7,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One thread that owns all state of an edge; completions of channels, and other threads, only post to it. */
+/**
+ * Runs posted tasks and a regular tick on one thread. That thread owns the state of the servers and clients on this
+ * loop; channel completions and other threads only post to it.
+ */
 public final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final long TICK_INTERVAL_MS = 50;
 
-    /** Called about every 50 ms. */
+    /** Called about every 50 ms on the loop's thread. */
     public interface Ticker {
-        /** @param lateMs how much later than due */
+        /** @param lateMs by how many milliseconds this tick is late */
         void tick(long lateMs);
     }
 
@@ -23,55 +26,61 @@
     private volatile boolean stopped;
 
     public EventLoop() throws IOException {
-        channelGroup = AsynchronousChannelGroup.withFixedThreadPool(1, r -> {
-            Thread th = new Thread(r, "io");
-            th.setDaemon(true);
-            return th;
+        channelGroup = AsynchronousChannelGroup.withFixedThreadPool(1, task -> {
+            Thread thread = new Thread(task, "io");
+            thread.setDaemon(true);
+            return thread;
         });
     }
 
+    /** Milliseconds of the monotonic clock, from an arbitrary origin. */
     public static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
-    /** The channels' own thread. */
+    /** The group whose single thread completes the channels of this loop. */
     public AsynchronousChannelGroup channelGroup() {
         return channelGroup;
     }
 
-    public void post(Runnable r) {
-        queue.add(r);
+    /** Queues a task for the loop's thread. May be called from any thread. */
+    public void post(Runnable task) {
+        queue.add(task);
     }
 
+    /** Lets {@link #run} return after its present pass. May be called from any thread. */
     public void stop() {
         stopped = true;
     }
 
-    /** Runs in the calling thread until stopped. */
+    /** Runs tasks and ticks in the calling thread until {@link #stop}. */
     public void run(Ticker ticker) throws InterruptedException {
-        long nextTick = nowMs();
+        long nextTickMs = nowMs();
         while (!stopped) {
-            long wait = nextTick - nowMs();
-            Runnable r = wait > 0 ? queue.poll(wait, TimeUnit.MILLISECONDS) : queue.poll();
-            int n = 0;
-            while (r != null) {
-                runGuarded(r);
-                r = n++ < 200 ? queue.poll() : null;
+            long waitMs = nextTickMs - nowMs();
+            Runnable task = waitMs > 0 ? queue.poll(waitMs, TimeUnit.MILLISECONDS) : queue.poll();
+            int count = 0;
+            while (task != null) {
+                runGuarded(task);
+                task = count++ < 200 ? queue.poll() : null;
             }
-            if (nowMs() >= nextTick) {
-                long late = nowMs() - nextTick;
-                nextTick = nowMs() + TICK_INTERVAL_MS;
-                runGuarded(() -> ticker.tick(late));
+            if (nowMs() >= nextTickMs) {
+                long lateMs = nowMs() - nextTickMs;
+                nextTickMs = nowMs() + TICK_INTERVAL_MS;
+                runGuarded(() -> ticker.tick(lateMs));
             }
         }
     }
 
-    /** One bad input must not end the process; what it left undone is worked out again from the state. */
-    private static void runGuarded(Runnable r) {
+    /**
+     * Runs a task and logs its exceptions: one bad input must not end the process. What the task left undone is derived
+     * again from the state.
+     */
+    private static void runGuarded(Runnable task) {
         try {
-            r.run();
+            task.run();
         } catch (RuntimeException e) {
-            LOG.error("a step failed", e);
+            LOG.error("task on the event loop failed", e);
         }
     }
 }
--- a/src/main/java/birchusher/http/HttpClient.java
+++ b/src/main/java/birchusher/http/HttpClient.java
@@ -16,70 +16,82 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Calls other parties, keeping connections open. A call that gets no whole answer in time is reported as status 0. */
+/**
+ * Sends HTTP/1.1 requests and reuses connections. A call without a complete response in time ends with status 0. All
+ * methods and callbacks run on the event loop's thread.
+ */
 public final class HttpClient {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
     private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
     private static final long IDLE_TIMEOUT_MS = 25_000;
-    /** The body of a request or an answer that has none. */
+    /** The body of a request or a response that has none. */
     public static final byte[] EMPTY_BODY = new byte[0];
 
-    /** One request and who waits for its answer. */
+    /** One request and the handler of its response. */
     private record Call(
             String address, String method, String path, byte[] body, int timeoutMs, ResponseHandler handler) {}
 
-    /** Takes a whole answer, or status 0 with no body. */
+    /** Receives a complete response, or status 0 with an empty body if there is none. */
     public interface ResponseHandler {
         void handleResponse(int status, byte[] body);
     }
 
     private final EventLoop loop;
-    private final Map<String, Deque<Connection>> idle = new HashMap<>();
-    private final List<Connection> busy = new ArrayList<>();
-    /** Idle connections, longest idle first. */
+    /** Idle connections by address; the last one was used most recently. */
+    private final Map<String, Deque<Connection>> idleByAddress = new HashMap<>();
+
+    private final List<Connection> busyConnections = new ArrayList<>();
+    /** All idle connections, those idle for longest first. */
     private final LinkedHashSet<Connection> idleByAge = new LinkedHashSet<>();
 
     private final int maxConnections;
     private int openConnections;
 
-    public HttpClient(EventLoop loop, int maxOpen) {
+    /** @param maxConnections bounds open connections to all addresses together */
+    public HttpClient(EventLoop loop, int maxConnections) {
         this.loop = loop;
-        this.maxConnections = maxOpen;
+        this.maxConnections = maxConnections;
     }
 
-    /** @param address host:port; the reply comes on the loop's thread, within the timeout and a tick */
-    public void call(String address, String method, String path, byte[] body, int timeoutMs, ResponseHandler reply) {
-        Call c = new Call(address, method, path, body, timeoutMs, reply);
-        Deque<Connection> pool = idle.get(c.address());
-        Connection conn = pool == null ? null : pool.pollLast();
-        if (conn != null) {
-            idleByAge.remove(conn);
-            if (pool.isEmpty()) {
-                idle.remove(c.address());
+    /**
+     * Sends one request. The handler is called exactly once, on the loop's thread, at the latest one tick after the
+     * timeout.
+     *
+     * @param address host:port
+     */
+    public void call(String address, String method, String path, byte[] body, int timeoutMs, ResponseHandler handler) {
+        Call call = new Call(address, method, path, body, timeoutMs, handler);
+        Deque<Connection> idleToAddress = idleByAddress.get(call.address());
+        Connection connection = idleToAddress == null ? null : idleToAddress.pollLast();
+        if (connection != null) {
+            idleByAge.remove(connection);
+            if (idleToAddress.isEmpty()) {
+                idleByAddress.remove(call.address());
             }
         } else {
             if (openConnections >= maxConnections && !idleByAge.isEmpty()) {
-                // With more workers than sockets, those not used for longest make room: a call that can't be sent would
-                // count as one that may still arrive.
+                // With more workers than sockets, the connection idle for longest is closed: a call that is not sent is
+                // reported like one that may still arrive.
                 idleByAge.iterator().next().setIdle(false);
             }
             if (openConnections >= maxConnections) {
-                // Nothing was sent, yet the core can only be told "no answer": it treats that as unclear, which is
-                // safe.
-                loop.post(() -> reply.handleResponse(0, EMPTY_BODY));
+                // Nothing was sent, but the handler can only be told "no response". It has to treat that as an unknown
+                // outcome, which is safe.
+                loop.post(() -> handler.handleResponse(0, EMPTY_BODY));
                 return;
             }
-            conn = new Connection(c.address());
+            connection = new Connection(call.address());
         }
-        busy.add(conn);
-        conn.start(c);
+        busyConnections.add(connection);
+        connection.start(call);
     }
 
+    /** Fails calls past their deadline and closes connections idle for too long. To be called regularly. */
     public void tick() {
         long now = EventLoop.nowMs();
-        for (Connection c : List.copyOf(busy)) {
-            if (now > c.deadlineMs) {
-                c.fail();
+        for (Connection connection : List.copyOf(busyConnections)) {
+            if (now > connection.deadlineMs) {
+                connection.fail();
             }
         }
         while (!idleByAge.isEmpty() && now - idleByAge.iterator().next().idleSinceMs > IDLE_TIMEOUT_MS) {
@@ -87,12 +99,15 @@
         }
     }
 
+    /** One connection to one address. It carries one call at a time. */
     private final class Connection {
         private final String address;
         private final HttpParser parser = new HttpParser(false, MAX_BODY_BYTES);
         private final ByteBuffer input = ByteBuffer.allocate(8 * 1024);
         private AsynchronousSocketChannel channel;
+        /** The call under way; null while idle or closed. */
         private Call call;
+
         private long deadlineMs;
         private long idleSinceMs;
         private boolean closed;
@@ -103,9 +118,9 @@
             openConnections++;
         }
 
-        void start(Call c) {
-            call = c;
-            deadlineMs = EventLoop.nowMs() + c.timeoutMs();
+        void start(Call newCall) {
+            call = newCall;
+            deadlineMs = EventLoop.nowMs() + newCall.timeoutMs();
             if (channel != null) {
                 reused = true;
                 send();
@@ -117,15 +132,15 @@
                 int colon = address.lastIndexOf(':');
                 InetSocketAddress to = new InetSocketAddress(
                         address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-                channel.connect(to, null, onLoop(v -> {
-                    if (call == c) {
+                channel.connect(to, null, onLoop(connected -> {
+                    if (call == newCall) {
                         send();
                     }
                 }));
             } catch (IOException | RuntimeException e) {
-                LOG.debug("can't connect to {}: {}", address, e.getMessage());
+                LOG.debug("cannot connect to {}: {}", address, e.getMessage());
                 loop.post(() -> {
-                    if (call == c) {
+                    if (call == newCall) {
                         fail();
                     }
                 });
@@ -137,89 +152,93 @@
             read();
         }
 
-        private void write(ByteBuffer out) {
-            channel.write(out, null, onLoop((Integer n) -> {
-                if (out.hasRemaining() && !closed) {
-                    write(out);
+        private void write(ByteBuffer output) {
+            channel.write(output, null, onLoop((Integer length) -> {
+                if (output.hasRemaining() && !closed) {
+                    write(output);
                 }
             }));
         }
 
         private void read() {
             input.clear();
-            channel.read(input, null, onLoop((Integer n) -> handleRead(n)));
+            channel.read(input, null, onLoop((Integer length) -> handleRead(length)));
         }
 
-        private void handleRead(int n) {
+        private void handleRead(int length) {
             if (closed) {
                 return;
             }
-            if (n < 0 || call == null) {
+            if (length < 0 || call == null) {
                 fail();
                 return;
             }
             input.flip();
             try {
-                HttpParser.Message m = parser.feed(input);
-                if (m == null) {
+                HttpParser.Message message = parser.feed(input);
+                if (message == null) {
                     read();
                     return;
                 }
-                Call c = call;
+                Call answered = call;
                 call = null;
-                busy.remove(this);
-                if (m.closesConnection() || input.hasRemaining()) {
+                busyConnections.remove(this);
+                if (message.closesConnection() || input.hasRemaining()) {
                     close();
                 } else {
                     idleSinceMs = EventLoop.nowMs();
                     setIdle(true);
                 }
-                c.handler.handleResponse(m.status(), m.body());
+                answered.handler.handleResponse(message.status(), message.body());
             } catch (HttpParser.MalformedMessageException e) {
-                LOG.info("{} answered what is not HTTP: {}", address, e.getMessage());
+                LOG.info("malformed HTTP response from {}: {}", address, e.getMessage());
                 fail();
             }
         }
 
-        private <T> CompletionHandler<T, Void> onLoop(java.util.function.Consumer<T> then) {
+        /** A completion handler that continues on the loop's thread and fails the call on errors. */
+        private <T> CompletionHandler<T, Void> onLoop(java.util.function.Consumer<T> onCompleted) {
             return new CompletionHandler<>() {
                 @Override
-                public void completed(T t, Void a) {
-                    loop.post(() -> then.accept(t));
+                public void completed(T result, Void attachment) {
+                    loop.post(() -> onCompleted.accept(result));
                 }
 
                 @Override
-                public void failed(Throwable e, Void a) {
+                public void failed(Throwable e, Void attachment) {
                     loop.post(() -> fail());
                 }
             };
         }
 
+        /** Closes the connection and ends the call under way, if any, with status 0. */
         void fail() {
             if (closed) {
                 return;
             }
-            Call c = call;
+            Call failed = call;
             call = null;
-            busy.remove(this);
+            busyConnections.remove(this);
             setIdle(false);
-            if (c != null) {
-                c.handler.handleResponse(0, EMPTY_BODY);
+            if (failed != null) {
+                failed.handler.handleResponse(0, EMPTY_BODY);
             }
         }
 
-        /** Into the pool of idle connections, or out of it and closed. */
-        private void setIdle(boolean on) {
-            if (on) {
-                idle.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(this);
+        /** Adds this connection to the idle ones, or removes it from them and closes it. */
+        private void setIdle(boolean nowIdle) {
+            if (nowIdle) {
+                idleByAddress
+                        .computeIfAbsent(address, key -> new ArrayDeque<>())
+                        .addLast(this);
                 idleByAge.add(this);
                 return;
             }
             if (idleByAge.remove(this)) {
-                Deque<Connection> pool = idle.get(address);
-                pool.remove(this);
-                if (pool.isEmpty()) {
-                    idle.remove(address);
+                Deque<Connection> idleToAddress = idleByAddress.get(address);
+                idleToAddress.remove(this);
+                if (idleToAddress.isEmpty()) {
+                    idleByAddress.remove(address);
                 }
             }
             close();
@@ -232,7 +251,7 @@
                 try {
                     channel.close();
                 } catch (IOException e) {
-                    LOG.debug("close failed: {}", e.getMessage());
+                    LOG.debug("closing a connection failed: {}", e.getMessage());
                 }
             }
         }
--- a/src/main/java/birchusher/http/HttpParser.java
+++ b/src/main/java/birchusher/http/HttpParser.java
@@ -4,9 +4,12 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Parses HTTP/1.1 messages from bytes as they come, one at a time; all lengths are bounded. */
+/**
+ * Parses HTTP/1.1 messages incrementally, one at a time, from bytes as they arrive. Line lengths, the number of headers
+ * and the body size are bounded. Not thread-safe.
+ */
 public final class HttpParser {
-    /** A message that can't be parsed; {@code status} is what a server answers before closing. */
+    /** A message that cannot be parsed; {@code status} is what a server answers before it closes the connection. */
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
         public final int status;
@@ -17,7 +20,15 @@
         }
     }
 
-    /** One whole message. For requests {@code first} is the method and {@code second} the target. */
+    /**
+     * One complete message.
+     *
+     * @param methodOrVersion the method of a request, the HTTP version of a response
+     * @param targetOrReason the target of a request, the reason phrase of a response (empty if there is none)
+     * @param status the status code of a response; 0 for a request
+     * @param closesConnection whether the sender closes the connection after this message
+     * @param body the whole body; empty if the message has none
+     */
     public record Message(
             String methodOrVersion, String targetOrReason, int status, boolean closesConnection, byte[] body) {}
 
@@ -32,11 +43,12 @@
     }
 
     private static final int MAX_LINE_BYTES = 8 * 1024;
+    /** Bounds the headers and, together with them, the trailers of one message. */
     private static final int MAX_HEADERS = 64;
 
     private final boolean parsesRequests;
     private final int maxBodyBytes;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream(128);
     private ByteArrayOutputStream body;
     private State state = State.START;
     private String methodOrVersion;
@@ -44,12 +56,18 @@
     private int status;
     private boolean closesConnection;
     private boolean chunked;
+    /** Bytes of the body or of the current chunk still to be read; below 0 if no Content-Length was seen. */
     private long remainingBytes;
+
     private int headerCount;
 
-    public HttpParser(boolean request, int maxBody) {
-        this.parsesRequests = request;
-        this.maxBodyBytes = maxBody;
+    /**
+     * @param parsesRequests whether the messages are requests; otherwise they are responses
+     * @param maxBodyBytes a message with a larger body is refused with status 413
+     */
+    public HttpParser(boolean parsesRequests, int maxBodyBytes) {
+        this.parsesRequests = parsesRequests;
+        this.maxBodyBytes = maxBodyBytes;
         reset();
     }
 
@@ -59,25 +77,28 @@
         chunked = false;
         remainingBytes = -1;
         headerCount = 0;
-        line.reset();
+        lineBuffer.reset();
         body = new ByteArrayOutputStream(256);
     }
 
-    /** Whether a message has begun and is not complete. */
+    /** Returns whether a message has begun and is not complete. */
     public boolean isWithinMessage() {
-        return state != State.START || line.size() > 0;
+        return state != State.START || lineBuffer.size() > 0;
     }
 
-    /** Takes bytes until one message is complete; null if more bytes are needed. */
-    public Message feed(ByteBuffer in) throws MalformedMessageException {
-        while (in.hasRemaining()) {
+    /**
+     * Consumes bytes until one message is complete and returns it, or null if more bytes are needed. Bytes after the
+     * message stay in the buffer.
+     */
+    public Message feed(ByteBuffer input) throws MalformedMessageException {
+        while (input.hasRemaining()) {
             switch (state) {
                 case BODY, CHUNK -> {
-                    int n = (int) Math.min(in.remaining(), remainingBytes);
-                    byte[] part = new byte[n];
-                    in.get(part);
-                    body.write(part, 0, n);
-                    remainingBytes -= n;
+                    int length = (int) Math.min(input.remaining(), remainingBytes);
+                    byte[] part = new byte[length];
+                    input.get(part);
+                    body.write(part, 0, length);
+                    remainingBytes -= length;
                     if (remainingBytes == 0) {
                         if (state == State.BODY) {
                             return finishMessage();
@@ -86,11 +107,11 @@
                     }
                 }
                 default -> {
-                    String l = line(in);
-                    if (l != null) {
-                        Message m = handleLine(l);
-                        if (m != null) {
-                            return m;
+                    String line = readLine(input);
+                    if (line != null) {
+                        Message message = handleLine(line);
+                        if (message != null) {
+                            return message;
                         }
                     }
                 }
@@ -99,42 +120,43 @@
         return null;
     }
 
-    private String line(ByteBuffer in) throws MalformedMessageException {
-        while (in.hasRemaining()) {
-            byte b = in.get();
-            if (b == '\n') {
-                String l = line.toString(StandardCharsets.ISO_8859_1);
-                line.reset();
-                return l.endsWith("\r") ? l.substring(0, l.length() - 1) : l;
+    /** Returns the next line without its line end, or null if it is not complete yet. */
+    private String readLine(ByteBuffer input) throws MalformedMessageException {
+        while (input.hasRemaining()) {
+            byte next = input.get();
+            if (next == '\n') {
+                String line = lineBuffer.toString(StandardCharsets.ISO_8859_1);
+                lineBuffer.reset();
+                return line.endsWith("\r") ? line.substring(0, line.length() - 1) : line;
             }
-            if (b == 0 || line.size() >= MAX_LINE_BYTES) {
-                throw new MalformedMessageException(400, "line too long or with a zero byte");
+            if (next == 0 || lineBuffer.size() >= MAX_LINE_BYTES) {
+                throw new MalformedMessageException(
+                        400, "line longer than " + MAX_LINE_BYTES + " bytes or with a NUL byte");
             }
-            line.write(b);
+            lineBuffer.write(next);
         }
         return null;
     }
 
-    private Message handleLine(String l) throws MalformedMessageException {
+    private Message handleLine(String line) throws MalformedMessageException {
         switch (state) {
             case START -> {
-                if (l.isEmpty()) {
+                if (line.isEmpty()) {
                     return null;
                 }
-                parseStartLine(l);
+                parseStartLine(line);
                 state = State.HEADERS;
             }
             case HEADERS -> {
-                if (!l.isEmpty()) {
-                    parseHeader(l);
+                if (!line.isEmpty()) {
+                    parseHeader(line);
                     return null;
                 }
-                // Two lengths: whoever stands before us may have gone by the other one (RFC 9112, 6.3), so that what
-                // one
-                // takes for a body is the next request to the other. It must not be waited for either: a body of the
-                // stated length, read as chunks, was never complete, and its sender got no answer.
+                // Request smuggling: a proxy in front may have used the other length (RFC 9112, 6.3), so that what is
+                // a body to one side is the next request to the other. Refused at once, because a body of the stated
+                // length that is read as chunks never completes, and its sender would get no answer.
                 if (parsesRequests && chunked && remainingBytes >= 0) {
-                    throw new MalformedMessageException(400, "both transfer-encoding and content-length");
+                    throw new MalformedMessageException(400, "both Transfer-Encoding and Content-Length");
                 }
                 if (chunked) {
                     state = State.CHUNK_SIZE;
@@ -149,33 +171,33 @@
                 state = State.BODY;
             }
             case CHUNK_SIZE -> {
-                int semi = l.indexOf(';');
-                String size = (semi < 0 ? l : l.substring(0, semi)).trim();
+                int semicolon = line.indexOf(';');
+                String size = (semicolon < 0 ? line : line.substring(0, semicolon)).trim();
                 if (size.startsWith("+") || size.startsWith("-")) {
-                    throw new MalformedMessageException(400, "bad chunk size");
+                    throw new MalformedMessageException(400, "invalid chunk size");
                 }
                 try {
                     remainingBytes = Long.parseLong(size, 16);
                 } catch (NumberFormatException e) {
-                    throw new MalformedMessageException(400, "bad chunk size");
+                    throw new MalformedMessageException(400, "invalid chunk size");
                 }
                 if (remainingBytes > maxBodyBytes - body.size()) {
-                    throw new MalformedMessageException(413, "body too large");
+                    throw new MalformedMessageException(413, "body exceeds the size limit");
                 }
                 state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
             }
             case CHUNK_END -> {
-                if (!l.isEmpty()) {
-                    throw new MalformedMessageException(400, "bad chunk end");
+                if (!line.isEmpty()) {
+                    throw new MalformedMessageException(400, "no line end after chunk data");
                 }
                 state = State.CHUNK_SIZE;
             }
             case TRAILERS -> {
-                if (l.isEmpty()) {
+                if (line.isEmpty()) {
                     return finishMessage();
                 }
                 if (++headerCount > MAX_HEADERS) {
-                    throw new MalformedMessageException(400, "too many headers");
+                    throw new MalformedMessageException(400, "more than " + MAX_HEADERS + " headers and trailers");
                 }
             }
             default -> throw new IllegalStateException();
@@ -183,70 +205,70 @@
         return null;
     }
 
-    private void parseStartLine(String l) throws MalformedMessageException {
-        String[] p = l.split(" ", 3);
+    private void parseStartLine(String line) throws MalformedMessageException {
+        String[] parts = line.split(" ", 3);
         if (parsesRequests) {
-            if (p.length != 3
-                    || !p[2].startsWith("HTTP/1.")
-                    || p[0].isEmpty()
-                    || !p[1].startsWith("/")
-                    || !p[0].chars().allMatch(c -> c >= 'A' && c <= 'Z')) {
-                throw new MalformedMessageException(400, "bad request line");
+            if (parts.length != 3
+                    || !parts[2].startsWith("HTTP/1.")
+                    || parts[0].isEmpty()
+                    || !parts[1].startsWith("/")
+                    || !parts[0].chars().allMatch(c -> c >= 'A' && c <= 'Z')) {
+                throw new MalformedMessageException(400, "malformed request line");
             }
-            methodOrVersion = p[0];
-            targetOrReason = p[1];
-            closesConnection = p[2].equals("HTTP/1.0");
+            methodOrVersion = parts[0];
+            targetOrReason = parts[1];
+            closesConnection = parts[2].equals("HTTP/1.0");
         } else {
             try {
-                if (p.length < 2 || !p[0].startsWith("HTTP/1.")) {
-                    throw new MalformedMessageException(400, "bad status line");
+                if (parts.length < 2 || !parts[0].startsWith("HTTP/1.")) {
+                    throw new MalformedMessageException(400, "malformed status line");
                 }
-                status = Integer.parseInt(p[1]);
-                methodOrVersion = p[0];
-                targetOrReason = p.length > 2 ? p[2] : "";
-                closesConnection = p[0].equals("HTTP/1.0");
+                status = Integer.parseInt(parts[1]);
+                methodOrVersion = parts[0];
+                targetOrReason = parts.length > 2 ? parts[2] : "";
+                closesConnection = parts[0].equals("HTTP/1.0");
             } catch (NumberFormatException e) {
-                throw new MalformedMessageException(400, "bad status line");
+                throw new MalformedMessageException(400, "malformed status line");
             }
         }
     }
 
-    private void parseHeader(String l) throws MalformedMessageException {
-        int colon = l.indexOf(':');
-        if (colon <= 0 || l.charAt(0) == ' ' || l.charAt(0) == '\t' || ++headerCount > MAX_HEADERS) {
-            throw new MalformedMessageException(400, "bad header");
+    private void parseHeader(String line) throws MalformedMessageException {
+        int colon = line.indexOf(':');
+        if (colon <= 0 || line.charAt(0) == ' ' || line.charAt(0) == '\t' || ++headerCount > MAX_HEADERS) {
+            throw new MalformedMessageException(400, "malformed header or more than " + MAX_HEADERS + " headers");
         }
-        String name = l.substring(0, colon);
-        String value = l.substring(colon + 1).trim();
+        String name = line.substring(0, colon);
+        String value = line.substring(colon + 1).trim();
         if (name.equalsIgnoreCase("content-length")) {
-            long n;
+            long length;
             try {
-                n = Long.parseLong(value);
+                length = Long.parseLong(value);
             } catch (NumberFormatException e) {
-                throw new MalformedMessageException(400, "bad content-length");
+                throw new MalformedMessageException(400, "Content-Length is not a number");
             }
-            if (n < 0 || value.charAt(0) == '+' || remainingBytes >= 0 && remainingBytes != n) {
-                throw new MalformedMessageException(400, "bad content-length");
+            if (length < 0 || value.charAt(0) == '+' || remainingBytes >= 0 && remainingBytes != length) {
+                throw new MalformedMessageException(400, "invalid or conflicting Content-Length");
             }
-            if (n > maxBodyBytes) {
-                throw new MalformedMessageException(413, "body too large");
+            if (length > maxBodyBytes) {
+                throw new MalformedMessageException(413, "body exceeds the size limit");
             }
-            remainingBytes = n;
+            remainingBytes = length;
         } else if (name.equalsIgnoreCase("transfer-encoding")) {
             if (chunked || !value.equalsIgnoreCase("chunked")) {
-                throw new MalformedMessageException(400, "unknown transfer-encoding");
+                throw new MalformedMessageException(400, "unsupported or repeated Transfer-Encoding");
             }
             chunked = true;
         } else if (name.equalsIgnoreCase("connection")) {
             closesConnection |= value.equalsIgnoreCase("close");
         } else if (name.chars().anyMatch(c -> c <= ' ')) {
-            throw new MalformedMessageException(400, "bad header");
+            throw new MalformedMessageException(400, "whitespace in a header name");
         }
     }
 
     private Message finishMessage() {
-        Message m = new Message(methodOrVersion, targetOrReason, status, closesConnection, body.toByteArray());
+        Message message = new Message(methodOrVersion, targetOrReason, status, closesConnection, body.toByteArray());
         reset();
-        return m;
+        return message;
     }
 }
--- a/src/main/java/birchusher/http/HttpServer.java
+++ b/src/main/java/birchusher/http/HttpServer.java
@@ -14,15 +14,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves one address. Connections, bodies and waiting times are bounded. All but the channels' own work is on one thread. */
+/**
+ * Serves HTTP/1.1 requests on one address. The number of connections, body sizes and waiting times are bounded. All
+ * methods and callbacks run on the event loop's thread; the channels' completions only post to it.
+ */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
+    /** For connections without a request; those with an unanswered request are closed after twice this time. */
     private static final long IDLE_TIMEOUT_MS = 60_000;
+    /** For an incomplete request, from its first bytes. */
     private static final long REQUEST_TIMEOUT_MS = 10_000;
+
     private static final long DRAIN_TIMEOUT_MS = 2_000;
 
-    /** Takes requests; each gets one {@link #answer} or {@link #drop}, now or later. */
+    /** Receives requests. Each must get exactly one {@link #answer} or {@link #abort}, at once or later. */
     public interface RequestHandler {
+        /** @param exchange identifies the request towards {@link #answer} and {@link #abort}; above 0 */
         void handleRequest(long exchange, String method, String target, byte[] body);
     }
 
@@ -38,15 +45,22 @@
     private long nextExchange = 1;
     private long nextSweepMs;
 
-    public HttpServer(EventLoop loop, String host, int port, int maxConnections, int maxBody, RequestHandler service) {
+    public HttpServer(
+            EventLoop loop,
+            String host,
+            int port,
+            int maxConnections,
+            int maxBodyBytes,
+            RequestHandler requestHandler) {
         this.loop = loop;
         this.host = host;
         this.port = port;
         this.maxConnections = maxConnections;
-        this.maxBodyBytes = maxBody;
-        this.requestHandler = service;
+        this.maxBodyBytes = maxBodyBytes;
+        this.requestHandler = requestHandler;
     }
 
+    /** Binds the address and accepts connections from then on. */
     public void open() throws IOException {
         listener = AsynchronousServerSocketChannel.open(loop.channelGroup());
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -55,60 +69,75 @@
         new Acceptor(loop, listener, this::handleAccepted).accept();
     }
 
+    /** Closes the listener and every connection, without answering pending requests. */
     public void close() throws IOException {
         listener.close();
-        for (Connection c : Set.copyOf(connections)) {
-            c.close();
+        for (Connection connection : Set.copyOf(connections)) {
+            connection.close();
         }
     }
 
-    private void handleAccepted(AsynchronousSocketChannel ch) {
+    private void handleAccepted(AsynchronousSocketChannel channel) {
         if (connections.size() >= maxConnections) {
-            Acceptor.closeQuietly(ch);
+            Acceptor.closeQuietly(channel);
         } else {
-            new Connection(ch).read();
+            new Connection(channel).read();
         }
     }
 
-    /** {@code retryAfterS} 0: no such header. An exchange whose connection has ended is passed over. */
+    /**
+     * Sends the response of an exchange. Does nothing if its connection has ended.
+     *
+     * @param retryAfterS value of the Retry-After header in seconds; 0 for no header
+     */
     public void answer(long exchange, int status, byte[] body, int retryAfterS) {
-        Connection c = connectionByExchange.remove(exchange);
-        if (c != null) {
-            c.respond(status, body, retryAfterS, false);
+        Connection connection = connectionByExchange.remove(exchange);
+        if (connection != null) {
+            connection.respond(status, body, retryAfterS, false);
         }
     }
 
-    /** Ends the connection without an answer, where neither "done" nor "not done" may be told. */
+    /**
+     * Closes the connection without a response, for requests whose outcome is not known: neither success nor failure
+     * may be claimed.
+     */
     public void abort(long exchange) {
-        Connection c = connectionByExchange.remove(exchange);
-        if (c != null) {
-            c.close();
+        Connection connection = connectionByExchange.remove(exchange);
+        if (connection != null) {
+            connection.close();
         }
     }
 
+    /** Closes connections that are idle, slow or not drained in time. To be called regularly; acts once a second. */
     public void tick() {
         long now = EventLoop.nowMs();
         if (now < nextSweepMs) {
             return;
         }
         nextSweepMs = now + 1_000;
-        for (Connection c : Set.copyOf(connections)) {
-            if (c.draining && now - c.activeAtMs > DRAIN_TIMEOUT_MS
-                    || c.exchange == 0
-                            && now - c.activeAtMs > (c.parser.isWithinMessage() ? REQUEST_TIMEOUT_MS : IDLE_TIMEOUT_MS)
-                    || now - c.activeAtMs > IDLE_TIMEOUT_MS * 2) {
-                c.close();
+        for (Connection connection : Set.copyOf(connections)) {
+            if (connection.draining && now - connection.activeAtMs > DRAIN_TIMEOUT_MS
+                    || connection.exchange == 0
+                            && now - connection.activeAtMs
+                                    > (connection.parser.isWithinMessage() ? REQUEST_TIMEOUT_MS : IDLE_TIMEOUT_MS)
+                    || now - connection.activeAtMs > IDLE_TIMEOUT_MS * 2) {
+                connection.close();
             }
         }
     }
 
+    /** One accepted connection. It handles one request at a time and reads on only after the response is written. */
     private final class Connection {
         private final AsynchronousSocketChannel channel;
         private final HttpParser parser = new HttpParser(true, maxBodyBytes);
         private final ByteBuffer input = ByteBuffer.allocate(4 * 1024);
+        /** The request being handled; 0 if there is none. */
         private long exchange;
+
         private boolean closeAfterResponse;
+        /** Whether a malformed request is refused and the rest of the input is discarded. */
         private boolean draining;
+
         private long activeAtMs = EventLoop.nowMs();
 
         Connection(AsynchronousSocketChannel channel) {
@@ -117,7 +146,7 @@
             try {
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             } catch (IOException e) {
-                LOG.debug("no TCP_NODELAY: {}", e.getMessage());
+                LOG.debug("cannot set TCP_NODELAY: {}", e.getMessage());
             }
         }
 
@@ -125,19 +154,19 @@
             input.clear();
             channel.read(input, null, new CompletionHandler<Integer, Void>() {
                 @Override
-                public void completed(Integer n, Void a) {
-                    loop.post(() -> handleRead(n));
+                public void completed(Integer length, Void attachment) {
+                    loop.post(() -> handleRead(length));
                 }
 
                 @Override
-                public void failed(Throwable e, Void a) {
+                public void failed(Throwable e, Void attachment) {
                     loop.post(() -> close());
                 }
             });
         }
 
-        private void handleRead(int n) {
-            if (n < 0) {
+        private void handleRead(int length) {
+            if (length < 0) {
                 close();
                 return;
             }
@@ -154,19 +183,21 @@
 
         private void parseInput() {
             try {
-                HttpParser.Message m = parser.feed(input);
-                if (m == null) {
+                HttpParser.Message message = parser.feed(input);
+                if (message == null) {
                     read();
                     return;
                 }
                 activeAtMs = EventLoop.nowMs();
-                closeAfterResponse = m.closesConnection();
+                closeAfterResponse = message.closesConnection();
                 exchange = nextExchange++;
                 connectionByExchange.put(exchange, this);
-                requestHandler.handleRequest(exchange, m.methodOrVersion(), m.targetOrReason(), m.body());
+                requestHandler.handleRequest(
+                        exchange, message.methodOrVersion(), message.targetOrReason(), message.body());
             } catch (HttpParser.MalformedMessageException e) {
                 draining = true;
                 activeAtMs = EventLoop.nowMs();
+                // An empty MessagePack map.
                 respond(e.status, new byte[] {(byte) 0x80}, 0, true);
             }
         }
@@ -177,12 +208,12 @@
             write(HttpWriter.response(status, body, retryAfterS, last), last);
         }
 
-        private void write(ByteBuffer out, boolean last) {
-            channel.write(out, null, new CompletionHandler<Integer, Void>() {
+        private void write(ByteBuffer output, boolean last) {
+            channel.write(output, null, new CompletionHandler<Integer, Void>() {
                 @Override
-                public void completed(Integer n, Void a) {
-                    if (out.hasRemaining()) {
-                        channel.write(out, null, this);
+                public void completed(Integer length, Void attachment) {
+                    if (output.hasRemaining()) {
+                        channel.write(output, null, this);
                     } else {
                         loop.post(() -> {
                             if (draining) {
@@ -199,15 +230,16 @@
                 }
 
                 @Override
-                public void failed(Throwable e, Void a) {
+                public void failed(Throwable e, Void attachment) {
                     loop.post(() -> close());
                 }
             });
         }
 
         /**
-         * Closes our side and throws away what still comes, for a while. A socket closed with unread bytes is reset, and
-         * a reset takes the answer along that the sender of a refused body has not read yet.
+         * Closes this side and discards further input until {@link #DRAIN_TIMEOUT_MS} has passed. A socket that is
+         * closed with unread input is reset, and a reset discards the response that the sender of a refused body has
+         * not read yet.
          */
         private void drain() {
             try {
--- a/src/main/java/birchusher/http/HttpWriter.java
+++ b/src/main/java/birchusher/http/HttpWriter.java
@@ -3,10 +3,11 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes HTTP/1.1 messages. */
+/** Serializes HTTP/1.1 requests and responses with MessagePack bodies. */
 public final class HttpWriter {
     private HttpWriter() {}
 
+    /** Returns a whole request, ready to be written. */
     public static ByteBuffer request(String method, String target, String host, byte[] body) {
         return toBuffer(
                 method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\nContent-Type: application/msgpack\r\n"
@@ -14,6 +15,12 @@
                 body);
     }
 
+    /**
+     * Returns a whole response, ready to be written.
+     *
+     * @param retryAfterS value of the Retry-After header in seconds; 0 for no header
+     * @param close whether to announce that the connection is closed afterwards
+     */
     public static ByteBuffer response(int status, byte[] body, int retryAfterS, boolean close) {
         return toBuffer(
                 "HTTP/1.1 " + status + " " + reasonPhrase(status) + "\r\nContent-Type: application/msgpack\r\n"
@@ -24,9 +31,9 @@
     }
 
     private static ByteBuffer toBuffer(String head, byte[] body) {
-        byte[] h = head.getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer b = ByteBuffer.allocate(h.length + body.length);
-        return b.put(h).put(body).flip();
+        byte[] headBytes = head.getBytes(StandardCharsets.ISO_8859_1);
+        ByteBuffer buffer = ByteBuffer.allocate(headBytes.length + body.length);
+        return buffer.put(headBytes).put(body).flip();
     }
 
     private static String reasonPhrase(int status) {
--- a/src/main/java/birchusher/http/RequestTarget.java
+++ b/src/main/java/birchusher/http/RequestTarget.java
@@ -5,11 +5,16 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A request's target: its path as it came, and its parameters decoded. Of a repeated parameter, the last one counts. */
+/**
+ * The target of an HTTP request. Of a repeated parameter, the last value counts.
+ *
+ * @param path the path as received, not percent-decoded
+ * @param parameters the query parameters by name, values percent-decoded
+ */
 public record RequestTarget(String path, Map<String, String> parameters) {
     private static final int MAX_PARAMETERS = 16;
 
-    /** A target that can't be read; the text says what is wrong. */
+    /** A target that cannot be parsed; the message says why. */
     public static final class InvalidTargetException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -18,54 +23,57 @@
         }
     }
 
+    /** Parses a target of the form {@code /path?name=value&...}. */
     public static RequestTarget parse(String target) throws InvalidTargetException {
-        int q = target.indexOf('?');
-        if (q < 0) {
+        int questionMark = target.indexOf('?');
+        if (questionMark < 0) {
             return new RequestTarget(target, Map.of());
         }
-        Map<String, String> params = new HashMap<>();
-        String[] parts = target.substring(q + 1).split("&");
+        Map<String, String> parameters = new HashMap<>();
+        String[] parts = target.substring(questionMark + 1).split("&");
         if (parts.length > MAX_PARAMETERS) {
             throw new InvalidTargetException("more than " + MAX_PARAMETERS + " parameters");
         }
         for (String part : parts) {
-            int eq = part.indexOf('=');
-            if (eq < 0 && !part.isEmpty()) {
-                throw new InvalidTargetException(part + ": a parameter without a value");
+            int equalsSign = part.indexOf('=');
+            if (equalsSign < 0 && !part.isEmpty()) {
+                throw new InvalidTargetException(part + ": parameter without a value");
             }
-            if (eq >= 0) {
+            if (equalsSign >= 0) {
                 try {
-                    // Keys of the state service may hold a plus; the decoder is for forms, where it means a space.
-                    params.put(
-                            part.substring(0, eq),
-                            URLDecoder.decode(part.substring(eq + 1).replace("+", "%2B"), StandardCharsets.UTF_8));
+                    // Keys of the state service may contain a plus sign; URLDecoder, made for forms, would turn it into
+                    // a space.
+                    parameters.put(
+                            part.substring(0, equalsSign),
+                            URLDecoder.decode(
+                                    part.substring(equalsSign + 1).replace("+", "%2B"), StandardCharsets.UTF_8));
                 } catch (IllegalArgumentException e) {
-                    throw new InvalidTargetException(part.substring(0, eq) + ": not percent-encoded as it should be");
+                    throw new InvalidTargetException(part.substring(0, equalsSign) + ": invalid percent-encoding");
                 }
             }
         }
-        return new RequestTarget(target.substring(0, q), Map.copyOf(params));
+        return new RequestTarget(target.substring(0, questionMark), Map.copyOf(parameters));
     }
 
-    /** A parameter, or what stands for its absence. */
-    public String text(String name, String none) {
-        return parameters.getOrDefault(name, none);
+    /** Returns a parameter's value, or {@code absent} if it is missing. */
+    public String text(String name, String absent) {
+        return parameters.getOrDefault(name, absent);
     }
 
-    /** A parameter that is a whole number of 0 or more. */
-    public long count(String name, long none) throws InvalidTargetException {
-        String s = parameters.get(name);
-        if (s == null) {
-            return none;
+    /** Returns a parameter that is an integer of 0 or more, or {@code absent} if it is missing. */
+    public long count(String name, long absent) throws InvalidTargetException {
+        String value = parameters.get(name);
+        if (value == null) {
+            return absent;
         }
         try {
-            long n = Long.parseLong(s);
-            if (n >= 0 && !s.startsWith("+")) {
-                return n;
+            long number = Long.parseLong(value);
+            if (number >= 0 && !value.startsWith("+")) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // falls through to the same complaint
+            // Falls through to the exception below.
         }
-        throw new InvalidTargetException(name + ": not a whole number of 0 or more");
+        throw new InvalidTargetException(name + ": not an integer of 0 or more");
     }
 }
--- a/src/test/java/birchusher/ControllerLoopbackTest.java
+++ b/src/test/java/birchusher/ControllerLoopbackTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A controller over real sockets on loopback, with no state service: what it can't take it refuses at once. */
+/** A controller on real loopback sockets, without a state service, must refuse invalid and premature requests at once. */
 class ControllerLoopbackTest {
     private int port;
     private ControllerServer server;
     private Thread thread;
 
     private static int freePort() throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
@@ -53,19 +53,19 @@
         thread.join();
     }
 
-    /** The first line of the answer to these bytes. */
-    private String statusLineOf(String bytes) throws IOException {
+    /** Sends raw bytes and returns the first line of the response. */
+    private String statusLineOf(String request) throws IOException {
         while (true) {
-            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                s.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-                StringBuilder sb = new StringBuilder();
-                InputStream in = s.getInputStream();
-                for (int b = in.read(); b >= 0 && b != '\r'; b = in.read()) {
-                    sb.append((char) b);
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+                socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
+                StringBuilder line = new StringBuilder();
+                InputStream input = socket.getInputStream();
+                for (int next = input.read(); next >= 0 && next != '\r'; next = input.read()) {
+                    line.append((char) next);
                 }
-                return sb.toString();
+                return line.toString();
             } catch (ConnectException e) {
-                // Not listening yet.
+                // The server is not listening yet.
                 Thread.onSpinWait();
             }
         }
--- a/src/test/java/birchusher/HttpParserTest.java
+++ b/src/test/java/birchusher/HttpParserTest.java
@@ -12,32 +12,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class HttpParserTest {
-    private static ByteBuffer bytes(String s) {
-        return ByteBuffer.wrap(s.getBytes(StandardCharsets.ISO_8859_1));
+    private static ByteBuffer bytes(String text) {
+        return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     @Test
     void requestIsParsedByteByByte() throws MalformedMessageException {
-        String all = "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc";
-        HttpParser p = new HttpParser(true, 100);
-        HttpParser.Message m = null;
-        for (int i = 0; i < all.length(); i++) {
-            assertThat(m).isNull();
-            m = p.feed(bytes(all.substring(i, i + 1)));
+        String request = "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc";
+        HttpParser parser = new HttpParser(true, 100);
+        HttpParser.Message message = null;
+        for (int i = 0; i < request.length(); i++) {
+            assertThat(message).isNull();
+            message = parser.feed(bytes(request.substring(i, i + 1)));
         }
-        assertThat(m.methodOrVersion()).isEqualTo("POST");
-        assertThat(m.targetOrReason()).isEqualTo("/v2/runs");
-        assertThat(m.closesConnection()).isTrue();
-        assertThat(new String(m.body(), StandardCharsets.ISO_8859_1)).isEqualTo("abc");
+        assertThat(message.methodOrVersion()).isEqualTo("POST");
+        assertThat(message.targetOrReason()).isEqualTo("/v2/runs");
+        assertThat(message.closesConnection()).isTrue();
+        assertThat(new String(message.body(), StandardCharsets.ISO_8859_1)).isEqualTo("abc");
     }
 
     @Test
     void chunkedBodyIsJoined() throws MalformedMessageException {
-        HttpParser p = new HttpParser(false, 100);
-        HttpParser.Message m = p.feed(
+        HttpParser parser = new HttpParser(false, 100);
+        HttpParser.Message message = parser.feed(
                 bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"));
-        assertThat(m.status()).isEqualTo(200);
-        assertThat(new String(m.body(), StandardCharsets.ISO_8859_1)).isEqualTo("abcde");
+        assertThat(message.status()).isEqualTo(200);
+        assertThat(new String(message.body(), StandardCharsets.ISO_8859_1)).isEqualTo("abcde");
     }
 
     @ParameterizedTest
@@ -60,8 +60,8 @@
                 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n",
                 "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
             })
-    void malformedMessageIsRejectedWith400(String s) {
-        assertThatThrownBy(() -> new HttpParser(true, 100).feed(bytes(s)))
+    void malformedMessageIsRejectedWith400(String text) {
+        assertThatThrownBy(() -> new HttpParser(true, 100).feed(bytes(text)))
                 .isInstanceOfSatisfying(MalformedMessageException.class, e -> assertThat(e.status)
                         .isEqualTo(400));
     }
