--- a/src/main/java/birchusher/wire/JobCodec.java
+++ b/src/main/java/birchusher/wire/JobCodec.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.function.ToIntFunction;
 
-/** Submissions to specs and back; the store keeps the same form. */
+/** Converts between job specs and their wire form, which submissions and the rows of the state service share. */
 public final class JobCodec {
     private final Catalog catalog;
 
@@ -21,7 +21,7 @@
         this.catalog = catalog;
     }
 
-    /** A well-formed job that nevertheless can never run, such as one of an unknown team. */
+    /** A well-formed job that can never run, for example because its team is unknown. */
     public static final class UnrunnableJobException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -30,68 +30,82 @@
         }
     }
 
+    /**
+     * Returns whether a string has the form of a job id: the prefix, then letters, digits, - and _, at most 64
+     * characters in all.
+     */
     public static boolean isJobId(String id) {
         if (!id.startsWith(Wire.JOB_ID_PREFIX) || id.length() > 64 || id.length() == Wire.JOB_ID_PREFIX.length()) {
             return false;
         }
         for (int i = Wire.JOB_ID_PREFIX.length(); i < id.length(); i++) {
-            char c = id.charAt(i);
-            if (!(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_')) {
+            char character = id.charAt(i);
+            if (!(character >= '0' && character <= '9'
+                    || character >= 'a' && character <= 'z'
+                    || character >= 'A' && character <= 'Z'
+                    || character == '-'
+                    || character == '_')) {
                 return false;
             }
         }
         return true;
     }
 
-    /** A submission: machine types nobody rents are left out, so that users can't fill the name table. */
-    public JobSpec decodeSubmission(Map<String, Object> m) {
-        return decodeSubmission(m, catalog.typeNames::find);
+    /**
+     * Decodes a submission. Unknown machine types are left out, so that users cannot fill the name table.
+     *
+     * @throws InvalidInputException if a field is missing or invalid
+     * @throws UnrunnableJobException if the team or the zone is unknown
+     */
+    public JobSpec decodeSubmission(Map<String, Object> fields) {
+        return decode(fields, catalog.typeNames::find);
     }
 
     /**
-     * A row of the store. A starting controller reads rows before it knows the machine types, so their names are taken as
-     * they come: left out, a job that names its types would fit no machine for as long as this process lives.
+     * Decodes a row of the state service. A starting controller reads rows before it knows the machine types, so
+     * unknown type names are added to the name table: if they were left out, a job that names its types would fit no
+     * machine until the next restart.
      */
-    public JobSpec decodeRow(Map<String, Object> m) {
-        return decodeSubmission(m, catalog.typeNames::add);
+    public JobSpec decodeRow(Map<String, Object> fields) {
+        return decode(fields, catalog.typeNames::add);
     }
 
-    private JobSpec decodeSubmission(Map<String, Object> m, ToIntFunction<String> typeIndex) {
-        String id = Fields.text(m, Wire.ID);
+    private JobSpec decode(Map<String, Object> fields, ToIntFunction<String> typeIndex) {
+        String id = Fields.text(fields, Wire.ID);
         if (!isJobId(id)) {
             throw new InvalidInputException(Wire.ID + ": not a job id");
         }
-        Shape shape = Wire.parseShape(Fields.text(m, Wire.SHAPE));
-        Priority priority = Wire.parsePriority(Fields.text(m, Wire.PRIORITY));
-        long tasks = Fields.count(m, Wire.TASKS);
+        Shape shape = Wire.parseShape(Fields.text(fields, Wire.SHAPE));
+        Priority priority = Wire.parsePriority(Fields.text(fields, Wire.PRIORITY));
+        long tasks = Fields.count(fields, Wire.TASKS);
         if (tasks < 1 || tasks > 100_000) {
             throw new InvalidInputException(Wire.TASKS + ": outside 1 to 100000");
         }
-        double cpus = Fields.amount(m, Wire.CPUS);
-        double gpus = Fields.amount(m, Wire.GPUS);
-        double mem = Fields.amount(m, Wire.MEMORY_GB);
-        String cls = Fields.text(m, Wire.JOB_CLASS);
-        String teamName = Fields.text(m, Wire.TEAM);
-        String image = Fields.text(m, Wire.IMAGE);
-        double imageGb = Fields.amount(m, Wire.IMAGE_GB);
-        List<String> types = null;
-        if (m.get(Wire.ALLOWED_TYPES) != null) {
-            types = new ArrayList<>();
-            for (Object o : Fields.list(m, Wire.ALLOWED_TYPES)) {
-                if (!(o instanceof String s)) {
-                    throw new InvalidInputException(Wire.ALLOWED_TYPES + ": not text");
+        double cpus = Fields.amount(fields, Wire.CPUS);
+        double gpus = Fields.amount(fields, Wire.GPUS);
+        double memoryGb = Fields.amount(fields, Wire.MEMORY_GB);
+        String jobClass = Fields.text(fields, Wire.JOB_CLASS);
+        String teamName = Fields.text(fields, Wire.TEAM);
+        String imageName = Fields.text(fields, Wire.IMAGE);
+        double imageGb = Fields.amount(fields, Wire.IMAGE_GB);
+        List<String> typeNames = null;
+        if (fields.get(Wire.ALLOWED_TYPES) != null) {
+            typeNames = new ArrayList<>();
+            for (Object item : Fields.list(fields, Wire.ALLOWED_TYPES)) {
+                if (!(item instanceof String type)) {
+                    throw new InvalidInputException(Wire.ALLOWED_TYPES + ": not a string");
                 }
-                types.add(s);
+                typeNames.add(type);
             }
         }
-        String zoneName = Fields.textOrNull(m, Wire.ZONE);
-        boolean oneZone = Fields.flag(m, Wire.ONE_ZONE);
-        boolean spread = Fields.flag(m, Wire.SPREAD);
-        boolean spot = Fields.flag(m, Wire.SPOT);
-        double estimate = Fields.amount(m, Wire.ESTIMATE_S);
-        double checkpoint = Fields.amount(m, Wire.CHECKPOINT_INTERVAL_S);
-        double save = Fields.amount(m, Wire.CHECKPOINT_WRITE_S);
-        double deadline = Fields.amountOr(m, Wire.DEADLINE_S, 0);
+        String zoneName = Fields.textOrNull(fields, Wire.ZONE);
+        boolean oneZone = Fields.flag(fields, Wire.ONE_ZONE);
+        boolean spread = Fields.flag(fields, Wire.SPREAD);
+        boolean spot = Fields.flag(fields, Wire.SPOT);
+        double estimateS = Fields.amount(fields, Wire.ESTIMATE_S);
+        double checkpointIntervalS = Fields.amount(fields, Wire.CHECKPOINT_INTERVAL_S);
+        double checkpointWriteS = Fields.amount(fields, Wire.CHECKPOINT_WRITE_S);
+        double deadlineS = Fields.amountOr(fields, Wire.DEADLINE_S, 0);
         int team = catalog.teams.find(teamName);
         if (team == NameIndex.NONE) {
             throw new UnrunnableJobException("unknown team");
@@ -103,68 +117,69 @@
                 throw new UnrunnableJobException("unknown zone");
             }
         }
-        int[] typeIdx = null;
-        if (types != null) {
-            typeIdx = types.stream()
+        int[] allowedTypes = null;
+        if (typeNames != null) {
+            allowedTypes = typeNames.stream()
                     .mapToInt(typeIndex)
                     .filter(i -> i != NameIndex.NONE)
                     .toArray();
         }
         return new JobSpec(
                 id,
-                catalog.classes.add(cls),
+                catalog.classes.add(jobClass),
                 team,
                 shape,
                 priority,
                 (int) tasks,
                 cpus,
                 gpus,
-                mem,
-                catalog.images.add(image),
+                memoryGb,
+                catalog.images.add(imageName),
                 imageGb,
-                typeIdx,
+                allowedTypes,
                 zone,
                 oneZone,
                 spread,
                 spot,
-                estimate,
-                checkpoint,
-                save,
-                deadline);
+                estimateS,
+                checkpointIntervalS,
+                checkpointWriteS,
+                deadlineS);
     }
 
-    public Map<String, Object> encode(JobSpec j) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put(Wire.ID, j.id());
-        m.put(Wire.JOB_CLASS, catalog.classes.name(j.jobClass()));
-        m.put(Wire.TEAM, catalog.teams.name(j.team()));
-        m.put(Wire.SHAPE, Wire.wireName(j.shape()));
-        m.put(Wire.PRIORITY, Wire.wireName(j.priority()));
-        m.put(Wire.TASKS, j.tasks());
-        m.put(Wire.CPUS, j.cpus());
-        m.put(Wire.GPUS, j.gpus());
-        m.put(Wire.MEMORY_GB, j.memoryGb());
-        m.put(Wire.IMAGE, catalog.images.name(j.image()));
-        m.put(Wire.IMAGE_GB, j.imageGb());
-        if (j.allowedTypes() != null) {
+    /** Encodes a spec; fields without a value are left out. */
+    public Map<String, Object> encode(JobSpec job) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(Wire.ID, job.id());
+        fields.put(Wire.JOB_CLASS, catalog.classes.name(job.jobClass()));
+        fields.put(Wire.TEAM, catalog.teams.name(job.team()));
+        fields.put(Wire.SHAPE, Wire.wireName(job.shape()));
+        fields.put(Wire.PRIORITY, Wire.wireName(job.priority()));
+        fields.put(Wire.TASKS, job.tasks());
+        fields.put(Wire.CPUS, job.cpus());
+        fields.put(Wire.GPUS, job.gpus());
+        fields.put(Wire.MEMORY_GB, job.memoryGb());
+        fields.put(Wire.IMAGE, catalog.images.name(job.image()));
+        fields.put(Wire.IMAGE_GB, job.imageGb());
+        if (job.allowedTypes() != null) {
             List<String> names = new ArrayList<>();
-            for (int t : j.allowedTypes()) {
-                names.add(catalog.typeNames.name(t));
+            for (int type : job.allowedTypes()) {
+                names.add(catalog.typeNames.name(type));
             }
-            m.put(Wire.ALLOWED_TYPES, names);
+            fields.put(Wire.ALLOWED_TYPES, names);
         }
-        if (j.zone() >= 0) {
-            m.put(Wire.ZONE, catalog.zones.name(j.zone()));
+        if (job.zone() >= 0) {
+            fields.put(Wire.ZONE, catalog.zones.name(job.zone()));
         }
-        m.put(Wire.ONE_ZONE, j.oneZone());
-        m.put(Wire.SPREAD, j.spread());
-        m.put(Wire.SPOT, j.allowsSpot());
-        m.put(Wire.ESTIMATE_S, j.estimateS());
-        m.put(Wire.CHECKPOINT_INTERVAL_S, j.checkpointIntervalS());
-        m.put(Wire.CHECKPOINT_WRITE_S, j.checkpointWriteS());
-        if (j.deadlineS() > 0) {
-            m.put(Wire.DEADLINE_S, j.deadlineS());
+        fields.put(Wire.ONE_ZONE, job.oneZone());
+        fields.put(Wire.SPREAD, job.spread());
+        fields.put(Wire.SPOT, job.allowsSpot());
+        fields.put(Wire.ESTIMATE_S, job.estimateS());
+        fields.put(Wire.CHECKPOINT_INTERVAL_S, job.checkpointIntervalS());
+        fields.put(Wire.CHECKPOINT_WRITE_S, job.checkpointWriteS());
+        if (job.deadlineS() > 0) {
+            fields.put(Wire.DEADLINE_S, job.deadlineS());
         }
-        return m;
+        return fields;
     }
 }
--- a/src/main/java/birchusher/wire/Json.java
+++ b/src/main/java/birchusher/wire/Json.java
@@ -10,75 +10,79 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Plain maps as JSON: the form in which the protocol counts sizes, and what scripts read. Fields come sorted by name. */
+/**
+ * Writes plain maps, lists, strings, numbers and booleans as JSON, with fields sorted by name. The protocol measures
+ * sizes in this form, and scripts read it.
+ */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() {}
 
-    /** The bytes that this would take as JSON without white space. */
-    public static int sizeBytes(Object o) {
-        int[] n = {0};
-        OutputStream counted = new OutputStream() {
+    /** Returns the size of a value as JSON without white space, in bytes of UTF-8. */
+    public static int sizeBytes(Object value) {
+        int[] count = {0};
+        OutputStream counter = new OutputStream() {
             @Override
-            public void write(int b) {
-                n[0]++;
+            public void write(int singleByte) {
+                count[0]++;
             }
 
             @Override
-            public void write(byte[] b, int from, int length) {
-                n[0] += length;
+            public void write(byte[] bytes, int offset, int length) {
+                count[0] += length;
             }
         };
-        try (JsonGenerator g = FACTORY.createGenerator(counted)) {
-            write(g, o);
+        try (JsonGenerator generator = FACTORY.createGenerator(counter)) {
+            write(generator, value);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        return n[0];
+        return count[0];
     }
 
-    public static String toText(Object o, boolean pretty) {
-        StringWriter to = new StringWriter();
-        try (JsonGenerator g = FACTORY.createGenerator(to)) {
+    /** @param pretty whether to indent and break lines */
+    public static String toText(Object value, boolean pretty) {
+        StringWriter writer = new StringWriter();
+        try (JsonGenerator generator = FACTORY.createGenerator(writer)) {
             if (pretty) {
-                g.setPrettyPrinter(new DefaultPrettyPrinter());
+                generator.setPrettyPrinter(new DefaultPrettyPrinter());
             }
-            write(g, o);
+            write(generator, value);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        return to.toString();
+        return writer.toString();
     }
 
-    private static void write(JsonGenerator g, Object o) throws IOException {
-        if (o == null) {
-            g.writeNull();
-        } else if (o instanceof String s) {
-            g.writeString(s);
-        } else if (o instanceof Boolean b) {
-            g.writeBoolean(b);
-        } else if (o instanceof Double d) {
-            g.writeNumber(d);
-        } else if (o instanceof Number n) {
-            g.writeNumber(n.longValue());
-        } else if (o instanceof List<?> l) {
-            g.writeStartArray();
-            for (Object e : l) {
-                write(g, e);
+    private static void write(JsonGenerator generator, Object value) throws IOException {
+        if (value == null) {
+            generator.writeNull();
+        } else if (value instanceof String text) {
+            generator.writeString(text);
+        } else if (value instanceof Boolean flag) {
+            generator.writeBoolean(flag);
+        } else if (value instanceof Double decimal) {
+            generator.writeNumber(decimal);
+        } else if (value instanceof Number integer) {
+            generator.writeNumber(integer.longValue());
+        } else if (value instanceof List<?> items) {
+            generator.writeStartArray();
+            for (Object item : items) {
+                write(generator, item);
             }
-            g.writeEndArray();
-        } else if (o instanceof Map<?, ?> m) {
-            g.writeStartObject();
+            generator.writeEndArray();
+        } else if (value instanceof Map<?, ?> fields) {
+            generator.writeStartObject();
             TreeMap<String, Object> sorted = new TreeMap<>();
-            m.forEach((k, v) -> sorted.put((String) k, v));
-            for (Map.Entry<String, Object> e : sorted.entrySet()) {
-                g.writeFieldName(e.getKey());
-                write(g, e.getValue());
+            fields.forEach((key, field) -> sorted.put((String) key, field));
+            for (Map.Entry<String, Object> entry : sorted.entrySet()) {
+                generator.writeFieldName(entry.getKey());
+                write(generator, entry.getValue());
             }
-            g.writeEndObject();
+            generator.writeEndObject();
         } else {
-            throw new IllegalArgumentException("no JSON form for " + o.getClass());
+            throw new IllegalArgumentException("no JSON form for " + value.getClass());
         }
     }
 }
--- a/src/main/java/birchusher/wire/MessagePackCodec.java
+++ b/src/main/java/birchusher/wire/MessagePackCodec.java
@@ -11,106 +11,111 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** MessagePack bodies to plain maps and back. Depth and element counts are bounded by the input's own size. */
+/**
+ * Converts between MessagePack and plain maps, lists, strings, numbers and booleans. The nesting of the input is
+ * bounded, and its element counts are bounded by its size.
+ */
 public final class MessagePackCodec {
     private static final int MAX_DEPTH = 12;
 
     private MessagePackCodec() {}
 
+    /** @throws InvalidInputException if the bytes are not exactly one valid value */
     public static Object decode(byte[] bytes) {
-        try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-            Object o = read(in, 0, bytes.length);
-            if (in.hasNext()) {
-                throw new InvalidInputException("body: bytes after its end");
+        try (MessageUnpacker input = MessagePack.newDefaultUnpacker(bytes)) {
+            Object value = read(input, 0, bytes.length);
+            if (input.hasNext()) {
+                throw new InvalidInputException("body: bytes after the end of the value");
             }
-            return o;
+            return value;
         } catch (IOException | MessagePackException e) {
             throw new InvalidInputException("body: not MessagePack");
         }
     }
 
-    private static Object read(MessageUnpacker in, int depth, int size) throws IOException {
+    private static Object read(MessageUnpacker input, int depth, int bodyBytes) throws IOException {
         if (depth > MAX_DEPTH) {
-            throw new InvalidInputException("body: nested too deep");
+            throw new InvalidInputException("body: nested too deep, over " + MAX_DEPTH + " levels");
         }
-        switch (in.getNextFormat().getValueType()) {
+        switch (input.getNextFormat().getValueType()) {
             case NIL -> {
-                in.unpackNil();
+                input.unpackNil();
                 return null;
             }
             case BOOLEAN -> {
-                return in.unpackBoolean();
+                return input.unpackBoolean();
             }
             case INTEGER -> {
-                return in.unpackLong();
+                return input.unpackLong();
             }
             case FLOAT -> {
-                return in.unpackDouble();
+                return input.unpackDouble();
             }
             case STRING -> {
-                return in.unpackString();
+                return input.unpackString();
             }
             case ARRAY -> {
-                int n = checkCount(in.unpackArrayHeader(), size);
-                List<Object> list = new ArrayList<>(Math.min(n, 1024));
-                for (int i = 0; i < n; i++) {
-                    list.add(read(in, depth + 1, size));
+                int count = checkCount(input.unpackArrayHeader(), bodyBytes);
+                List<Object> list = new ArrayList<>(Math.min(count, 1024));
+                for (int i = 0; i < count; i++) {
+                    list.add(read(input, depth + 1, bodyBytes));
                 }
                 return list;
             }
             case MAP -> {
-                int n = checkCount(in.unpackMapHeader(), size);
-                Map<String, Object> map = new HashMap<>(Math.min(n, 64) * 2);
-                for (int i = 0; i < n; i++) {
-                    map.put(in.unpackString(), read(in, depth + 1, size));
+                int count = checkCount(input.unpackMapHeader(), bodyBytes);
+                Map<String, Object> map = new HashMap<>(Math.min(count, 64) * 2);
+                for (int i = 0; i < count; i++) {
+                    map.put(input.unpackString(), read(input, depth + 1, bodyBytes));
                 }
                 return map;
             }
-            default -> throw new InvalidInputException("body: a type that is not used here");
+            default -> throw new InvalidInputException("body: unsupported MessagePack type");
         }
     }
 
-    /** A header may claim more elements than the body has bytes: refuse before reserving memory for them. */
-    private static int checkCount(int n, int size) {
-        if (n < 0 || n > size) {
+    /** Refuses a header that claims more elements than the body has bytes, before memory is allocated for them. */
+    private static int checkCount(int count, int bodyBytes) {
+        if (count < 0 || count > bodyBytes) {
             throw new InvalidInputException("body: cut off");
         }
-        return n;
+        return count;
     }
 
-    public static byte[] encode(Object o) {
-        try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-            write(out, o);
-            return out.toByteArray();
+    /** @throws IllegalArgumentException if the value holds an unsupported type */
+    public static byte[] encode(Object value) {
+        try (MessageBufferPacker output = MessagePack.newDefaultBufferPacker()) {
+            write(output, value);
+            return output.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static void write(MessageBufferPacker out, Object o) throws IOException {
-        if (o == null) {
-            out.packNil();
-        } else if (o instanceof String s) {
-            out.packString(s);
-        } else if (o instanceof Boolean b) {
-            out.packBoolean(b);
-        } else if (o instanceof Double d) {
-            out.packDouble(d);
-        } else if (o instanceof Number n) {
-            out.packLong(n.longValue());
-        } else if (o instanceof List<?> l) {
-            out.packArrayHeader(l.size());
-            for (Object e : l) {
-                write(out, e);
+    private static void write(MessageBufferPacker output, Object value) throws IOException {
+        if (value == null) {
+            output.packNil();
+        } else if (value instanceof String text) {
+            output.packString(text);
+        } else if (value instanceof Boolean flag) {
+            output.packBoolean(flag);
+        } else if (value instanceof Double decimal) {
+            output.packDouble(decimal);
+        } else if (value instanceof Number integer) {
+            output.packLong(integer.longValue());
+        } else if (value instanceof List<?> items) {
+            output.packArrayHeader(items.size());
+            for (Object item : items) {
+                write(output, item);
             }
-        } else if (o instanceof Map<?, ?> m) {
-            out.packMapHeader(m.size());
-            for (Map.Entry<?, ?> e : m.entrySet()) {
-                out.packString((String) e.getKey());
-                write(out, e.getValue());
+        } else if (value instanceof Map<?, ?> fields) {
+            output.packMapHeader(fields.size());
+            for (Map.Entry<?, ?> entry : fields.entrySet()) {
+                output.packString((String) entry.getKey());
+                write(output, entry.getValue());
             }
         } else {
-            throw new IllegalArgumentException("no wire form for " + o.getClass());
+            throw new IllegalArgumentException("no wire form for " + value.getClass());
         }
     }
 }
--- a/src/main/java/birchusher/wire/Wire.java
+++ b/src/main/java/birchusher/wire/Wire.java
@@ -4,10 +4,13 @@
 import birchusher.model.Priority;
 import birchusher.model.Shape;
 
-/** Every name of the outside protocols. Nothing else in the code spells them. */
+/**
+ * The names of the protocols with users, workers, the cloud and the state service: paths, fields and values. The values
+ * are fixed by the protocols; the constants carry the terms used in the code.
+ */
 public final class Wire {
     public static final String JOB_ID_PREFIX = "wk-";
-    // paths
+    // Paths.
     public static final String JOBS = "/v2/runs";
     public static final String CANCEL = "/withdraw";
     public static final String DESCRIBE = "/describe";
@@ -30,7 +33,7 @@
     public static final String LEASES = "/leases";
     public static final String RENEW = "/extend";
     public static final String WATCH = "/watch";
-    // fields of jobs
+    // Fields and states of jobs.
     public static final String ID = "name_id";
     public static final String JOB_CLASS = "lane";
     public static final String TEAM = "crew";
@@ -56,7 +59,7 @@
     public static final String RUNNING = "running";
     public static final String QUEUED = "queued";
     public static final String CANCELLED = "cancelled";
-    // fields of workers
+    // Fields of reports, commands and responses of workers.
     public static final String MACHINE = "host";
     public static final String ADDRESS = "address";
     public static final String TYPE = "build";
@@ -75,7 +78,7 @@
     public static final String REAP = "reap";
     public static final String GRACE_S = "wind_down_s";
     public static final String REPORT_TO = "usher";
-    // fields of the cloud
+    // Fields of the cloud, and of lists that come in pages.
     public static final String RENTAL_REQUEST = "ask";
     public static final String COUNT = "how_many";
     public static final String MACHINES = "hosts";
@@ -89,7 +92,7 @@
     };
 
     public static final String TYPE_LIST = "builds";
-    // fields of the state service
+    // Fields of the state service.
     public static final String REVISION = "epoch";
     public static final String VERSION = "stamp";
     public static final String LEASE = "hold";
@@ -107,8 +110,9 @@
 
     private Wire() {}
 
-    public static Shape parseShape(String s) {
-        return switch (s) {
+    /** @throws InvalidInputException if the wire name is unknown */
+    public static Shape parseShape(String wireName) {
+        return switch (wireName) {
             case "sweep" -> Shape.ARRAY;
             case "gang" -> Shape.GANG;
             case "standing" -> Shape.SERVICE;
@@ -116,16 +120,17 @@
         };
     }
 
-    public static String wireName(Shape s) {
-        return switch (s) {
+    public static String wireName(Shape shape) {
+        return switch (shape) {
             case ARRAY -> "sweep";
             case GANG -> "gang";
             case SERVICE -> "standing";
         };
     }
 
-    public static Priority parsePriority(String s) {
-        return switch (s) {
+    /** @throws InvalidInputException if the wire name is unknown */
+    public static Priority parsePriority(String wireName) {
+        return switch (wireName) {
             case "production" -> Priority.PRODUCTION;
             case "urgent" -> Priority.HIGH;
             case "standard" -> Priority.NORMAL;
@@ -134,8 +139,8 @@
         };
     }
 
-    public static String wireName(Priority p) {
-        return switch (p) {
+    public static String wireName(Priority priority) {
+        return switch (priority) {
             case PRODUCTION -> "production";
             case HIGH -> "urgent";
             case NORMAL -> "standard";
--- a/src/test/java/birchusher/MessagePackCodecTest.java
+++ b/src/test/java/birchusher/MessagePackCodecTest.java
@@ -12,8 +12,8 @@
 class MessagePackCodecTest {
     @Test
     void decodingReturnsTheEncodedMap() {
-        Map<String, Object> m = Map.of("a", 1L, "b", List.of(true, 2.5, "x"), "c", Map.of("d", 7L));
-        assertThat(MessagePackCodec.decode(MessagePackCodec.encode(m))).isEqualTo(m);
+        Map<String, Object> value = Map.of("a", 1L, "b", List.of(true, 2.5, "x"), "c", Map.of("d", 7L));
+        assertThat(MessagePackCodec.decode(MessagePackCodec.encode(value))).isEqualTo(value);
     }
 
     @Test
