--- a/src/main/java/birchusher/server/ControllerServer.java
+++ b/src/main/java/birchusher/server/ControllerServer.java
@@ -13,7 +13,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread that runs the core and owns all I/O state; completions of channels only post to it. */
+/**
+ * Runs a controller: one thread executes the {@link Core} and owns all I/O state, and channel completions only post to
+ * it. The core does no I/O; this class feeds it requests, replies, peer records and ticks, and performs the effects
+ * that it returns.
+ */
 public final class ControllerServer {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
     private static final int MAX_BODY_BYTES = 64 * 1024;
@@ -23,57 +27,67 @@
     private final HttpServer server;
     private final HttpClient client;
     private final PeerConnections peerConnections;
-    /** Nanoseconds in requests, replies, peers' records and ticks; with how late ticks come, what an operator sizes by. */
+    /**
+     * Time spent in requests, replies, peer records and ticks; with the delay of ticks, what an operator sizes a
+     * controller by.
+     */
     private final long[] spentNs = new long[4];
 
+    /** Since the last log line of times. */
     private long maxTickDelayMs;
+
     private long nextLogMs;
 
-    public ControllerServer(Settings s, Tuning t) throws IOException {
-        core = new Core(s, t, EventLoop.nowMs(), System.currentTimeMillis());
-        // Some sockets are kept for our own calls and for the other controllers.
+    /** Prepares the controller; nothing is served before {@link #run}. */
+    public ControllerServer(Settings settings, Tuning tuning) throws IOException {
+        core = new Core(settings, tuning, EventLoop.nowMs(), System.currentTimeMillis());
+        // Of the sockets, 50 are reserved for connections with other controllers, and some for outbound calls.
         server = new HttpServer(
                 eventLoop,
-                s.listenAddress().host(),
-                s.listenAddress().port(),
-                Math.max(8, s.maxConnections() - maxOutboundConnections(s) - 50),
+                settings.listenAddress().host(),
+                settings.listenAddress().port(),
+                Math.max(8, settings.maxConnections() - maxOutboundConnections(settings) - 50),
                 MAX_BODY_BYTES,
                 this::handleRequest);
-        client = new HttpClient(eventLoop, maxOutboundConnections(s));
-        peerConnections = new PeerConnections(this, eventLoop, s);
+        client = new HttpClient(eventLoop, maxOutboundConnections(settings));
+        peerConnections = new PeerConnections(this, eventLoop, settings);
     }
 
-    /** Sockets for our own calls: the state service, the cloud and, most of them, commands to workers. */
-    static int maxOutboundConnections(Settings s) {
-        return Math.max(16, s.maxConnections() / 4);
+    /**
+     * Sockets for this controller's outbound calls: to the state service, to the cloud and, most of them, commands to
+     * workers.
+     */
+    static int maxOutboundConnections(Settings settings) {
+        return Math.max(16, settings.maxConnections() / 4);
     }
 
     private void handleRequest(long exchange, String method, String target, byte[] body) {
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         perform(core.handleRequest(EventLoop.nowMs(), System.currentTimeMillis(), exchange, method, target, body));
-        spentNs[0] += System.nanoTime() - from;
+        spentNs[0] += System.nanoTime() - startNs;
     }
 
     private void handleReply(long id, int status, byte[] body) {
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         perform(core.handleReply(EventLoop.nowMs(), System.currentTimeMillis(), id, status, body));
-        spentNs[1] += System.nanoTime() - from;
+        spentNs[1] += System.nanoTime() - startNs;
     }
 
+    /** Processes a record received from another controller. */
     void handlePeerRecord(byte[] record) {
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         perform(core.handlePeerRecord(EventLoop.nowMs(), System.currentTimeMillis(), record));
-        spentNs[2] += System.nanoTime() - from;
+        spentNs[2] += System.nanoTime() - startNs;
     }
 
-    private void tick(long late) {
-        maxTickDelayMs = Math.max(maxTickDelayMs, late);
-        long from = System.nanoTime();
+    private void tick(long lateMs) {
+        maxTickDelayMs = Math.max(maxTickDelayMs, lateMs);
+        long startNs = System.nanoTime();
         perform(core.tick(EventLoop.nowMs(), System.currentTimeMillis()));
         server.tick();
         client.tick();
         peerConnections.tick();
-        spentNs[3] += System.nanoTime() - from;
+        spentNs[3] += System.nanoTime() - startNs;
         if (EventLoop.nowMs() >= nextLogMs) {
             nextLogMs = EventLoop.nowMs() + 30_000;
             LOG.info(
@@ -88,27 +102,33 @@
     }
 
     private void perform(List<Effect> effects) {
-        for (Effect e : effects) {
-            if (e instanceof Effect.Answer a) {
-                server.answer(a.exchange(), a.status(), MessagePackCodec.encode(a.body()), a.retryAfterS());
-            } else if (e instanceof Effect.Call c) {
+        for (Effect effect : effects) {
+            if (effect instanceof Effect.Answer answer) {
+                server.answer(
+                        answer.exchange(),
+                        answer.status(),
+                        MessagePackCodec.encode(answer.body()),
+                        answer.retryAfterS());
+            } else if (effect instanceof Effect.Call call) {
                 client.call(
-                        c.address(),
-                        c.method(),
-                        c.path(),
-                        c.body() == null ? HttpClient.EMPTY_BODY : MessagePackCodec.encode(c.body()),
-                        c.timeoutMs(),
-                        (status, body) -> handleReply(c.id(), status, body));
-            } else if (e instanceof Effect.Send s) {
-                peerConnections.send(s.peer(), s.record());
+                        call.address(),
+                        call.method(),
+                        call.path(),
+                        call.body() == null ? HttpClient.EMPTY_BODY : MessagePackCodec.encode(call.body()),
+                        call.timeoutMs(),
+                        (status, body) -> handleReply(call.id(), status, body));
+            } else if (effect instanceof Effect.Send send) {
+                peerConnections.send(send.peer(), send.record());
             }
         }
     }
 
+    /** Lets {@link #run} end. May be called from any thread. */
     public void stop() {
         eventLoop.stop();
     }
 
+    /** Opens the sockets, serves in the calling thread until {@link #stop}, and closes the sockets. */
     public void run() throws IOException, InterruptedException {
         peerConnections.open();
         server.open();
--- a/src/main/java/birchusher/server/PeerConnections.java
+++ b/src/main/java/birchusher/server/PeerConnections.java
@@ -18,12 +18,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Links between controllers: one connection each way, records framed by their length. What does not fit is dropped. */
+/**
+ * Connections with the other controllers: one in each direction per peer. A record is framed by its length (4 bytes,
+ * big-endian). Delivery is best effort: records that are too large or do not fit the queue are dropped, as are those in
+ * flight when a connection ends. All methods and callbacks run on the event loop's thread.
+ */
 final class PeerConnections {
     private static final Logger LOG = LoggerFactory.getLogger(PeerConnections.class);
     private static final int MAX_QUEUED_RECORDS = 128;
     private static final int MAX_INBOUND_CONNECTIONS = 32;
     private static final long RECONNECT_DELAY_MS = 400;
+    /** For one connect or one write; the connection is dropped after it. */
     private static final long PROGRESS_TIMEOUT_MS = 3_000;
 
     private final ControllerServer server;
@@ -33,13 +38,14 @@
     private AsynchronousServerSocketChannel listener;
     private int inboundCount;
 
-    PeerConnections(ControllerServer loop, EventLoop events, Settings s) {
-        this.server = loop;
-        this.eventLoop = events;
-        this.settings = s;
-        s.peers().forEach(p -> outboundConnections.add(new OutboundConnection(p.address())));
+    PeerConnections(ControllerServer server, EventLoop eventLoop, Settings settings) {
+        this.server = server;
+        this.eventLoop = eventLoop;
+        this.settings = settings;
+        settings.peers().forEach(peer -> outboundConnections.add(new OutboundConnection(peer.address())));
     }
 
+    /** Binds the address for peers and accepts connections; outbound ones are opened by {@link #tick}. */
     void open() throws IOException {
         listener = AsynchronousServerSocketChannel.open(eventLoop.channelGroup());
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -55,24 +61,30 @@
         outboundConnections.forEach(OutboundConnection::disconnect);
     }
 
-    /** Member indices count ourselves as 0, then the peers as in the settings. */
+    /**
+     * Queues a record for a peer.
+     *
+     * @param member index of the peer: 1 and up, in the order of the settings (0 is this controller)
+     */
     void send(int member, byte[] record) {
         outboundConnections.get(member - 1).send(record);
     }
 
+    /** Opens missing outbound connections and drops those without progress. To be called regularly. */
     void tick() {
         outboundConnections.forEach(OutboundConnection::tick);
     }
 
-    private void handleAccepted(AsynchronousSocketChannel ch) {
+    private void handleAccepted(AsynchronousSocketChannel channel) {
         if (inboundCount >= MAX_INBOUND_CONNECTIONS) {
-            Acceptor.closeQuietly(ch);
+            Acceptor.closeQuietly(channel);
         } else {
             inboundCount++;
-            new InboundConnection(ch).read();
+            new InboundConnection(channel).read();
         }
     }
 
+    /** A connection opened by a peer; records are only read from it. */
     private final class InboundConnection {
         private final AsynchronousSocketChannel channel;
         private ByteBuffer input = ByteBuffer.allocate(16 * 1024);
@@ -84,19 +96,19 @@
         void read() {
             channel.read(input, null, new CompletionHandler<Integer, Void>() {
                 @Override
-                public void completed(Integer n, Void a) {
-                    eventLoop.post(() -> handleRead(n));
+                public void completed(Integer length, Void attachment) {
+                    eventLoop.post(() -> handleRead(length));
                 }
 
                 @Override
-                public void failed(Throwable e, Void a) {
+                public void failed(Throwable e, Void attachment) {
                     eventLoop.post(() -> close());
                 }
             });
         }
 
-        private void handleRead(int n) {
-            if (n < 0) {
+        private void handleRead(int bytesRead) {
+            if (bytesRead < 0) {
                 close();
                 return;
             }
@@ -104,7 +116,7 @@
             while (input.remaining() >= 4) {
                 int length = input.getInt(input.position());
                 if (length <= 0 || length > PeerCodec.MAX_RECORD_BYTES) {
-                    LOG.info("peer frame of {} bytes, link closed", length);
+                    LOG.info("invalid peer record length {} bytes, connection closed", length);
                     close();
                     return;
                 }
@@ -131,19 +143,25 @@
         }
     }
 
+    /** A connection to a peer; records are only written to it. It is opened again after it ended. */
     private final class OutboundConnection {
         private final Settings.Address address;
         private final Deque<byte[]> queue = new ArrayDeque<>();
         private AsynchronousSocketChannel channel;
         private boolean connected;
         private boolean writing;
+        /** Start of the connect or write under way. */
         private long startedAtMs;
+
         private long reconnectAtMs;
 
         OutboundConnection(Settings.Address address) {
             this.address = address;
         }
 
+        /**
+         * Queues a record; the oldest ones are dropped if the queue is full, which it is sooner while not connected.
+         */
         void send(byte[] record) {
             if (record.length > PeerCodec.MAX_RECORD_BYTES) {
                 return;
@@ -167,17 +185,17 @@
         private void connect(long now) {
             startedAtMs = now;
             try {
-                AsynchronousSocketChannel ch = AsynchronousSocketChannel.open(eventLoop.channelGroup());
-                channel = ch;
-                ch.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                ch.connect(
+                AsynchronousSocketChannel newChannel = AsynchronousSocketChannel.open(eventLoop.channelGroup());
+                channel = newChannel;
+                newChannel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                newChannel.connect(
                         new InetSocketAddress(address.host(), address.port()),
                         null,
                         new CompletionHandler<Void, Void>() {
                             @Override
-                            public void completed(Void v, Void a) {
+                            public void completed(Void result, Void attachment) {
                                 eventLoop.post(() -> {
-                                    if (channel == ch) {
+                                    if (channel == newChannel) {
                                         connected = true;
                                         write();
                                     }
@@ -185,8 +203,8 @@
                             }
 
                             @Override
-                            public void failed(Throwable e, Void a) {
-                                eventLoop.post(() -> disconnectIfCurrent(ch));
+                            public void failed(Throwable e, Void attachment) {
+                                eventLoop.post(() -> disconnectIfCurrent(newChannel));
                             }
                         });
             } catch (IOException e) {
@@ -200,25 +218,25 @@
             }
             writing = true;
             startedAtMs = EventLoop.nowMs();
-            AsynchronousSocketChannel ch = channel;
+            AsynchronousSocketChannel current = channel;
             int size = 0;
             List<byte[]> batch = new ArrayList<>();
             while (!queue.isEmpty() && (batch.isEmpty() || size < 64 * 1024)) {
-                byte[] r = queue.pollFirst();
-                size += 4 + r.length;
-                batch.add(r);
+                byte[] record = queue.pollFirst();
+                size += 4 + record.length;
+                batch.add(record);
             }
-            ByteBuffer out = ByteBuffer.allocate(size);
-            batch.forEach(r -> out.putInt(r.length).put(r));
-            out.flip();
-            ch.write(out, null, new CompletionHandler<Integer, Void>() {
+            ByteBuffer output = ByteBuffer.allocate(size);
+            batch.forEach(record -> output.putInt(record.length).put(record));
+            output.flip();
+            current.write(output, null, new CompletionHandler<Integer, Void>() {
                 @Override
-                public void completed(Integer n, Void a) {
-                    if (out.hasRemaining()) {
-                        ch.write(out, null, this);
+                public void completed(Integer length, Void attachment) {
+                    if (output.hasRemaining()) {
+                        current.write(output, null, this);
                     } else {
                         eventLoop.post(() -> {
-                            if (channel == ch) {
+                            if (channel == current) {
                                 writing = false;
                                 write();
                             }
@@ -227,14 +245,15 @@
                 }
 
                 @Override
-                public void failed(Throwable e, Void a) {
-                    eventLoop.post(() -> disconnectIfCurrent(ch));
+                public void failed(Throwable e, Void attachment) {
+                    eventLoop.post(() -> disconnectIfCurrent(current));
                 }
             });
         }
 
-        private void disconnectIfCurrent(AsynchronousSocketChannel ch) {
-            if (channel == ch) {
+        /** Disconnects unless the connection has been replaced since. */
+        private void disconnectIfCurrent(AsynchronousSocketChannel failed) {
+            if (channel == failed) {
                 disconnect();
             }
         }
--- a/src/main/java/birchusher/settings/Settings.java
+++ b/src/main/java/birchusher/settings/Settings.java
@@ -2,7 +2,32 @@
 
 import java.util.List;
 
-/** What the platform hands over, checked. Units are in the names. */
+/**
+ * A controller's validated settings, as given by the platform. Units are in the names. The limits of workers, state
+ * service and cloud are the same for all controllers.
+ *
+ * @param member this controller's member name
+ * @param zone this controller's zone
+ * @param listenAddress where users, workers and health checks reach this controller
+ * @param meshAddress where other controllers reach this controller
+ * @param peers the other controllers
+ * @param zones all zones
+ * @param teams all teams
+ * @param objectives the service level objectives; may be empty
+ * @param reportIntervalS how often a worker reports
+ * @param workerLeaseS how long a worker keeps its tasks without a response
+ * @param gangWaitTimeoutS how long a gang's task waits for the gang's other tasks before it gives up
+ * @param gangPeerTimeoutS a gang's task that is silent for longer is taken to be gone
+ * @param cancelLimitS within which the tasks of a job end after its cancellation was confirmed to a user
+ * @param stateRequestsPerS request limit of the state service
+ * @param stateWritesPerS limit of written rows of the state service
+ * @param maxValueKb largest value of a row
+ * @param maxTransactionOps most writes in one transaction
+ * @param cloudRequestsPerS request limit of the cloud
+ * @param cloudListLagS how far the cloud's list of rented machines may lag
+ * @param maxConnections sockets that this controller may have open
+ * @param clockOffsetMs largest difference between the machines' wall clocks
+ */
 public record Settings(
         String member,
         String zone,
@@ -28,7 +53,7 @@
         int maxConnections,
         double clockOffsetMs) {
 
-    /** A host's IP number and port. */
+    /** A host name or IP address, and a port. */
     public record Address(String host, int port) {
         @Override
         public String toString() {
@@ -36,44 +61,55 @@
         }
     }
 
-    /** Another controller. */
+    /** Another controller, and where it listens for its peers. */
     public record Peer(String member, String zone, Address address) {}
 
-    /** A team's guarantee and limit in CPUs and GPUs; 0: none. */
+    /** A team's guarantees ({@code cpus}, {@code gpus}) and limits ({@code cpusMax}, {@code gpusMax}); 0 means none. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-    /** An aim of the deployment: this share of a class within so many seconds. */
+    /**
+     * A service level objective of some kind: this share of a job class, or of all if it is null, within so many
+     * seconds.
+     */
     public record Objective(String kind, String jobClass, double withinS, double share) {}
 
-    /** By the protocol a worker waits so long for an answer, and asks the next controller after that much more. */
+    /** By the protocol, how long a worker waits for a response to its report. */
     public static final long WORKER_RESPONSE_TIMEOUT_MS = 4_000;
 
+    /** By the protocol, how long a worker without a response waits before it turns to the next controller. */
     public static final long WORKER_RETRY_DELAY_MS = 1_000;
-    /** Steady clocks of two machines may differ by this share. */
+
+    /** Largest difference in speed between the monotonic clocks of two machines, as a fraction. */
     public static final double MAX_CLOCK_DRIFT = 0.0005;
-    /** For an answer on its way out, and for the moments at which a worker looks at its lease. */
-    private static final long STALE_MARGIN_MS = 1_000;
+    /** Covers a response in flight and the interval at which a worker checks its lease. */
+    private static final long CANCEL_MARGIN_MS = 1_000;
 
     private static final long MIN_STALENESS_LIMIT_MS = 5_000;
 
     /**
-     * How old what a controller knows may be while it answers workers. A cancellation that it does not know of was told to a user
-     * after that; the last worker that it answers drops its tasks a lease later, and that must be within {@code cancelS}.
+     * Returns how stale a controller's view may be, in ms, while it answers workers. A cancellation that is missing in
+     * the view was confirmed to a user after the moment up to which the view is known to be complete. The last worker
+     * answered with that view drops its tasks at most one lease later, and that must be within {@code cancelLimitS} of
+     * the confirmation.
      */
     public long stalenessLimitMs() {
         return Math.max(MIN_STALENESS_LIMIT_MS, cancelSlackMs());
     }
 
     /**
-     * Whether leases are too long for that: then a worker that was just answered may keep a cancelled task for too long whoever knows of it,
-     * so a cancellation is told only once its tasks are gone.
+     * Returns whether worker leases are too long for that limit. A worker that was answered just before a cancellation
+     * may then keep a cancelled task for too long, whichever controller knows of the cancellation, so it is confirmed
+     * only when the job's tasks are gone.
      */
     public boolean confirmsCancelWhenStopped() {
         return cancelSlackMs() < MIN_STALENESS_LIMIT_MS;
     }
 
+    /**
+     * What is left of the cancellation limit after a worker lease, with clock drift and the margin; may be negative.
+     */
     private long cancelSlackMs() {
         return Math.round(1000 * (cancelLimitS * (1 - 2 * MAX_CLOCK_DRIFT) - workerLeaseS * (1 + 2 * MAX_CLOCK_DRIFT)))
-                - STALE_MARGIN_MS;
+                - CANCEL_MARGIN_MS;
     }
 }
--- a/src/main/java/birchusher/settings/SettingsReader.java
+++ b/src/main/java/birchusher/settings/SettingsReader.java
@@ -12,60 +12,65 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the platform's JSON file. Unknown fields are ignored; a bad one is named. */
+/** Reads the platform's JSON file. Unknown fields are ignored; the error for an invalid field names it. */
 public final class SettingsReader {
     private SettingsReader() {}
 
+    /**
+     * Parses and validates a controller's settings.
+     *
+     * @throws InvalidInputException if a field is missing or invalid
+     */
     public static Settings read(byte[] json) {
-        Map<String, Object> top = Fields.map(parseJson(json), "settings");
-        Map<String, Object> dep = requiredSection(top, "deployment");
-        Map<String, Object> ext = requiredSection(top, "external");
-        Map<String, Object> workers = requiredSection(dep, "workers");
-        Map<String, Object> state = requiredSection(dep, "state");
-        Map<String, Object> cloud = requiredSection(dep, "cloud");
-        Map<String, Object> res = requiredSection(dep, "resources");
+        Map<String, Object> root = Fields.map(parseJson(json), "settings");
+        Map<String, Object> deployment = requiredSection(root, "deployment");
+        Map<String, Object> external = requiredSection(root, "external");
+        Map<String, Object> workers = requiredSection(deployment, "workers");
+        Map<String, Object> state = requiredSection(deployment, "state");
+        Map<String, Object> cloud = requiredSection(deployment, "cloud");
+        Map<String, Object> resources = requiredSection(deployment, "resources");
         List<Settings.Peer> peers = new ArrayList<>();
-        for (Object o : Fields.list(top, "seeds")) {
-            Map<String, Object> m = Fields.map(o, "seeds");
+        for (Object item : Fields.list(root, "seeds")) {
+            Map<String, Object> fields = Fields.map(item, "seeds");
             peers.add(new Settings.Peer(
-                    Fields.text(m, "member"), Fields.text(m, "area"), requiredAddress(m, "peer_addr")));
+                    Fields.text(fields, "member"), Fields.text(fields, "area"), requiredAddress(fields, "peer_addr")));
         }
         List<String> zones = new ArrayList<>();
-        for (Object o : Fields.list(dep, "zones")) {
-            if (!(o instanceof String s)) {
-                throw new InvalidInputException("deployment.zones: not text");
+        for (Object item : Fields.list(deployment, "zones")) {
+            if (!(item instanceof String zone)) {
+                throw new InvalidInputException("deployment.zones: not a string");
             }
-            zones.add(s);
+            zones.add(zone);
         }
         List<Settings.Team> teams = new ArrayList<>();
-        for (Object o : Fields.list(dep, "teams")) {
-            Map<String, Object> m = Fields.map(o, "teams");
+        for (Object item : Fields.list(deployment, "teams")) {
+            Map<String, Object> fields = Fields.map(item, "teams");
             teams.add(new Settings.Team(
-                    Fields.text(m, "name"),
-                    Fields.amountOr(m, "cpus", 0),
-                    Fields.amountOr(m, "cpus_max", 0),
-                    Fields.amountOr(m, "gpus", 0),
-                    Fields.amountOr(m, "gpus_max", 0)));
+                    Fields.text(fields, "name"),
+                    Fields.amountOr(fields, "cpus", 0),
+                    Fields.amountOr(fields, "cpus_max", 0),
+                    Fields.amountOr(fields, "gpus", 0),
+                    Fields.amountOr(fields, "gpus_max", 0)));
         }
         List<Settings.Objective> objectives = new ArrayList<>();
-        if (dep.get("objectives") != null) {
-            for (Object o : Fields.list(dep, "objectives")) {
-                Map<String, Object> m = Fields.map(o, "objectives");
+        if (deployment.get("objectives") != null) {
+            for (Object item : Fields.list(deployment, "objectives")) {
+                Map<String, Object> fields = Fields.map(item, "objectives");
                 objectives.add(new Settings.Objective(
-                        Fields.text(m, "kind"),
-                        Fields.textOrNull(m, "class"),
-                        Fields.amountOr(m, "within_s", 0),
-                        Fields.amountOr(m, "share", 0)));
+                        Fields.text(fields, "kind"),
+                        Fields.textOrNull(fields, "class"),
+                        Fields.amountOr(fields, "within_s", 0),
+                        Fields.amountOr(fields, "share", 0)));
             }
         }
         return new Settings(
-                Fields.text(top, "member"),
-                Fields.text(top, "area"),
-                requiredAddress(top, "listen"),
-                requiredAddress(top, "mesh_addr"),
+                Fields.text(root, "member"),
+                Fields.text(root, "area"),
+                requiredAddress(root, "listen"),
+                requiredAddress(root, "mesh_addr"),
                 List.copyOf(peers),
-                requiredAddress(ext, "cloud"),
-                requiredAddress(ext, "state"),
+                requiredAddress(external, "cloud"),
+                requiredAddress(external, "state"),
                 List.copyOf(zones),
                 List.copyOf(teams),
                 List.copyOf(objectives),
@@ -80,74 +85,84 @@
                 (int) positiveNumber(state, "txn_ops"),
                 positiveNumber(cloud, "rps"),
                 Fields.amount(cloud, "list_lag_s"),
-                (int) positiveNumber(res, "max_connections"),
-                Fields.amountOr(dep, "clock_off_ms", 1000));
+                (int) positiveNumber(resources, "max_connections"),
+                Fields.amountOr(deployment, "clock_off_ms", 1000));
     }
 
-    /** Any JSON as maps, lists, text, numbers and booleans. */
+    /**
+     * Parses any JSON into maps, lists, strings, longs, doubles, booleans and null.
+     *
+     * @throws InvalidInputException if it is not JSON or empty
+     */
     public static Object parseJson(byte[] json) {
-        try (JsonParser p = new JsonFactory().createParser(json)) {
-            p.nextToken();
-            return readValue(p);
+        try (JsonParser parser = new JsonFactory().createParser(json)) {
+            parser.nextToken();
+            return readValue(parser);
         } catch (IOException e) {
             throw new InvalidInputException("not JSON: " + e.getClass().getSimpleName());
         }
     }
 
-    private static Map<String, Object> requiredSection(Map<String, Object> m, String key) {
-        return Fields.map(m.get(key), key);
+    private static Map<String, Object> requiredSection(Map<String, Object> fields, String key) {
+        return Fields.map(fields.get(key), key);
     }
 
-    private static double positiveNumber(Map<String, Object> m, String key) {
-        double d = Fields.amount(m, key);
-        if (d <= 0) {
+    private static double positiveNumber(Map<String, Object> fields, String key) {
+        double number = Fields.amount(fields, key);
+        if (number <= 0) {
             throw new InvalidInputException(key + ": must be above 0");
         }
-        return d;
+        return number;
     }
 
-    private static Address requiredAddress(Map<String, Object> m, String key) {
-        return parseAddress(Fields.text(m, key), key);
+    private static Address requiredAddress(Map<String, Object> fields, String key) {
+        return parseAddress(Fields.text(fields, key), key);
     }
 
-    public static Address parseAddress(String s, String key) {
-        int colon = s.lastIndexOf(':');
+    /**
+     * Parses {@code host:port}.
+     *
+     * @param key named in the error
+     */
+    public static Address parseAddress(String text, String key) {
+        int colon = text.lastIndexOf(':');
         try {
-            int port = Integer.parseInt(s.substring(colon + 1));
+            int port = Integer.parseInt(text.substring(colon + 1));
             if (colon > 0 && port > 0 && port < 65536) {
-                return new Address(s.substring(0, colon), port);
+                return new Address(text.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // falls through to the same complaint
+            // Falls through to the exception below.
         }
         throw new InvalidInputException(key + ": not host:port");
     }
 
-    private static Object readValue(JsonParser p) throws IOException {
-        JsonToken t = p.currentToken();
-        if (t == null) {
+    /** Reads the value that begins at the current token. */
+    private static Object readValue(JsonParser parser) throws IOException {
+        JsonToken token = parser.currentToken();
+        if (token == null) {
             throw new InvalidInputException("settings: empty");
         }
-        return switch (t) {
+        return switch (token) {
             case START_OBJECT -> {
-                Map<String, Object> m = new HashMap<>();
-                while (p.nextToken() != JsonToken.END_OBJECT) {
-                    String key = p.currentName();
-                    p.nextToken();
-                    m.put(key, readValue(p));
+                Map<String, Object> fields = new HashMap<>();
+                while (parser.nextToken() != JsonToken.END_OBJECT) {
+                    String key = parser.currentName();
+                    parser.nextToken();
+                    fields.put(key, readValue(parser));
                 }
-                yield m;
+                yield fields;
             }
             case START_ARRAY -> {
-                List<Object> l = new ArrayList<>();
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    l.add(readValue(p));
+                List<Object> items = new ArrayList<>();
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    items.add(readValue(parser));
                 }
-                yield l;
+                yield items;
             }
-            case VALUE_STRING -> p.getText();
-            case VALUE_NUMBER_INT -> p.getLongValue();
-            case VALUE_NUMBER_FLOAT -> p.getDoubleValue();
+            case VALUE_STRING -> parser.getText();
+            case VALUE_NUMBER_INT -> parser.getLongValue();
+            case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             default -> null;
--- a/src/test/java/birchusher/SettingsTest.java
+++ b/src/test/java/birchusher/SettingsTest.java
@@ -34,9 +34,9 @@
 
     @Test
     void propertiesOverrideDefaultsAndUnknownKeysAreRejected() throws IOException {
-        Tuning t = new Tuning().withOverrides(new StringReader("lease.base-s=120\n"));
-        assertThat(t.durationMs("lease.base-s")).isEqualTo(120_000);
-        assertThat(t.durationMs("lease.renew-s")).isEqualTo(30_000);
+        Tuning tuning = new Tuning().withOverrides(new StringReader("lease.base-s=120\n"));
+        assertThat(tuning.durationMs("lease.base-s")).isEqualTo(120_000);
+        assertThat(tuning.durationMs("lease.renew-s")).isEqualTo(30_000);
         assertThatThrownBy(() -> new Tuning().withOverrides(new StringReader("lease.bass-s=1\n")))
                 .isInstanceOf(InvalidInputException.class)
                 .hasMessageContaining("lease.bass-s");
