--- a/src/main/java/birchusher/daemon/ApiFrontEnd.java
+++ b/src/main/java/birchusher/daemon/ApiFrontEnd.java
@@ -23,11 +23,13 @@
 import java.util.Map;
 
 /**
- * The one address for people and agents. It keeps programs, answers agents, reads logs from them, and passes everything
- * published on to the controller beside it. On a second address it serves the cloud protocol to controllers.
+ * The daemon's single address for people and agents. It stores programs, answers agents, reads task logs from them, and
+ * forwards the public job API to the daemon's controller. On a second address it serves the cloud protocol to
+ * controllers.
  *
- * <p>The controller is called over loopback as by anybody: one path, which the bench tests every day. A call in the process
- * would spare less than a tenth of a millisecond and be a second way to do the same.
+ * <p>The controller is called over loopback like by any other client, so that there is a single, constantly tested code
+ * path. A call within the process would save less than 0.1 ms and be a second way to do the same. All methods run on
+ * the event loop's thread.
  */
 final class ApiFrontEnd {
     private static final int MAX_BODY_BYTES = 64 * 1024;
@@ -49,15 +51,15 @@
     private final GangCoordinator gangs;
     private long nextSweepMs;
 
-    ApiFrontEnd(EventLoop loop, DaemonSettings d, DurableStoreRunner store) {
-        settings = d.settings();
+    ApiFrontEnd(EventLoop loop, DaemonSettings daemonSettings, DurableStoreRunner storeRunner) {
+        settings = daemonSettings.settings();
         controllerAddress = settings.listenAddress().toString();
-        this.storeRunner = store;
-        poolStore = new PoolStore(store);
+        this.storeRunner = storeRunner;
+        poolStore = new PoolStore(storeRunner);
         userServer = new HttpServer(
                 loop,
-                d.listenAddress().host(),
-                d.listenAddress().port(),
+                daemonSettings.listenAddress().host(),
+                daemonSettings.listenAddress().port(),
                 settings.maxConnections(),
                 MAX_BODY_BYTES,
                 this::handleUserRequest);
@@ -71,10 +73,11 @@
         client = new HttpClient(loop, MAX_OUTBOUND_CONNECTIONS);
         Map<String, Map<String, Object>> rows = poolStore.readAll();
         List<Object> controllers = new ArrayList<>();
-        d.controllers()
+        daemonSettings
+                .controllers()
                 .forEach((name, address) -> controllers.add(Map.of("member", name, Wire.ADDRESS, address.toString())));
         pool = new HostPool(
-                d.hosts(),
+                daemonSettings.hosts(),
                 Map.of(
                         "report_s",
                         settings.reportIntervalS(),
@@ -101,7 +104,7 @@
         cloudServer.close();
     }
 
-    void tick(long late) {
+    void tick(long lateMs) {
         long now = EventLoop.nowMs();
         storeRunner.tick();
         pool.tick(now);
@@ -116,28 +119,30 @@
         client.tick();
     }
 
-    /** A reply that is not as agreed must not leave its exchange without an answer. */
-    private HttpClient.ResponseHandler refusingInvalidResponses(long exchange, HttpClient.ResponseHandler reply) {
+    /**
+     * Wraps a handler so that a response that violates the protocol is answered with 503, not left without an answer.
+     */
+    private HttpClient.ResponseHandler refusingInvalidResponses(long exchange, HttpClient.ResponseHandler handler) {
         return (status, body) -> {
             try {
-                reply.handleResponse(status, body);
+                handler.handleResponse(status, body);
             } catch (InvalidInputException e) {
-                refuse(exchange, 503, "an answer was not as agreed: " + e.getMessage(), 5);
+                refuse(exchange, 503, "invalid response from another service: " + e.getMessage(), 5);
             }
         };
     }
 
-    /** Asks about one program that may no longer be needed. */
+    /** Asks the controller for the job of one program that may no longer be needed. */
     private void sweepPrograms() {
         String id = programs.nextToCheck(System.currentTimeMillis());
         if (id != null) {
             call(controllerAddress, "GET", Wire.JOBS + "/" + id, HttpClient.EMPTY_BODY, (status, body) -> {
                 if (status == 200 || status == 404) {
-                    Object stage = status == 404 ? null : decodeBody(body).get(Wire.STATE);
+                    Object state = status == 404 ? null : decodeBody(body).get(Wire.STATE);
                     programs.onJobStatus(
                             System.currentTimeMillis(),
                             id,
-                            Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage),
+                            Wire.DONE.equals(state) || Wire.CANCELLED.equals(state),
                             status == 404);
                     performOutputs();
                 }
@@ -145,35 +150,36 @@
         }
     }
 
+    /** Sends the responses and starts the writes that the pool's classes have requested, until there are none. */
     private void performOutputs() {
-        for (List<Outbox.Output> l = outbox.drain(); !l.isEmpty(); l = outbox.drain()) {
-            for (Outbox.Output o : l) {
-                if (o instanceof Outbox.Response a) {
-                    answer(a.exchange(), a.status(), a.body(), a.retryAfterS());
+        for (List<Outbox.Output> outputs = outbox.drain(); !outputs.isEmpty(); outputs = outbox.drain()) {
+            for (Outbox.Output output : outputs) {
+                if (output instanceof Outbox.Response response) {
+                    answer(response.exchange(), response.status(), response.body(), response.retryAfterS());
                 } else {
-                    poolStore.write((Outbox.Write) o, outbox, this::performOutputs);
+                    poolStore.write((Outbox.Write) output, outbox, this::performOutputs);
                 }
             }
         }
     }
 
-    /** Exchanges of the cloud's address are below 0, so that one outbox serves both. */
+    /** Sends a response. Exchanges of the cloud's address are negated, so that one outbox serves both addresses. */
     private void answer(long exchange, int status, Map<String, ?> body, int retryAfterS) {
         (exchange < 0 ? cloudServer : userServer)
                 .answer(Math.abs(exchange), status, MessagePackCodec.encode(body), retryAfterS);
     }
 
-    private void refuse(long exchange, int status, String why, int retryAfterS) {
-        answer(exchange, status, Map.of("error", why), retryAfterS);
+    private void refuse(long exchange, int status, String message, int retryAfterS) {
+        answer(exchange, status, Map.of("error", message), retryAfterS);
     }
 
     private interface RouteHandler {
         void handle() throws RequestTarget.InvalidTargetException;
     }
 
-    private void handleRoute(long exchange, RouteHandler r) {
+    private void handleRoute(long exchange, RouteHandler handler) {
         try {
-            r.handle();
+            handler.handle();
         } catch (InvalidInputException | RequestTarget.InvalidTargetException e) {
             refuse(exchange, 400, e.getMessage(), 0);
         }
@@ -184,11 +190,11 @@
         return Fields.map(MessagePackCodec.decode(body), "body");
     }
 
-    private void handleCloudRequest(long x, String method, String target, byte[] body) {
-        long exchange = -x;
+    private void handleCloudRequest(long cloudExchange, String method, String target, byte[] body) {
+        long exchange = -cloudExchange;
         handleRoute(exchange, () -> {
-            RequestTarget t = RequestTarget.parse(target);
-            String route = method + " " + t.path();
+            RequestTarget request = RequestTarget.parse(target);
+            String route = method + " " + request.path();
             if (route.equals("GET " + Wire.MACHINE_TYPES)) {
                 answer(exchange, 200, pool.listTypes(), 0);
             } else if (route.equals("POST " + Wire.RENTALS)) {
@@ -199,7 +205,10 @@
                 answer(
                         exchange,
                         200,
-                        pool.listMachines(System.currentTimeMillis(), t.text(Wire.AFTER, ""), t.count(Wire.LIMIT, 500)),
+                        pool.listMachines(
+                                System.currentTimeMillis(),
+                                request.text(Wire.AFTER, ""),
+                                request.count(Wire.LIMIT, 500)),
                         0);
             } else {
                 refuse(exchange, 404, "no such path", 0);
@@ -209,8 +218,8 @@
 
     private void handleUserRequest(long exchange, String method, String target, byte[] body) {
         handleRoute(exchange, () -> {
-            RequestTarget t = RequestTarget.parse(target);
-            String route = method + " " + t.path();
+            RequestTarget request = RequestTarget.parse(target);
+            String route = method + " " + request.path();
             if (route.equals("POST " + Wire.AGENTS)) {
                 pool.handlePoll(EventLoop.nowMs(), exchange, decodeBody(body));
             } else if (route.equals("POST " + Wire.GANGS)) {
@@ -218,24 +227,29 @@
             } else if (route.equals("GET " + Wire.POOL_MACHINES)) {
                 answer(exchange, 200, Map.of("machines", pool.describeHosts(EventLoop.nowMs())), 0);
             } else if (route.startsWith("GET " + Wire.DESCRIPTIONS)) {
-                describeJob(exchange, jobIdAfter(t, Wire.DESCRIPTIONS));
+                describeJob(exchange, jobIdAfter(request, Wire.DESCRIPTIONS));
             } else if (route.startsWith("POST " + Wire.PROGRAMS)) {
-                programs.put(System.currentTimeMillis(), exchange, jobIdAfter(t, Wire.PROGRAMS), decodeBody(body));
+                programs.put(
+                        System.currentTimeMillis(), exchange, jobIdAfter(request, Wire.PROGRAMS), decodeBody(body));
             } else if (route.startsWith("GET " + Wire.PROGRAMS)) {
-                Map<String, Object> p = programs.get(jobIdAfter(t, Wire.PROGRAMS));
-                answer(exchange, p == null ? 404 : 200, p == null ? Map.of("error", "no such program") : p, 0);
+                Map<String, Object> program = programs.get(jobIdAfter(request, Wire.PROGRAMS));
+                answer(
+                        exchange,
+                        program == null ? 404 : 200,
+                        program == null ? Map.of("error", "no such program") : program,
+                        0);
             } else if (route.startsWith("GET " + Wire.TASK_LOGS)) {
-                serveTaskLogs(exchange, t);
+                serveTaskLogs(exchange, request);
             } else if (route.equals("GET " + Wire.READY) && storeRunner.readOnly()) {
-                refuse(exchange, 503, "the disk can't be written", 1);
-            } else if (t.path().startsWith(Wire.JOBS)
-                    || t.path().equals(Wire.TEAMS)
-                    || t.path().equals(Wire.READY)) {
-                call(controllerAddress, method, target, body, (status, answered) -> {
+                refuse(exchange, 503, "the disk cannot be written", 1);
+            } else if (request.path().startsWith(Wire.JOBS)
+                    || request.path().equals(Wire.TEAMS)
+                    || request.path().equals(Wire.READY)) {
+                call(controllerAddress, method, target, body, (status, responseBody) -> {
                     if (status == 0) {
-                        refuse(exchange, 503, "the controller has not answered", 1);
+                        refuse(exchange, 503, "no response from the controller", 1);
                     } else {
-                        userServer.answer(exchange, status, answered, status == 503 || status == 429 ? 1 : 0);
+                        userServer.answer(exchange, status, responseBody, status == 503 || status == 429 ? 1 : 0);
                     }
                 });
             } else {
@@ -244,19 +258,20 @@
         });
     }
 
-    private static String jobIdAfter(RequestTarget t, String prefix) {
-        String id = t.path().substring(prefix.length());
+    /** Returns the job id that follows a path prefix. */
+    private static String jobIdAfter(RequestTarget request, String prefix) {
+        String id = request.path().substring(prefix.length());
         if (!JobCodec.isJobId(id)) {
             throw new InvalidInputException(Wire.ID + ": not a job id");
         }
         return id;
     }
 
-    private void call(String address, String method, String target, byte[] body, HttpClient.ResponseHandler reply) {
-        client.call(address, method, target, body, CONTROLLER_TIMEOUT_MS, reply);
+    private void call(String address, String method, String target, byte[] body, HttpClient.ResponseHandler handler) {
+        client.call(address, method, target, body, CONTROLLER_TIMEOUT_MS, handler);
     }
 
-    /** What an agent needs to run a job's tasks; 404 if it is unknown or over. */
+    /** Answers with what an agent needs to run a job's tasks; 404 if the job is unknown or over. */
     private void describeJob(long exchange, String id) {
         call(
                 controllerAddress,
@@ -264,76 +279,77 @@
                 Wire.JOBS + "/" + id + Wire.DESCRIBE + "?" + Wire.LIMIT + "=1",
                 HttpClient.EMPTY_BODY,
                 refusingInvalidResponses(exchange, (status, body) -> {
-                    Map<String, Object> m = status == 200 || status == 404 ? decodeBody(body) : Map.of();
-                    if (status == 200 && m.get("job") != null) {
-                        Map<String, Object> d = new HashMap<>();
-                        d.put("job", m.get("job"));
-                        d.put("program", programs.get(id));
-                        answer(exchange, 200, d, 0);
+                    Map<String, Object> response = status == 200 || status == 404 ? decodeBody(body) : Map.of();
+                    if (status == 200 && response.get("job") != null) {
+                        Map<String, Object> description = new HashMap<>();
+                        description.put("job", response.get("job"));
+                        description.put("program", programs.get(id));
+                        answer(exchange, 200, description, 0);
                     } else if (status == 200 || status == 404) {
                         refuse(exchange, 404, "no such job, or it is over", 0);
                     } else {
-                        refuse(exchange, 503, "the controller has not answered", 1);
+                        refuse(exchange, 503, "no job description from the controller", 1);
                     }
                 }));
     }
 
     /**
-     * {@code GET /v2/logs/{id}/{index}}: which hosts keep logs of a task, by attempt; hosts that don't answer are named. With
-     * {@code host}, {@code try} and {@code from}: a part of one.
+     * Serves {@code GET /v2/logs/{id}/{index}}: the logs of a task that each host keeps, by attempt, and the names of
+     * hosts that did not answer. With the parameters {@code host}, {@code try} and {@code from}, a part of one
+     * attempt's log on one host.
      */
-    private void serveTaskLogs(long exchange, RequestTarget t) {
-        String task = t.path().substring(Wire.TASK_LOGS.length());
-        if (t.parameters().containsKey("host")) {
-            String address = pool.agentAddress(t.text("host", ""));
+    private void serveTaskLogs(long exchange, RequestTarget request) {
+        String task = request.path().substring(Wire.TASK_LOGS.length());
+        if (request.parameters().containsKey("host")) {
+            String address = pool.agentAddress(request.text("host", ""));
             if (address == null) {
-                refuse(exchange, 404, "no host of that name is heard of", 0);
+                refuse(exchange, 404, "no host with that name has reported", 0);
                 return;
             }
             client.call(
                     address,
                     "GET",
-                    "/logs/" + task + "?try=" + t.text("try", "0") + "&from=" + t.text("from", "0"),
+                    "/logs/" + task + "?try=" + request.text("try", "0") + "&from=" + request.text("from", "0"),
                     HttpClient.EMPTY_BODY,
                     LOG_TIMEOUT_MS,
                     (status, body) -> {
                         if (status == 0) {
-                            refuse(exchange, 503, "the host has not answered", 1);
+                            refuse(exchange, 503, "no response from the host's agent", 1);
                         } else {
                             userServer.answer(exchange, status, body, 0);
                         }
                     });
             return;
         }
-        Map<String, Object> found = new LinkedHashMap<>();
-        List<Object> silent = new ArrayList<>();
+        Map<String, Object> logsByHost = new LinkedHashMap<>();
+        List<Object> silentHosts = new ArrayList<>();
         List<String> hosts = pool.reachableHosts(EventLoop.nowMs());
-        int[] open = {hosts.size()};
-        Runnable done = () -> answer(exchange, 200, Map.of("hosts", found, "silent", silent), 0);
+        int[] pendingHosts = {hosts.size()};
+        Runnable answerAll = () -> answer(exchange, 200, Map.of("hosts", logsByHost, "silent", silentHosts), 0);
         if (hosts.isEmpty()) {
-            done.run();
+            answerAll.run();
         }
-        for (String h : hosts) {
+        for (String host : hosts) {
             client.call(
-                    pool.agentAddress(h),
+                    pool.agentAddress(host),
                     "GET",
                     "/logs/" + task,
                     HttpClient.EMPTY_BODY,
                     LOG_TIMEOUT_MS,
                     refusingInvalidResponses(exchange, (status, body) -> {
-                        if (status == 400 && open[0] > 0) {
-                            open[0] = 0;
+                        if (status == 400 && pendingHosts[0] > 0) {
+                            pendingHosts[0] = 0;
                             userServer.answer(exchange, 400, body, 0);
                             return;
                         }
-                        List<?> l = status == 200 ? Fields.list(decodeBody(body), "logs") : List.of();
+                        List<?> logs = status == 200 ? Fields.list(decodeBody(body), "logs") : List.of();
                         if (status != 200) {
-                            silent.add(h);
-                        } else if (!l.isEmpty()) {
-                            found.put(h, l);
+                            silentHosts.add(host);
+                        } else if (!logs.isEmpty()) {
+                            logsByHost.put(host, logs);
                         }
-                        if (--open[0] == 0) {
-                            done.run();
+                        if (--pendingHosts[0] == 0) {
+                            answerAll.run();
                         }
                     }));
         }
--- a/src/main/java/birchusher/daemon/Daemon.java
+++ b/src/main/java/birchusher/daemon/Daemon.java
@@ -18,14 +18,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Controller, state service and pool in one program, each with its own thread and sockets; they talk over loopback as they
- * would over a network. All that has to last is in one directory.
+ * Controller, state service and pool in one process, each with its own thread and sockets. They communicate over
+ * loopback as they would over a network. All durable data is in one directory.
  */
 public final class Daemon implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
-    /** The pool's own store has no clients to be protected from. */
+    /** Only the pool itself writes to its store, so its rates are practically unlimited. */
     private static final Limits POOL_STORE_LIMITS = new Limits(1e6, 1e6, 128, Limits.MAX_TRANSACTION_BYTES);
 
+    /** The main function of one of the threads. */
     private interface ThreadBody {
         void run() throws Exception;
     }
@@ -43,63 +44,68 @@
     private volatile boolean failed;
 
     /**
-     * Reads everything kept; nothing is served yet.
+     * Recovers all durable data; nothing is served before {@link #start}.
      *
-     * @throws birchusher.wal.Damaged if something durable can't be read
-     * @throws IOException also if another daemon holds the directory
+     * @throws birchusher.wal.CorruptedDataException if durable data cannot be read
+     * @throws IOException also if another process holds the directory
      */
-    public Daemon(DaemonSettings d) throws IOException {
-        stateRunner = openStore(stateLoop, stateDir(d.dataDir()), d, d.limits());
+    public Daemon(DaemonSettings daemonSettings) throws IOException {
+        stateRunner = openStore(stateLoop, stateDir(daemonSettings.dataDir()), daemonSettings, daemonSettings.limits());
         try {
-            poolRunner = openStore(frontEndLoop, poolDir(d.dataDir()), d, POOL_STORE_LIMITS);
+            poolRunner = openStore(frontEndLoop, poolDir(daemonSettings.dataDir()), daemonSettings, POOL_STORE_LIMITS);
         } catch (IOException | RuntimeException e) {
             closeQuietly(stateRunner);
             throw e;
         }
         stateServer = new StateServer(
                 stateLoop,
-                d.settings().stateAddress().host(),
-                d.settings().stateAddress().port(),
+                daemonSettings.settings().stateAddress().host(),
+                daemonSettings.settings().stateAddress().port(),
                 1_000,
                 stateRunner);
-        frontEnd = new ApiFrontEnd(frontEndLoop, d, poolRunner);
-        controller = new ControllerServer(d.settings(), d.tuning());
+        frontEnd = new ApiFrontEnd(frontEndLoop, daemonSettings, poolRunner);
+        controller = new ControllerServer(daemonSettings.settings(), daemonSettings.tuning());
     }
 
-    /** The two directories that a repair may be asked for. */
-    public static Path stateDir(Path data) {
-        return data.resolve("state");
+    /** The data directory of the state service; it can be repaired on its own. */
+    public static Path stateDir(Path dataDir) {
+        return dataDir.resolve("state");
     }
 
-    public static Path poolDir(Path data) {
-        return data.resolve("pool");
+    /** The data directory of the pool; it can be repaired on its own. */
+    public static Path poolDir(Path dataDir) {
+        return dataDir.resolve("pool");
     }
 
-    private static DurableStoreRunner openStore(EventLoop loop, Path dir, DaemonSettings d, Limits limits)
+    private static DurableStoreRunner openStore(EventLoop loop, Path dir, DaemonSettings daemonSettings, Limits limits)
             throws IOException {
-        LockedDirectory disk = new LockedDirectory(dir);
+        LockedDirectory directory = new LockedDirectory(dir);
         try {
             return new DurableStoreRunner(
                     loop,
                     DurableStore.open(
-                            disk, WriteAheadLog.Options.DEFAULT, d.snapshotBytes(), limits, EventLoop.nowMs()));
+                            directory,
+                            WriteAheadLog.Options.DEFAULT,
+                            daemonSettings.snapshotIntervalBytes(),
+                            limits,
+                            EventLoop.nowMs()));
         } catch (IOException | RuntimeException e) {
-            disk.close();
+            directory.close();
             throw e;
         }
     }
 
-    private static void closeQuietly(DurableStoreRunner h) {
+    private static void closeQuietly(DurableStoreRunner runner) {
         try {
-            h.close();
+            runner.close();
         } catch (IOException e) {
-            LOG.debug("close failed: {}", e.getMessage());
+            LOG.debug("closing the store failed: {}", e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Opens the sockets and serves until {@link #close}, or until a part of it fails. */
+    /** Opens the sockets and starts the threads, which serve until {@link #close} or until one of them fails. */
     public void start() throws IOException {
         stateServer.open();
         startThread("state", () -> stateLoop.run(late -> stateServer.tick()));
@@ -109,29 +115,32 @@
     }
 
     private void startThread(String name, ThreadBody body) {
-        Thread t = new Thread(
+        Thread thread = new Thread(
                 () -> {
                     try {
                         body.run();
                     } catch (Exception e) {
-                        LOG.error("{} ends", name, e);
+                        LOG.error("thread {} ended with an error", name, e);
                     } finally {
                         failed |= !closeRequested;
                         anyThreadEnded.countDown();
                     }
                 },
                 name);
-        threads.add(t);
-        t.start();
+        threads.add(thread);
+        thread.start();
     }
 
-    /** Waits until a part has ended; false if it was not asked to. */
+    /** Waits until a thread has ended. Returns false if one ended before {@link #close} was called. */
     public boolean await() throws InterruptedException {
         anyThreadEnded.await();
         return !failed;
     }
 
-    /** Ends in order: first whoever takes requests, then what they rest on. Returns when everything is on disk and closed. */
+    /**
+     * Stops the API front end and the controller first, then the state service that they depend on. Returns when
+     * everything is on disk and closed.
+     */
     @Override
     public void close() throws IOException {
         try {
@@ -152,9 +161,9 @@
     }
 
     private void joinThread(String name) throws InterruptedException {
-        for (Thread t : threads) {
-            if (t.getName().equals(name)) {
-                t.join();
+        for (Thread thread : threads) {
+            if (thread.getName().equals(name)) {
+                thread.join();
             }
         }
     }
--- a/src/main/java/birchusher/daemon/DaemonSettings.java
+++ b/src/main/java/birchusher/daemon/DaemonSettings.java
@@ -22,11 +22,15 @@
 import java.util.Set;
 
 /**
- * The daemon's properties, checked: a key nobody knows is refused by its name, and so is a value that can't be. Keys of the
- * controller's own tuning may stand in the same file.
+ * The daemon's validated properties. Unknown keys and invalid values are refused with an error that names the key. The
+ * file may also contain keys of the controller's {@link Tuning}.
  *
- * @param settings what the platform's file would say to a controller
- * @param controllers all of them by their names, where agents reach them
+ * @param listenAddress where people and agents reach the daemon
+ * @param settings the settings of the daemon's own controller
+ * @param hosts the hosts of the pool
+ * @param limits the limits of the state service
+ * @param snapshotIntervalBytes size of the log after which the state service writes a snapshot
+ * @param controllers where agents reach each controller, by member name
  */
 public record DaemonSettings(
         Path dataDir,
@@ -35,7 +39,7 @@
         HostInventory hosts,
         Limits limits,
         Tuning tuning,
-        long snapshotBytes,
+        long snapshotIntervalBytes,
         Map<String, Address> controllers) {
     private static final List<String> DAEMON_KEYS = List.of(
             "data.dir",
@@ -65,74 +69,80 @@
     private static final int MAX_VALUE_KB = 32;
     private static final int MAX_TRANSACTION_WRITES = 64;
 
-    /** Reads a file as {@code deploy/daemon.properties} shows it. Paths are relative to the working directory. */
+    /**
+     * Reads and validates a file such as {@code deploy/daemon.properties}. Paths in it are relative to the working
+     * directory.
+     *
+     * @throws InvalidInputException if a key or a value is invalid
+     */
     public static DaemonSettings read(Reader file) throws IOException {
-        Properties p = new Properties();
+        Properties properties = new Properties();
         try {
-            p.load(file);
+            properties.load(file);
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException("properties: " + e.getMessage());
         }
-        return new PropertiesReader(p).read();
+        return new PropertiesReader(properties).read();
     }
 
     private static final class PropertiesReader {
         private final Properties properties;
         private final Set<String> knownKeys = new HashSet<>(DAEMON_KEYS);
 
-        PropertiesReader(Properties p) {
-            this.properties = p;
+        PropertiesReader(Properties properties) {
+            this.properties = properties;
         }
 
         DaemonSettings read() throws IOException {
             List<String> zones = requiredNames("zones");
             List<Settings.Team> teams = new ArrayList<>();
-            for (String t : declaredNames("teams", "team", TEAM_KEYS)) {
-                String k = "team." + t + ".";
+            for (String name : declaredNames("teams", "team", TEAM_KEYS)) {
+                String prefix = "team." + name + ".";
                 teams.add(new Settings.Team(
-                        t,
-                        numberOr(k + "cpus", 0),
-                        numberOr(k + "cpus-max", 0),
-                        numberOr(k + "gpus", 0),
-                        numberOr(k + "gpus-max", 0)));
+                        name,
+                        numberOr(prefix + "cpus", 0),
+                        numberOr(prefix + "cpus-max", 0),
+                        numberOr(prefix + "gpus", 0),
+                        numberOr(prefix + "gpus-max", 0)));
             }
             List<HostInventory.HostType> types = new ArrayList<>();
-            for (String t : declaredNames("types", "type", TYPE_KEYS)) {
-                String k = "type." + t + ".";
+            for (String name : declaredNames("types", "type", TYPE_KEYS)) {
+                String prefix = "type." + name + ".";
                 types.add(new HostInventory.HostType(
-                        t,
-                        requiredNumber(k + "cpus"),
-                        numberOr(k + "gpus", 0),
-                        requiredNumber(k + "memory-gb"),
-                        numberOr(k + "price", 1)));
+                        name,
+                        requiredNumber(prefix + "cpus"),
+                        numberOr(prefix + "gpus", 0),
+                        requiredNumber(prefix + "memory-gb"),
+                        numberOr(prefix + "price", 1)));
             }
             Map<String, HostInventory.Host> hosts = new LinkedHashMap<>();
-            for (String h : declaredNames("hosts", "host", HOST_KEYS)) {
+            for (String name : declaredNames("hosts", "host", HOST_KEYS)) {
                 String zone = properties
-                        .getProperty("host." + h + ".zone", zones.get(0))
+                        .getProperty("host." + name + ".zone", zones.get(0))
                         .trim();
                 if (!zones.contains(zone)) {
-                    throw new InvalidInputException("host." + h + ".zone: " + zone + " is not among the zones");
+                    throw new InvalidInputException("host." + name + ".zone: " + zone + " is not one of the zones");
                 }
-                hosts.put(h, new HostInventory.Host(h, requiredText("host." + h + ".type"), zone));
+                hosts.put(name, new HostInventory.Host(name, requiredText("host." + name + ".type"), zone));
             }
             Tuning tuning = readTuning();
-            double lease = numberOr("workers.lease-s", 60);
-            double report = numberOr("workers.report-s", 2);
-            if (report <= 0 || lease < 4 * report || lease < 10) {
-                throw new InvalidInputException("workers.lease-s: at least 10, and four times workers.report-s");
+            double leaseS = numberOr("workers.lease-s", 60);
+            double reportIntervalS = numberOr("workers.report-s", 2);
+            if (reportIntervalS <= 0 || leaseS < 4 * reportIntervalS || leaseS < 10) {
+                throw new InvalidInputException(
+                        "workers.lease-s: must be at least 10 and at least four times workers.report-s, which must be above 0");
             }
-            double rps = numberOr("state.requests-per-s", 1000);
-            double changes = numberOr("state.changes-per-s", 1000);
+            double requestsPerS = numberOr("state.requests-per-s", 1000);
+            double writesPerS = numberOr("state.changes-per-s", 1000);
             try {
                 return buildSettings(
                         zones,
                         teams,
-                        new HostInventory(types, hosts, Math.round(lease * 1000)),
+                        new HostInventory(types, hosts, Math.round(leaseS * 1000)),
                         tuning,
-                        report,
-                        lease,
-                        new Limits(rps, changes, MAX_TRANSACTION_WRITES, MAX_VALUE_KB * 1024));
+                        reportIntervalS,
+                        leaseS,
+                        new Limits(requestsPerS, writesPerS, MAX_TRANSACTION_WRITES, MAX_VALUE_KB * 1024));
             } catch (IllegalArgumentException e) {
                 throw new InvalidInputException(e.getMessage());
             }
@@ -143,14 +153,14 @@
                 List<Settings.Team> teams,
                 HostInventory hosts,
                 Tuning tuning,
-                double report,
-                double lease,
+                double reportIntervalS,
+                double leaseS,
                 Limits limits) {
             Map<String, Address> controllers = new LinkedHashMap<>();
             String member = properties.getProperty("member", "daemon").trim();
             controllers.put(member, addressOr("controller.listen", "127.0.0.1:7071"));
             List<Settings.Peer> peers = readPeers(zones, controllers);
-            Settings s = new Settings(
+            Settings settings = new Settings(
                     member,
                     zones.get(0),
                     addressOr("controller.listen", "127.0.0.1:7071"),
@@ -161,8 +171,8 @@
                     zones,
                     List.copyOf(teams),
                     List.of(),
-                    report,
-                    lease,
+                    reportIntervalS,
+                    leaseS,
                     numberOr("workers.gang-wait-s", 60),
                     numberOr("workers.gang-peer-s", 10),
                     numberOr("workers.cancel-s", 60),
@@ -177,7 +187,7 @@
             return new DaemonSettings(
                     Path.of(properties.getProperty("data.dir", "data").trim()),
                     addressOr("listen", "127.0.0.1:7070"),
-                    s,
+                    settings,
                     hosts,
                     limits,
                     tuning,
@@ -185,70 +195,76 @@
                     controllers);
         }
 
-        /** Controllers on other hosts that use this daemon's state and pool. */
+        /**
+         * Reads the controllers on other hosts that use this daemon's state service and pool; adds them to
+         * {@code controllers}.
+         */
         private List<Settings.Peer> readPeers(List<String> zones, Map<String, Address> controllers) {
             List<Settings.Peer> peers = new ArrayList<>();
-            for (String s : properties.getProperty("peers", "").split(",")) {
-                if (s.isBlank()) {
+            for (String peer : properties.getProperty("peers", "").split(",")) {
+                if (peer.isBlank()) {
                     continue;
                 }
-                String[] f = s.trim().split("/");
-                if (f.length != 4 || !zones.contains(f[1])) {
+                String[] parts = peer.trim().split("/");
+                if (parts.length != 4 || !zones.contains(parts[1])) {
                     throw new InvalidInputException(
-                            "peers: " + s.trim() + " is not NAME/ZONE/MESH-HOST:PORT/LISTEN-HOST:PORT");
+                            "peers: " + peer.trim() + " is not NAME/ZONE/MESH-HOST:PORT/LISTEN-HOST:PORT");
                 }
-                peers.add(new Settings.Peer(f[0], f[1], SettingsReader.parseAddress(f[2], "peers")));
-                if (controllers.put(f[0], SettingsReader.parseAddress(f[3], "peers")) != null) {
-                    throw new InvalidInputException("peers: " + f[0] + " twice");
+                peers.add(new Settings.Peer(parts[0], parts[1], SettingsReader.parseAddress(parts[2], "peers")));
+                if (controllers.put(parts[0], SettingsReader.parseAddress(parts[3], "peers")) != null) {
+                    throw new InvalidInputException(
+                            "peers: " + parts[0] + " is listed twice or is this controller's name");
                 }
             }
             return List.copyOf(peers);
         }
 
-        /** What is not the daemon's own must be the controller's: {@link Tuning} names the one that is neither. */
+        /** Passes all keys that are not the daemon's to {@link Tuning}, which refuses unknown ones. */
         private Tuning readTuning() throws IOException {
-            Properties rest = new Properties();
+            Properties tuningProperties = new Properties();
             properties.stringPropertyNames().stream()
-                    .filter(k -> !knownKeys.contains(k))
-                    .forEach(k -> rest.setProperty(k, properties.getProperty(k)));
-            // Hosts that are there anyhow cost nothing while idle, and with few of them none is spared for long after
-            // an error.
-            rest.putIfAbsent("fleet.linger-boots", "20");
-            rest.putIfAbsent("workers.quarantine-s", "2");
-            StringWriter w = new StringWriter();
-            rest.store(w, null);
-            return new Tuning().withOverrides(new StringReader(w.toString()));
+                    .filter(key -> !knownKeys.contains(key))
+                    .forEach(key -> tuningProperties.setProperty(key, properties.getProperty(key)));
+            // The pool's hosts cost nothing while idle, so they are kept for long. With few hosts, none can be left out
+            // for long after a task's error.
+            tuningProperties.putIfAbsent("fleet.linger-boots", "20");
+            tuningProperties.putIfAbsent("workers.quarantine-s", "2");
+            StringWriter writer = new StringWriter();
+            tuningProperties.store(writer, null);
+            return new Tuning().withOverrides(new StringReader(writer.toString()));
         }
 
+        /** Returns the different names in a comma-separated list, at least one. */
         private List<String> requiredNames(String key) {
-            List<String> l = Arrays.stream(requiredText(key).split(","))
+            List<String> names = Arrays.stream(requiredText(key).split(","))
                     .map(String::trim)
-                    .filter(s -> !s.isEmpty())
+                    .filter(name -> !name.isEmpty())
                     .toList();
-            if (l.isEmpty() || new HashSet<>(l).size() < l.size()) {
-                throw new InvalidInputException(key + ": empty, or a name twice");
+            if (names.isEmpty() || new HashSet<>(names).size() < names.size()) {
+                throw new InvalidInputException(key + ": empty or contains a name twice");
             }
-            for (String n : l) {
-                if (!n.matches("[A-Za-z0-9_-]{1,60}")) {
+            for (String name : names) {
+                if (!name.matches("[A-Za-z0-9_-]{1,60}")) {
                     throw new InvalidInputException(
-                            key + ": " + n + " is not a name (letters, digits, - and _, at most 60)");
+                            key + ": " + name + " is not a valid name (1 to 60 letters, digits, - and _)");
                 }
             }
-            return l;
+            return names;
         }
 
-        private List<String> declaredNames(String list, String prefix, List<String> fields) {
-            List<String> names = requiredNames(list);
-            names.forEach(n -> fields.forEach(f -> knownKeys.add(prefix + "." + n + "." + f)));
+        /** Returns the names in the list {@code listKey} and allows the keys {@code prefix.NAME.field} of each. */
+        private List<String> declaredNames(String listKey, String prefix, List<String> fields) {
+            List<String> names = requiredNames(listKey);
+            names.forEach(name -> fields.forEach(field -> knownKeys.add(prefix + "." + name + "." + field)));
             return names;
         }
 
         private String requiredText(String key) {
-            String s = properties.getProperty(key);
-            if (s == null || s.isBlank()) {
+            String value = properties.getProperty(key);
+            if (value == null || value.isBlank()) {
                 throw new InvalidInputException(key + ": missing");
             }
-            return s.trim();
+            return value.trim();
         }
 
         private double requiredNumber(String key) {
@@ -256,13 +272,14 @@
             return numberOr(key, 0);
         }
 
-        private double numberOr(String key, double none) {
-            String s = properties.getProperty(key);
-            return s == null ? none : Tuning.parseAmount(key, s);
+        private double numberOr(String key, double absent) {
+            String value = properties.getProperty(key);
+            return value == null ? absent : Tuning.parseAmount(key, value);
         }
 
-        private Address addressOr(String key, String none) {
-            return SettingsReader.parseAddress(properties.getProperty(key, none).trim(), key);
+        private Address addressOr(String key, String absent) {
+            return SettingsReader.parseAddress(
+                    properties.getProperty(key, absent).trim(), key);
         }
     }
 }
--- a/src/main/java/birchusher/daemon/PoolStore.java
+++ b/src/main/java/birchusher/daemon/PoolStore.java
@@ -15,43 +15,45 @@
 import java.util.Map;
 
 /**
- * The pool's rows in a store of their own, beside the controllers': a pool that has to wait for the controllers' limits, or
- * that a controller could write to, would be none.
+ * Keeps the pool's rows in a store separate from the controllers' state service, so that the pool is not subject to the
+ * controllers' rate limits and no controller can write to it. Runs on the event loop's thread.
  */
 final class PoolStore {
     private final DurableStoreRunner runner;
 
-    PoolStore(DurableStoreRunner host) {
-        this.runner = host;
+    PoolStore(DurableStoreRunner runner) {
+        this.runner = runner;
     }
 
-    /** All rows, as they are at the start. */
+    /** Reads all durable rows, decoded, by key. To be called before the first write. */
     Map<String, Map<String, Object>> readAll() {
-        Map<String, Map<String, Object>> all = new HashMap<>();
-        for (Map.Entry<String, Row> e : runner.durableState().rows().entrySet()) {
-            all.put(e.getKey(), Fields.map(MessagePackCodec.decode(e.getValue().value()), e.getKey()));
+        Map<String, Map<String, Object>> rows = new HashMap<>();
+        for (Map.Entry<String, Row> row : runner.durableState().rows().entrySet()) {
+            rows.put(
+                    row.getKey(),
+                    Fields.map(MessagePackCodec.decode(row.getValue().value()), row.getKey()));
         }
-        return all;
+        return rows;
     }
 
-    /** One write; the outbox is told what became of it, and {@code then} runs after that. */
-    void write(Outbox.Write w, Outbox outbox, Runnable then) {
+    /** Writes rows in one transaction, reports the outcome to the outbox, and then runs {@code afterwards}. */
+    void write(Outbox.Write pending, Outbox outbox, Runnable afterwards) {
         List<Write> writes = new ArrayList<>();
-        int bytes = 0;
-        int largest = 0;
-        for (Map.Entry<String, Map<String, ?>> e : w.rows().entrySet()) {
-            if (e.getValue() == null) {
-                writes.add(new Write.Remove(e.getKey()));
+        int totalBytes = 0;
+        int largestBytes = 0;
+        for (Map.Entry<String, Map<String, ?>> row : pending.rows().entrySet()) {
+            if (row.getValue() == null) {
+                writes.add(new Write.Remove(row.getKey()));
             } else {
-                int size = Json.sizeBytes(e.getValue());
-                bytes += size;
-                largest = Math.max(largest, size);
-                writes.add(new Write.Set(e.getKey(), MessagePackCodec.encode(e.getValue()), 0));
+                int sizeBytes = Json.sizeBytes(row.getValue());
+                totalBytes += sizeBytes;
+                largestBytes = Math.max(largestBytes, sizeBytes);
+                writes.add(new Write.Set(row.getKey(), MessagePackCodec.encode(row.getValue()), 0));
             }
         }
-        runner.submit(new Request.Transaction(List.of(), writes, bytes, largest), reply -> {
-            outbox.onWritten(w.id(), reply instanceof Reply.Committed);
-            then.run();
+        runner.submit(new Request.Transaction(List.of(), writes, totalBytes, largestBytes), reply -> {
+            outbox.onWritten(pending.id(), reply instanceof Reply.Committed);
+            afterwards.run();
         });
     }
 }
