--- a/src/main/java/birchusher/agent/Agent.java
+++ b/src/main/java/birchusher/agent/Agent.java
@@ -22,8 +22,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An agent as a process: the worker's machine with its sockets, its processes and its warden. One directory belongs to one agent,
- * held by a lock; what an earlier agent on it left running is killed before anybody is spoken to.
+ * The agent process on a worker host: connects the {@link Worker} state machine to HTTP, to the processes of tasks and to
+ * the {@link Supervisor}. An agent locks its directory against other agents; processes that an earlier agent of that
+ * directory left running are killed before any message is sent. All state belongs to the thread of {@link #run}; only
+ * {@link #stop} may be called from other threads.
  */
 public final class Agent implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(Agent.class);
@@ -37,10 +39,13 @@
     private static final int MAX_JOBS_CHECKED = 32;
 
     /**
-     * @param server the daemon's address
+     * Settings of an agent.
+     *
+     * @param server the daemon's address, as host and port
      * @param host the name under which the daemon lists this host
-     * @param address where this agent listens, and is reached by controllers and the daemon
-     * @param checkpoints where tasks save; the same for all hosts if tasks are to go on elsewhere
+     * @param address where this agent listens, and where controllers and the daemon reach it
+     * @param dir the agent's own directory: state, working directories and logs
+     * @param checkpoints directory of checkpoints; shared by all hosts if tasks are to resume on other hosts
      */
     public record Options(String server, String host, String address, int port, Path dir, Path checkpoints) {
         private String listenAddress() {
@@ -66,38 +71,44 @@
     private long nextPruneMs;
     private int lastPollStatus = 200;
 
-    /** @throws IOException also if another agent holds the directory */
-    public Agent(Options o) throws IOException, InterruptedException {
+    /** @throws IOException also if another agent has locked the directory, or if {@code /proc} is not readable */
+    public Agent(Options agentOptions) throws IOException, InterruptedException {
         if (!TaggedProcesses.isSupported()) {
             throw new IOException(
-                    "/proc can't be read: an agent needs Linux, to be sure that nothing of a task is left");
+                    "/proc is not readable: an agent needs Linux to verify that no process of a task is left");
         }
-        options = o;
-        directoryLock = new LockedDirectory(o.dir().resolve("state"));
+        options = agentOptions;
+        directoryLock = new LockedDirectory(agentOptions.dir().resolve("state"));
         tag = readOrCreate("tag", UUID.randomUUID().toString());
         TaggedProcesses.killAll(tag + "/");
-        // Only now may the pool be told that the agent before this one is dead, and all its tasks.
+        // Naming the previous agent to the pool states that it and all its tasks are dead, which holds only from here.
         previousBootId = readOrCreate("boot", "");
-        Files.writeString(o.dir().resolve("state").resolve("boot"), bootId);
-        logs = new TaskLogs(o.dir().resolve("logs"), TaskLogs.Limits.DEFAULT);
-        worker = new Worker(o.listenAddress(), new SplittableRandom());
+        Files.writeString(agentOptions.dir().resolve("state").resolve("boot"), bootId);
+        logs = new TaskLogs(agentOptions.dir().resolve("logs"), TaskLogs.Limits.DEFAULT);
+        worker = new Worker(agentOptions.listenAddress(), new SplittableRandom());
         runner = new Runner(
                 tag,
-                o.dir(),
-                o.checkpoints(),
+                agentOptions.dir(),
+                agentOptions.checkpoints(),
                 logs,
-                (key, code) -> loop.post(() -> perform(worker.onTaskExit(EventLoop.nowMs(), key, code))));
+                (key, exitCode) -> loop.post(() -> perform(worker.onTaskExit(EventLoop.nowMs(), key, exitCode))));
         runner.deleteAllWorkDirs();
-        httpServer = new HttpServer(loop, o.address(), o.port(), MAX_CONNECTIONS, MAX_BODY_BYTES, this::handleRequest);
+        httpServer = new HttpServer(
+                loop,
+                agentOptions.address(),
+                agentOptions.port(),
+                MAX_CONNECTIONS,
+                MAX_BODY_BYTES,
+                this::handleRequest);
         client = new HttpClient(loop, MAX_CALLS);
     }
 
-    private String readOrCreate(String name, String first) throws IOException {
-        Path p = options.dir().resolve("state").resolve(name);
-        if (!Files.exists(p)) {
-            Files.writeString(p, first);
+    private String readOrCreate(String name, String initialValue) throws IOException {
+        Path path = options.dir().resolve("state").resolve(name);
+        if (!Files.exists(path)) {
+            Files.writeString(path, initialValue);
         }
-        return Files.readString(p);
+        return Files.readString(path);
     }
 
     /** Runs in the calling thread until {@link #stop}. */
@@ -107,19 +118,20 @@
         loop.run(this::tick);
     }
 
+    /** Makes {@link #run} return. */
     public void stop() {
         loop.stop();
     }
 
-    /** After {@link #run} has returned: nothing of any task is left then. */
+    /** Kills all tasks and returns when no process of them is left. To be called after {@link #run} has returned. */
     @Override
     public void close() throws IOException {
         try {
             httpServer.close();
-            SupervisorClient g = supervisor;
+            SupervisorClient current = supervisor;
             supervisor = null;
-            if (g != null) {
-                g.close();
+            if (current != null) {
+                current.close();
             }
             TaggedProcesses.killAll(tag + "/");
         } catch (InterruptedException e) {
@@ -132,26 +144,26 @@
         if (supervisor == null) {
             return;
         }
-        LOG.error("the warden has ended: all tasks end, and another one is started");
+        LOG.error("supervisor process ended: killing all tasks and starting another supervisor");
         perform(worker.onSupervisorExit());
         try {
             supervisor = new SupervisorClient(tag + "/", () -> loop.post(this::onSupervisorExit));
         } catch (IOException e) {
-            LOG.error("no warden: {}", e.getMessage());
+            LOG.error("supervisor process can't be started, stopping the agent: {}", e.getMessage());
             loop.stop();
         }
     }
 
-    private void tick(long late) {
-        long now = EventLoop.nowMs();
-        perform(worker.tick(now));
-        if (!pollInFlight && now >= nextPollMs) {
-            pollAssignment(now);
+    private void tick(long lateMs) {
+        long nowMs = EventLoop.nowMs();
+        perform(worker.tick(nowMs));
+        if (!pollInFlight && nowMs >= nextPollMs) {
+            pollAssignment(nowMs);
         }
-        if (now >= nextPruneMs) {
-            nextPruneMs = now + PRUNE_INTERVAL_MS;
+        if (nowMs >= nextPruneMs) {
+            nextPruneMs = nowMs + PRUNE_INTERVAL_MS;
             for (String job : runner.inactiveCheckpointJobs(MAX_JOBS_CHECKED)) {
-                callDaemon("GET", Wire.DESCRIPTIONS + job, null, POLL_TIMEOUT_MS, (status, m) -> {
+                callDaemon("GET", Wire.DESCRIPTIONS + job, null, POLL_TIMEOUT_MS, (status, fields) -> {
                     if (status == 404) {
                         runner.deleteCheckpoints(job);
                     }
@@ -161,7 +173,7 @@
                 try {
                     logs.prune();
                 } catch (IOException e) {
-                    LOG.error("logs can't be pruned: {}", e.getMessage());
+                    LOG.error("task logs can't be pruned: {}", e.getMessage());
                 }
             });
         }
@@ -169,10 +181,10 @@
         client.tick();
     }
 
-    /** Asks the daemon which machine this host is. */
-    private void pollAssignment(long now) {
+    /** Asks the daemon which machine this host is assigned to. */
+    private void pollAssignment(long nowMs) {
         pollInFlight = true;
-        nextPollMs = now + POLL_INTERVAL_MS;
+        nextPollMs = nowMs + POLL_INTERVAL_MS;
         Map<String, Object> body = new HashMap<>();
         body.put("agent", options.host());
         body.put("boot", bootId);
@@ -180,16 +192,16 @@
         body.put(Wire.MACHINE, worker.currentMachine());
         body.put(Wire.ADDRESS, options.listenAddress());
         body.put(Wire.SEQUENCE, ++pollSequence);
-        callDaemon("POST", Wire.AGENTS, body, POLL_TIMEOUT_MS, (status, m) -> {
+        callDaemon("POST", Wire.AGENTS, body, POLL_TIMEOUT_MS, (status, fields) -> {
             pollInFlight = false;
             if (status == 200) {
-                perform(worker.onAssignment(EventLoop.nowMs(), now, Assignment.read(m)));
+                perform(worker.onAssignment(EventLoop.nowMs(), nowMs, Assignment.read(fields)));
             } else if (status != lastPollStatus) {
                 LOG.info(
-                        "daemon {}: {} {}",
+                        "assignment poll of daemon {} failed: {} {}",
                         options.server(),
                         status == 0 ? "no answer" : status,
-                        m.getOrDefault("error", ""));
+                        fields.getOrDefault("error", ""));
             }
             lastPollStatus = status;
         });
@@ -199,95 +211,105 @@
         void onResponse(int status, Map<String, Object> body);
     }
 
-    private void callDaemon(String method, String path, Object body, int timeoutMs, ResponseHandler reply) {
-        call(options.server(), method, path, body, timeoutMs, reply);
+    private void callDaemon(String method, String path, Object body, int timeoutMs, ResponseHandler handler) {
+        call(options.server(), method, path, body, timeoutMs, handler);
     }
 
-    private void call(String address, String method, String path, Object body, int timeoutMs, ResponseHandler reply) {
+    private void call(String address, String method, String path, Object body, int timeoutMs, ResponseHandler handler) {
         client.call(
                 address,
                 method,
                 path,
                 body == null ? HttpClient.EMPTY_BODY : MessagePackCodec.encode(body),
                 timeoutMs,
-                (status, bytes) -> {
+                (status, response) -> {
                     try {
-                        reply.onResponse(
+                        handler.onResponse(
                                 status,
-                                bytes.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(bytes), "answer"));
+                                response.length == 0
+                                        ? Map.of()
+                                        : Fields.map(MessagePackCodec.decode(response), "answer"));
                     } catch (InvalidInputException e) {
-                        LOG.error("{} of {} not as agreed: {}", path, address, e.getMessage());
-                        reply.onResponse(0, Map.of());
+                        LOG.error("invalid response for {} from {}: {}", path, address, e.getMessage());
+                        handler.onResponse(0, Map.of());
                     }
                 });
     }
 
     private void perform(List<Action> actions) {
-        for (Action a : actions) {
-            perform(a);
+        for (Action action : actions) {
+            perform(action);
         }
     }
 
-    private void perform(Action a) {
-        if (a instanceof Action.SendReport r) {
+    private void perform(Action action) {
+        if (action instanceof Action.SendReport report) {
             call(
-                    r.address(),
+                    report.address(),
                     "POST",
                     Wire.WORKER_REPORTS,
-                    r.body(),
+                    report.body(),
                     REPORT_TIMEOUT_MS,
-                    (status, m) -> perform(worker.onReportResponse(EventLoop.nowMs(), r.id(), status, m)));
-        } else if (a instanceof Action.SendResponse x) {
-            httpServer.answer(x.exchange(), x.status(), MessagePackCodec.encode(x.body()), x.retryAfterS());
-        } else if (a instanceof Action.FetchDescription f) {
-            callDaemon("GET", Wire.DESCRIPTIONS + f.jobId(), null, POLL_TIMEOUT_MS, (status, m) -> {
+                    (status, fields) ->
+                            perform(worker.onReportResponse(EventLoop.nowMs(), report.id(), status, fields)));
+        } else if (action instanceof Action.SendResponse response) {
+            httpServer.answer(
+                    response.exchange(),
+                    response.status(),
+                    MessagePackCodec.encode(response.body()),
+                    response.retryAfterS());
+        } else if (action instanceof Action.FetchDescription fetch) {
+            callDaemon("GET", Wire.DESCRIPTIONS + fetch.jobId(), null, POLL_TIMEOUT_MS, (status, fields) -> {
                 if (status == 200 || status == 404) {
                     perform(worker.onDescription(
-                            EventLoop.nowMs(), f.jobId(), status == 404 ? null : JobDescription.read(m)));
+                            EventLoop.nowMs(), fetch.jobId(), status == 404 ? null : JobDescription.read(fields)));
                 }
             });
-        } else if (a instanceof Action.StartProcess r) {
-            runner.run(r);
-        } else if (a instanceof Action.SendSignal s) {
-            runner.sendSignal(s);
-        } else if (a instanceof Action.KillTask k) {
-            runner.kill(k.key());
-        } else if (a instanceof Action.KillAllTasks) {
+        } else if (action instanceof Action.StartProcess start) {
+            runner.run(start);
+        } else if (action instanceof Action.SendSignal signal) {
+            runner.sendSignal(signal);
+        } else if (action instanceof Action.KillTask kill) {
+            runner.kill(kill.key());
+        } else if (action instanceof Action.KillAllTasks) {
             runner.killAll(() -> loop.post(() -> perform(worker.onAllKilled(EventLoop.nowMs()))));
-        } else if (a instanceof Action.DeleteWorkDir f) {
-            runner.deleteWorkDir(f.key());
-        } else if (a instanceof Action.SendGangStatus s) {
-            sendGangStatus(s);
-        } else if (a instanceof Action.ExtendSupervisorLease l) {
+        } else if (action instanceof Action.DeleteWorkDir delete) {
+            runner.deleteWorkDir(delete.key());
+        } else if (action instanceof Action.SendGangStatus status) {
+            sendGangStatus(status);
+        } else if (action instanceof Action.ExtendSupervisorLease lease) {
             try {
-                supervisor.setLease(l.remainingMs());
+                supervisor.setLease(lease.remainingMs());
             } catch (IOException e) {
-                // Its end is told as well, and ends the tasks.
-                LOG.error("the warden can't be told: {}", e.getMessage());
+                // The exit of the supervisor is reported separately, and kills the tasks.
+                LOG.error("lease can't be sent to the supervisor: {}", e.getMessage());
             }
         }
     }
 
-    private void sendGangStatus(Action.SendGangStatus s) {
+    private void sendGangStatus(Action.SendGangStatus gangStatus) {
         Map<String, Object> body = Map.of(
                 "job",
-                s.key().job(),
+                gangStatus.key().job(),
                 "try",
-                s.key().attempt(),
+                gangStatus.key().attempt(),
                 "index",
-                s.key().index(),
+                gangStatus.key().index(),
                 "pieces",
-                s.taskCount(),
+                gangStatus.taskCount(),
                 "phase",
-                s.phase(),
+                gangStatus.phase(),
                 Wire.ADDRESS,
                 options.listenAddress());
-        callDaemon("POST", Wire.GANGS, body, POLL_TIMEOUT_MS, (status, m) -> {
+        callDaemon("POST", Wire.GANGS, body, POLL_TIMEOUT_MS, (status, fields) -> {
             if (status == 200) {
-                List<String> hosts = m.get("hosts") == null
+                List<String> hosts = fields.get("hosts") == null
                         ? List.of()
-                        : Fields.list(m, "hosts").stream().map(String::valueOf).toList();
-                perform(worker.onGangInstruction(EventLoop.nowMs(), s.key(), Fields.text(m, "say"), hosts));
+                        : Fields.list(fields, "hosts").stream()
+                                .map(String::valueOf)
+                                .toList();
+                perform(worker.onGangInstruction(
+                        EventLoop.nowMs(), gangStatus.key(), Fields.text(fields, "say"), hosts));
             }
         });
     }
@@ -307,15 +329,15 @@
         } catch (InvalidInputException | RequestTarget.InvalidTargetException e) {
             httpServer.answer(exchange, 400, MessagePackCodec.encode(Map.of("error", e.getMessage())), 0);
         } catch (IOException e) {
-            LOG.error("log can't be read: {}", e.getMessage());
-            httpServer.answer(exchange, 503, MessagePackCodec.encode(Map.of("error", "can't be read")), 5);
+            LOG.error("task log can't be read: {}", e.getMessage());
+            httpServer.answer(exchange, 503, MessagePackCodec.encode(Map.of("error", "task log can't be read")), 5);
         }
     }
 
-    private Map<String, Object> readLog(RequestTarget t) throws IOException, RequestTarget.InvalidTargetException {
-        Action.AttemptKey key = Command.attemptKey(t.path().substring("/logs/".length()), t.count("try", 0));
-        return t.parameters().containsKey("try")
-                ? logs.read(key, t.count("from", 0))
+    private Map<String, Object> readLog(RequestTarget target) throws IOException, RequestTarget.InvalidTargetException {
+        Action.AttemptKey key = Command.attemptKey(target.path().substring("/logs/".length()), target.count("try", 0));
+        return target.parameters().containsKey("try")
+                ? logs.read(key, target.count("from", 0))
                 : Map.of("logs", logs.list(key.job(), key.index()));
     }
 }
--- a/src/main/java/birchusher/agent/Assignment.java
+++ b/src/main/java/birchusher/agent/Assignment.java
@@ -7,10 +7,13 @@
 import java.util.Map;
 
 /**
- * What the pool says this host is at present.
+ * The pool's answer to a poll: the machine that this host is assigned to, its capacity, and the settings of its worker.
  *
- * @param machine null: nothing, it is parked
- * @param controllers whom to report to, by their names
+ * @param machine null if the host is parked
+ * @param reportMs interval of reports
+ * @param leaseMs duration of the worker lease and of the pool lease
+ * @param gangWaitMs how long a gang's task waits for the others
+ * @param controllers the controllers that accept reports
  */
 record Assignment(
         String machine,
@@ -23,28 +26,29 @@
         long leaseMs,
         long gangWaitMs,
         List<Controller> controllers) {
+    /** A controller and where it listens. */
     record Controller(String name, String address) {}
 
-    static Assignment read(Map<String, Object> m) {
+    static Assignment read(Map<String, Object> fields) {
         List<Controller> controllers = new ArrayList<>();
-        for (Object o : Fields.list(m, "controllers")) {
-            Map<String, Object> c = Fields.map(o, "controllers");
-            controllers.add(new Controller(Fields.text(c, "member"), Fields.text(c, Wire.ADDRESS)));
+        for (Object item : Fields.list(fields, "controllers")) {
+            Map<String, Object> controller = Fields.map(item, "controllers");
+            controllers.add(new Controller(Fields.text(controller, "member"), Fields.text(controller, Wire.ADDRESS)));
         }
         return new Assignment(
-                Fields.textOrNull(m, Wire.MACHINE),
-                Fields.text(m, Wire.TYPE),
-                Fields.text(m, Wire.ZONE),
-                Fields.amount(m, Wire.CPUS),
-                Fields.amount(m, Wire.GPUS),
-                Fields.amount(m, Wire.MEMORY_GB),
-                milliseconds(m, "report_s"),
-                milliseconds(m, "lease_s"),
-                milliseconds(m, "gang_wait_s"),
+                Fields.textOrNull(fields, Wire.MACHINE),
+                Fields.text(fields, Wire.TYPE),
+                Fields.text(fields, Wire.ZONE),
+                Fields.amount(fields, Wire.CPUS),
+                Fields.amount(fields, Wire.GPUS),
+                Fields.amount(fields, Wire.MEMORY_GB),
+                milliseconds(fields, "report_s"),
+                milliseconds(fields, "lease_s"),
+                milliseconds(fields, "gang_wait_s"),
                 List.copyOf(controllers));
     }
 
-    private static long milliseconds(Map<String, Object> m, String field) {
-        return Math.round(Fields.amount(m, field) * 1000);
+    private static long milliseconds(Map<String, Object> fields, String field) {
+        return Math.round(Fields.amount(fields, field) * 1000);
     }
 }
--- a/src/main/java/birchusher/agent/Command.java
+++ b/src/main/java/birchusher/agent/Command.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One command of a controller. */
+/** One command of a controller to a worker. */
 record Command(Operation operation, Action.AttemptKey attemptKey, long graceMs) {
     enum Operation {
         START,
@@ -17,42 +17,42 @@
 
     private static final int MAX_COMMANDS = 2_000;
 
-    /** All of a message, or none: a message with one that can't be read is dropped. */
-    static List<Command> read(Map<String, Object> m) {
-        List<Command> orders = new ArrayList<>();
-        if (m.get(Wire.COMMANDS) == null) {
-            return orders;
+    /** Returns all commands of a message. One invalid command makes the whole message invalid. */
+    static List<Command> read(Map<String, Object> message) {
+        List<Command> commands = new ArrayList<>();
+        if (message.get(Wire.COMMANDS) == null) {
+            return commands;
         }
-        List<?> l = Fields.list(m, Wire.COMMANDS);
-        if (l.size() > MAX_COMMANDS) {
-            throw new InvalidInputException(Wire.COMMANDS + ": over " + MAX_COMMANDS);
+        List<?> items = Fields.list(message, Wire.COMMANDS);
+        if (items.size() > MAX_COMMANDS) {
+            throw new InvalidInputException(Wire.COMMANDS + ": more than " + MAX_COMMANDS);
         }
-        for (Object o : l) {
-            Map<String, Object> x = Fields.map(o, Wire.COMMANDS);
-            Operation verb =
-                    switch (Fields.text(x, Wire.COMMAND_TYPE)) {
+        for (Object item : items) {
+            Map<String, Object> fields = Fields.map(item, Wire.COMMANDS);
+            Operation operation =
+                    switch (Fields.text(fields, Wire.COMMAND_TYPE)) {
                         case Wire.START -> Operation.START;
                         case Wire.STOP -> Operation.STOP;
                         case Wire.REAP -> Operation.REAP;
                         default -> throw new InvalidInputException(Wire.COMMAND_TYPE + ": unknown");
                     };
-            orders.add(new Command(
-                    verb,
-                    attemptKey(Fields.text(x, Wire.TASK), Fields.count(x, Wire.ATTEMPT)),
-                    Math.round(1000 * Fields.amountOr(x, Wire.GRACE_S, 0))));
+            commands.add(new Command(
+                    operation,
+                    attemptKey(Fields.text(fields, Wire.TASK), Fields.count(fields, Wire.ATTEMPT)),
+                    Math.round(1000 * Fields.amountOr(fields, Wire.GRACE_S, 0))));
         }
-        return orders;
+        return commands;
     }
 
-    /** A piece's name becomes part of a path here: only what the protocol has in names, and no dots. */
-    static Action.AttemptKey attemptKey(String piece, long attempt) {
-        int slash = piece.lastIndexOf('/');
+    /** Parses a task name. It becomes part of a path, so it may hold only what the protocol allows in names, and no dots. */
+    static Action.AttemptKey attemptKey(String taskName, long attempt) {
+        int slash = taskName.lastIndexOf('/');
         if (slash > 0
-                && piece.substring(0, slash).matches("[A-Za-z0-9_-]{1,64}")
-                && piece.substring(slash + 1).matches("[0-9]{1,6}")) {
+                && taskName.substring(0, slash).matches("[A-Za-z0-9_-]{1,64}")
+                && taskName.substring(slash + 1).matches("[0-9]{1,6}")) {
             return new Action.AttemptKey(
-                    piece.substring(0, slash), Integer.parseInt(piece.substring(slash + 1)), attempt);
+                    taskName.substring(0, slash), Integer.parseInt(taskName.substring(slash + 1)), attempt);
         }
-        throw new InvalidInputException(Wire.TASK + ": not a task's name");
+        throw new InvalidInputException(Wire.TASK + ": not a task name of the form JOB/INDEX");
     }
 }
--- a/src/main/java/birchusher/agent/JobDescription.java
+++ b/src/main/java/birchusher/agent/JobDescription.java
@@ -6,7 +6,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** A job as a worker needs it. {@code command} is empty if its user has uploaded no program. */
+/**
+ * The parts of a job and of its program that a worker needs.
+ *
+ * @param saveDurationMs how long a task takes to save a checkpoint
+ * @param command empty if no program was uploaded for the job
+ * @param saveSignal name of the signal that tells a task to save a checkpoint and to end
+ */
 record JobDescription(
         String jobId,
         int taskCount,
@@ -21,30 +27,34 @@
         Map<String, String> env,
         String saveSignal) {
 
-    static JobDescription read(Map<String, Object> m) {
-        Map<String, Object> job = Fields.map(m.get("job"), "job");
-        String shape = Fields.text(job, Wire.SHAPE);
-        Map<String, Object> program = m.get("program") == null ? Map.of() : Fields.map(m.get("program"), "program");
-        Map<String, String> env = new HashMap<>();
-        if (program.get("env") != null) {
-            Fields.map(program.get("env"), "env").forEach((k, v) -> env.put(k, String.valueOf(v)));
+    static JobDescription read(Map<String, Object> message) {
+        Map<String, Object> jobFields = Fields.map(message.get("job"), "job");
+        String shape = Fields.text(jobFields, Wire.SHAPE);
+        Map<String, Object> programFields =
+                message.get("program") == null ? Map.of() : Fields.map(message.get("program"), "program");
+        Map<String, String> variables = new HashMap<>();
+        if (programFields.get("env") != null) {
+            Fields.map(programFields.get("env"), "env")
+                    .forEach((name, value) -> variables.put(name, String.valueOf(value)));
         }
-        List<String> command = program.get("command") == null
+        List<String> command = programFields.get("command") == null
                 ? List.of()
-                : Fields.list(program, "command").stream().map(String::valueOf).toList();
-        String signal = Fields.textOrNull(program, "save_signal");
+                : Fields.list(programFields, "command").stream()
+                        .map(String::valueOf)
+                        .toList();
+        String signal = Fields.textOrNull(programFields, "save_signal");
         return new JobDescription(
-                Fields.text(job, Wire.ID),
-                (int) Fields.count(job, Wire.TASKS),
+                Fields.text(jobFields, Wire.ID),
+                (int) Fields.count(jobFields, Wire.TASKS),
                 shape.equals("gang"),
                 shape.equals("standing"),
-                Fields.amount(job, Wire.CPUS),
-                Fields.amount(job, Wire.GPUS),
-                Fields.amount(job, Wire.MEMORY_GB),
-                Fields.amount(job, Wire.CHECKPOINT_INTERVAL_S) > 0,
-                Math.round(Fields.amount(job, Wire.CHECKPOINT_WRITE_S) * 1000),
+                Fields.amount(jobFields, Wire.CPUS),
+                Fields.amount(jobFields, Wire.GPUS),
+                Fields.amount(jobFields, Wire.MEMORY_GB),
+                Fields.amount(jobFields, Wire.CHECKPOINT_INTERVAL_S) > 0,
+                Math.round(Fields.amount(jobFields, Wire.CHECKPOINT_WRITE_S) * 1000),
                 command,
-                env,
+                variables,
                 signal == null ? "TERM" : signal);
     }
 }
--- a/src/main/java/birchusher/agent/Runner.java
+++ b/src/main/java/birchusher/agent/Runner.java
@@ -17,23 +17,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs tasks as processes of this host. A task has ended when its first process has, and then everything else it has started is
- * killed: its exit is told only after nothing is left.
+ * Runs tasks as processes of this host. A task ends when its first process ends; all other processes that it has started
+ * are killed then, and its exit is reported only after none of them is left. Methods may be called from any thread.
  *
  * <pre>
- * DIR/work/JOB/INDEX.TRY      working directory, gone with the attempt
- * CHECKPOINTS/JOB/INDEX       for the program's own saves; stays over attempts
- * CHECKPOINTS/JOB/INDEX.done  the task is done: a start of it does not run it again
+ * DIR/work/JOB/INDEX.TRY      working directory, deleted with the attempt
+ * CHECKPOINTS/JOB/INDEX       for the program's own checkpoints; kept across attempts
+ * CHECKPOINTS/JOB/INDEX.done  marks the task as done: starting it again does not run it again
  * </pre>
  */
 final class Runner {
     private static final Logger LOG = LoggerFactory.getLogger(Runner.class);
-    /** Taken over from the agent; all else comes from the job. */
+    /** Environment variables that tasks inherit from the agent; all others come from the job. */
     private static final List<String> INHERITED_VARIABLES =
             List.of("PATH", "HOME", "LANG", "LC_ALL", "TZ", "TMPDIR", "USER");
 
+    /** Reported as exit code if no process was started. */
     static final int START_FAILED_EXIT_CODE = 125;
-    /** What a task printed last has this long to reach its log. */
+    /** Time for a task's last output to reach its log after its processes are gone. */
     private static final long LOG_DRAIN_MS = 2_000;
 
     private final String agentTag;
@@ -41,21 +42,21 @@
     private final Path checkpointRoot;
     private final TaskLogs logs;
     private final ObjIntConsumer<Action.AttemptKey> exitHandler;
-    /** From {@link #run} until its exit is told. */
+    /** Tasks from {@link #run} until their exit is reported. */
     private final Map<Action.AttemptKey, ActiveTask> activeTasks = new ConcurrentHashMap<>();
 
     private static final class ActiveTask {
-        /** Null until it is started. */
+        /** Null until the process is started. */
         Process process;
 
         boolean killed;
-        /** It was asked to end: what it exits with does not say any more that its work is done. */
+        /** Set when the task is told to end: exit code 0 does not mean any more that its work is done. */
         boolean endRequested;
 
-        /** Whether it was started; not if it is to end anyhow. */
-        synchronized boolean start(ProcessBuilder b) throws IOException {
+        /** Starts the process unless the task is to end; returns whether it was started. */
+        synchronized boolean start(ProcessBuilder builder) throws IOException {
             if (!killed && !endRequested) {
-                process = b.start();
+                process = builder.start();
             }
             return process != null;
         }
@@ -68,164 +69,172 @@
             }
         }
 
-        /** The process, if it can be asked. */
+        /** Returns the process to be told to end, null if it has not been started. */
         synchronized Process requestEnd() {
             endRequested = true;
             return process;
         }
 
-        synchronized boolean endRequested() {
+        synchronized boolean isEndRequested() {
             return endRequested;
         }
     }
 
-    /** @param exited called from other threads, once for each {@link #run} */
-    Runner(String agent, Path dir, Path checkpoints, TaskLogs logs, ObjIntConsumer<Action.AttemptKey> exited)
+    /**
+     * @param agentTag tag of all processes that this agent starts
+     * @param exitHandler called from other threads, once for each {@link #run}
+     */
+    Runner(String agentTag, Path dir, Path checkpoints, TaskLogs logs, ObjIntConsumer<Action.AttemptKey> exitHandler)
             throws IOException {
-        this.agentTag = agent;
+        this.agentTag = agentTag;
         this.workRoot = Files.createDirectories(dir.resolve("work"));
         this.checkpointRoot = Files.createDirectories(checkpoints);
         this.logs = logs;
-        this.exitHandler = exited;
+        this.exitHandler = exitHandler;
     }
 
-    private Path checkpointDir(Action.AttemptKey k) {
-        return checkpointRoot.resolve(k.job()).resolve(String.valueOf(k.index()));
+    private Path checkpointDir(Action.AttemptKey key) {
+        return checkpointRoot.resolve(key.job()).resolve(String.valueOf(key.index()));
     }
 
-    private Path doneMarker(Action.AttemptKey k) {
-        return checkpointRoot.resolve(k.job()).resolve(k.index() + ".done");
+    private Path doneMarker(Action.AttemptKey key) {
+        return checkpointRoot.resolve(key.job()).resolve(key.index() + ".done");
     }
 
-    private Path workDir(Action.AttemptKey k) {
-        return workRoot.resolve(k.job()).resolve(k.index() + "." + k.attempt());
+    private Path workDir(Action.AttemptKey key) {
+        return workRoot.resolve(key.job()).resolve(key.index() + "." + key.attempt());
     }
 
-    void run(Action.StartProcess r) {
-        ActiveTask entry = new ActiveTask();
-        activeTasks.put(r.key(), entry);
-        startDaemonThread("task " + r.key().taskName(), () -> {
-            int code = START_FAILED_EXIT_CODE;
+    /** Starts a task in a thread of its own; a task that is marked as done exits with 0 without being run. */
+    void run(Action.StartProcess start) {
+        ActiveTask activeTask = new ActiveTask();
+        activeTasks.put(start.key(), activeTask);
+        startDaemonThread("task " + start.key().taskName(), () -> {
+            int exitCode = START_FAILED_EXIT_CODE;
             try {
-                code = Files.exists(doneMarker(r.key())) ? 0 : runProcess(r, entry);
+                exitCode = Files.exists(doneMarker(start.key())) ? 0 : runProcess(start, activeTask);
             } catch (IOException e) {
-                LOG.info("{} can't be run: {}", r.key().taskName(), e.getMessage());
-                logs.writeNote(r.key(), e.getMessage());
+                LOG.info("task {} can't be run: {}", start.key().taskName(), e.getMessage());
+                logs.writeNote(start.key(), e.getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } finally {
-                activeTasks.remove(r.key());
-                exitHandler.accept(r.key(), code);
+                activeTasks.remove(start.key());
+                exitHandler.accept(start.key(), exitCode);
             }
         });
     }
 
-    /** Starts a thread that keeps no process alive. */
+    /** Starts a daemon thread, which does not keep the JVM alive. */
     static Thread startDaemonThread(String name, Runnable body) {
-        Thread t = new Thread(body, name);
-        t.setDaemon(true);
-        t.start();
-        return t;
+        Thread thread = new Thread(body, name);
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
-    private int runProcess(Action.StartProcess r, ActiveTask entry) throws IOException, InterruptedException {
-        Action.AttemptKey k = r.key();
-        String tag = TaggedProcesses.tag(agentTag, k);
-        Files.createDirectories(checkpointDir(k));
-        ProcessBuilder b = new ProcessBuilder(r.description().command())
+    private int runProcess(Action.StartProcess start, ActiveTask activeTask) throws IOException, InterruptedException {
+        Action.AttemptKey key = start.key();
+        String tag = TaggedProcesses.tag(agentTag, key);
+        Files.createDirectories(checkpointDir(key));
+        ProcessBuilder builder = new ProcessBuilder(start.description().command())
                 .redirectErrorStream(true)
                 .redirectInput(new File("/dev/null"))
-                .directory(Files.createDirectories(workDir(k)).toFile());
-        Map<String, String> env = b.environment();
-        env.keySet().retainAll(INHERITED_VARIABLES);
-        env.putAll(r.description().env());
-        env.putAll(taskVariables(r, tag));
-        if (!entry.start(b)) {
+                .directory(Files.createDirectories(workDir(key)).toFile());
+        Map<String, String> environment = builder.environment();
+        environment.keySet().retainAll(INHERITED_VARIABLES);
+        environment.putAll(start.description().env());
+        environment.putAll(taskVariables(start, tag));
+        if (!activeTask.start(builder)) {
             return START_FAILED_EXIT_CODE;
         }
-        Process p = entry.process;
-        InputStream output = p.getInputStream();
-        Thread copier = startDaemonThread("log " + k.taskName(), () -> {
+        Process process = activeTask.process;
+        InputStream output = process.getInputStream();
+        Thread copier = startDaemonThread("log " + key.taskName(), () -> {
             try {
-                logs.copy(k, output);
+                logs.copy(key, output);
             } catch (IOException e) {
-                LOG.debug("log of {}: {}", k.taskName(), e.getMessage());
+                LOG.debug("log of task {} can't be written: {}", key.taskName(), e.getMessage());
             }
         });
-        int code = p.waitFor();
+        int exitCode = process.waitFor();
         TaggedProcesses.killAll(tag);
         copier.join(LOG_DRAIN_MS);
         output.close();
-        if (code == 0 && !r.description().service() && !entry.endRequested()) {
+        if (exitCode == 0 && !start.description().service() && !activeTask.isEndRequested()) {
             try {
-                Files.writeString(doneMarker(k), "");
+                Files.writeString(doneMarker(key), "");
             } catch (IOException e) {
                 LOG.error(
-                        "{} is done and would be run again if it were started once more: {}",
-                        k.taskName(),
+                        "task {} is done but can't be marked as done, another start would run it again: {}",
+                        key.taskName(),
                         e.getMessage());
             }
         }
-        return code;
+        return exitCode;
     }
 
-    private Map<String, String> taskVariables(Action.StartProcess r, String tag) {
-        Action.AttemptKey k = r.key();
-        Map<String, String> env = new HashMap<>();
-        env.put(TaggedProcesses.TAG_VARIABLE, tag);
-        env.put("BIRCHUSHER_JOB", k.job());
-        env.put("BIRCHUSHER_INDEX", String.valueOf(k.index()));
-        env.put("BIRCHUSHER_TASKS", String.valueOf(r.description().taskCount()));
-        env.put("BIRCHUSHER_ATTEMPT", String.valueOf(k.attempt()));
-        env.put("BIRCHUSHER_CHECKPOINT", checkpointDir(k).toAbsolutePath().toString());
-        if (!r.gangHosts().isEmpty()) {
-            env.put("BIRCHUSHER_GANG_HOSTS", String.join(",", r.gangHosts()));
+    private Map<String, String> taskVariables(Action.StartProcess start, String tag) {
+        Action.AttemptKey key = start.key();
+        Map<String, String> variables = new HashMap<>();
+        variables.put(TaggedProcesses.TAG_VARIABLE, tag);
+        variables.put("BIRCHUSHER_JOB", key.job());
+        variables.put("BIRCHUSHER_INDEX", String.valueOf(key.index()));
+        variables.put("BIRCHUSHER_TASKS", String.valueOf(start.description().taskCount()));
+        variables.put("BIRCHUSHER_ATTEMPT", String.valueOf(key.attempt()));
+        variables.put(
+                "BIRCHUSHER_CHECKPOINT", checkpointDir(key).toAbsolutePath().toString());
+        if (!start.gangHosts().isEmpty()) {
+            variables.put("BIRCHUSHER_GANG_HOSTS", String.join(",", start.gangHosts()));
         }
-        return env;
+        return variables;
     }
 
-    /** Sends a signal to a task's first process. */
-    void sendSignal(Action.SendSignal s) {
-        ActiveTask e = activeTasks.get(s.key());
-        Process p = e == null ? null : e.requestEnd();
-        if (p == null) {
+    /** Sends a signal to a task's first process, or keeps the task from starting if it has none yet. */
+    void sendSignal(Action.SendSignal signal) {
+        ActiveTask activeTask = activeTasks.get(signal.key());
+        Process process = activeTask == null ? null : activeTask.requestEnd();
+        if (process == null) {
             return;
         }
-        if (s.name().equals("TERM")) {
-            p.destroy();
+        if (signal.name().equals("TERM")) {
+            process.destroy();
             return;
         }
         startDaemonThread("signal", () -> {
             try {
-                new ProcessBuilder("kill", "-" + s.name(), String.valueOf(p.pid()))
+                new ProcessBuilder("kill", "-" + signal.name(), String.valueOf(process.pid()))
                         .inheritIO()
                         .start()
                         .waitFor();
-            } catch (IOException x) {
-                LOG.error("no signal for {}: {}", s.key().taskName(), x.getMessage());
-            } catch (InterruptedException x) {
+            } catch (IOException exception) {
+                LOG.error("signal to task {} can't be sent: {}", signal.key().taskName(), exception.getMessage());
+            } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
             }
         });
     }
 
-    /** Kills a task and all it has started, or keeps it from starting; its exit comes as ever. */
-    void kill(Action.AttemptKey k) {
-        ActiveTask e = activeTasks.get(k);
-        if (e != null) {
-            e.kill();
-            startDaemonThread("kill " + k.taskName(), () -> tryKillTagged(TaggedProcesses.tag(agentTag, k)));
+    /** Kills a task and all processes that it has started, or keeps it from starting; its exit is reported as usual. */
+    void kill(Action.AttemptKey key) {
+        ActiveTask activeTask = activeTasks.get(key);
+        if (activeTask != null) {
+            activeTask.kill();
+            startDaemonThread("kill " + key.taskName(), () -> tryKillTagged(TaggedProcesses.tag(agentTag, key)));
         }
     }
 
-    /** Kills all tasks, and tells when nothing is left. Nothing may be run meanwhile. */
-    void killAll(Runnable then) {
+    /**
+     * Kills all tasks. {@link #run} must not be called before {@code onAllGone} is, which happens in another thread when no
+     * process is left.
+     */
+    void killAll(Runnable onAllGone) {
         activeTasks.values().forEach(ActiveTask::kill);
         startDaemonThread("kill all", () -> {
             while (!(tryKillTagged(agentTag + "/") && activeTasks.isEmpty())) {
                 Thread.onSpinWait();
             }
-            then.run();
+            onAllGone.run();
         });
     }
 
@@ -235,7 +244,7 @@
             Thread.sleep(20);
             return true;
         } catch (IOException e) {
-            LOG.error("processes can't be listed: {}", e.getMessage());
+            LOG.error("processes can't be listed in /proc: {}", e.getMessage());
             return false;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -243,46 +252,46 @@
         }
     }
 
-    /** The attempt's working directory may go. */
-    void deleteWorkDir(Action.AttemptKey k) {
-        startDaemonThread("forget " + k.taskName(), () -> {
-            deleteTree(workDir(k));
-            workDir(k).getParent().toFile().delete();
+    /** Deletes an attempt's working directory in a thread of its own. */
+    void deleteWorkDir(Action.AttemptKey key) {
+        startDaemonThread("forget " + key.taskName(), () -> {
+            deleteTree(workDir(key));
+            workDir(key).getParent().toFile().delete();
         });
     }
 
-    /** What earlier lives of this agent left; none of it runs any more. */
+    /** Deletes the working directories that earlier runs of the agent left; none of their tasks may still run. */
     void deleteAllWorkDirs() {
-        File[] left = workRoot.toFile().listFiles();
-        for (File f : left == null ? new File[0] : left) {
-            deleteTree(f.toPath());
+        File[] leftovers = workRoot.toFile().listFiles();
+        for (File file : leftovers == null ? new File[0] : leftovers) {
+            deleteTree(file.toPath());
         }
     }
 
-    /** Jobs whose saves are kept here and of which nothing runs, at most so many. */
-    List<String> inactiveCheckpointJobs(int most) {
-        String[] names = checkpointRoot.toFile().list();
-        return names == null
+    /** Returns up to {@code maxJobs} jobs that have checkpoints here and of which no task runs here. */
+    List<String> inactiveCheckpointJobs(int maxJobs) {
+        String[] jobs = checkpointRoot.toFile().list();
+        return jobs == null
                 ? List.of()
-                : Arrays.stream(names)
-                        .filter(n -> activeTasks.keySet().stream()
-                                .noneMatch(k -> k.job().equals(n)))
-                        .limit(most)
+                : Arrays.stream(jobs)
+                        .filter(job -> activeTasks.keySet().stream()
+                                .noneMatch(active -> active.job().equals(job)))
+                        .limit(maxJobs)
                         .toList();
     }
 
-    /** The job is over: nobody will start a task of it again. */
+    /** Deletes the checkpoints of a job that has ended and whose tasks are never started again. */
     void deleteCheckpoints(String job) {
         startDaemonThread("over " + job, () -> deleteTree(checkpointRoot.resolve(job)));
     }
 
     private static void deleteTree(Path dir) {
-        try (Stream<Path> all = Files.walk(dir)) {
-            for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(p);
+        try (Stream<Path> files = Files.walk(dir)) {
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
             }
         } catch (IOException e) {
-            LOG.debug("{} stays: {}", dir, e.getMessage());
+            LOG.debug("directory {} can't be deleted: {}", dir, e.getMessage());
         }
     }
 }
--- a/src/main/java/birchusher/agent/Supervisor.java
+++ b/src/main/java/birchusher/agent/Supervisor.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process beside the agent that ends its tasks when the agent can't: it reads from a pipe how long they may still live, and
- * kills them all when that time is over, or when the pipe ends because the agent is gone. An agent that was killed, stopped or
- * hangs so leaves nothing running past its lease.
+ * A process that kills the agent's tasks when the agent cannot do so itself. It reads the remaining lease of the tasks from
+ * a pipe, and kills all of them when the lease expires, or when the pipe ends because the agent is gone. Thus an agent that
+ * was killed, is suspended or hangs leaves no process running past its lease.
  *
- * <p>Not covered: both processes ended at the same time by force. The next agent on that directory then kills what is left before
- * it says anything to anybody, and the pool gives the machine's place to nobody before.
+ * <p>Not covered is a simultaneous kill of both processes. The next agent of that directory then kills the processes that
+ * are left before it sends any message, and the pool does not rent the host again before that.
  *
- * <p>Argument: the mark of the agent's tasks. Input: lines with milliseconds.
+ * <p>Argument: the tag prefix of the agent's tasks. Input: one line for each lease, with its remaining milliseconds.
  */
 public final class Supervisor {
     private static final long AGENT_GONE = -1;
@@ -24,40 +24,43 @@
 
     private Supervisor() {}
 
+    /** Runs until the input ends and all tasks have been killed. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        LinkedBlockingQueue<Long> said = new LinkedBlockingQueue<>();
-        Thread reader = new Thread(() -> readLeases(said));
+        LinkedBlockingQueue<Long> leases = new LinkedBlockingQueue<>();
+        Thread reader = new Thread(() -> readLeases(leases));
         reader.setDaemon(true);
         reader.start();
-        enforceLease(args[0], said);
+        enforceLease(args[0], leases);
     }
 
-    private static void readLeases(LinkedBlockingQueue<Long> said) {
+    private static void readLeases(LinkedBlockingQueue<Long> leases) {
         try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                said.add(Math.max(0, Long.parseLong(line.trim())));
+                leases.add(Math.max(0, Long.parseLong(line.trim())));
             }
         } catch (IOException | NumberFormatException e) {
             System.err.println("warden: " + e);
         }
-        said.add(AGENT_GONE);
+        leases.add(AGENT_GONE);
     }
 
-    private static void enforceLease(String tag, LinkedBlockingQueue<Long> said)
+    private static void enforceLease(String tag, LinkedBlockingQueue<Long> leases)
             throws IOException, InterruptedException {
-        long until = System.nanoTime();
+        long deadlineNs = System.nanoTime();
         boolean killed = true;
         while (true) {
-            long left = (until - System.nanoTime()) / 1_000_000;
-            Long news = killed ? said.take() : left > 0 ? said.poll(left, TimeUnit.MILLISECONDS) : said.poll();
-            if (news != null && news != AGENT_GONE) {
-                until = System.nanoTime() + news * 1_000_000;
+            long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+            Long leaseMs = killed
+                    ? leases.take()
+                    : remainingMs > 0 ? leases.poll(remainingMs, TimeUnit.MILLISECONDS) : leases.poll();
+            if (leaseMs != null && leaseMs != AGENT_GONE) {
+                deadlineNs = System.nanoTime() + leaseMs * 1_000_000;
                 killed = false;
-            } else if (news != null || !killed) {
+            } else if (leaseMs != null || !killed) {
                 TaggedProcesses.killAll(tag);
                 killed = true;
-                if (news != null) {
-                    // A process on its way from fork to exec at that moment does not bear the mark yet.
+                if (leaseMs != null) {
+                    // A process that was between fork and exec at that moment does not carry the tag yet.
                     for (int i = 0; i < FINAL_KILL_ROUNDS; i++) {
                         Thread.sleep(FINAL_KILL_INTERVAL_MS);
                         TaggedProcesses.killAll(tag);
--- a/src/main/java/birchusher/agent/SupervisorClient.java
+++ b/src/main/java/birchusher/agent/SupervisorClient.java
@@ -5,13 +5,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The agent's end of a {@link Warden}. */
+/** Starts a {@link Supervisor} process and sends it the lease of the agent's tasks. */
 final class SupervisorClient {
     private final Process process;
     private final OutputStream pipe;
 
-    /** @param lost called from another thread if the warden ends */
-    SupervisorClient(String tag, Runnable lost) throws IOException {
+    /**
+     * @param tag prefix of the tags of all processes to be supervised
+     * @param onExit called from another thread when the supervisor process ends
+     */
+    SupervisorClient(String tag, Runnable onExit) throws IOException {
         String java = ProcessHandle.current().info().command().orElse("java");
         process = new ProcessBuilder(List.of(
                         java,
@@ -26,16 +29,16 @@
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         pipe = process.getOutputStream();
-        process.onExit().thenRun(lost);
+        process.onExit().thenRun(onExit);
     }
 
-    /** The tasks may live for so long from now on. */
-    void setLease(long ms) throws IOException {
-        pipe.write((ms + "\n").getBytes(StandardCharsets.US_ASCII));
+    /** Sets the time after which the supervisor kills all tasks, counted from the receipt of this message. */
+    void setLease(long remainingMs) throws IOException {
+        pipe.write((remainingMs + "\n").getBytes(StandardCharsets.US_ASCII));
         pipe.flush();
     }
 
-    /** The agent ends in order. The warden kills what is left, and ends. */
+    /** Ends the supervisor, which kills all tasks that are left, and waits for its exit. */
     void close() throws IOException, InterruptedException {
         pipe.close();
         process.waitFor();
--- a/src/main/java/birchusher/agent/TaggedProcesses.java
+++ b/src/main/java/birchusher/agent/TaggedProcesses.java
@@ -10,8 +10,9 @@
 import java.util.Optional;
 
 /**
- * The processes of tasks, found by a mark in their environment ({@code /proc/PID/environ}). Children inherit it, also those that
- * have left their parent's session or whose parent has ended; a process that replaces its whole environment escapes. Linux only.
+ * Finds and kills the processes of tasks by a tag in their environment ({@code /proc/PID/environ}). Child processes inherit
+ * the tag, also those that have left their parent's session or whose parent has ended. A process that replaces its whole
+ * environment is not found. Linux only.
  */
 final class TaggedProcesses {
     static final String TAG_VARIABLE = "BIRCHUSHER_TAG";
@@ -20,27 +21,28 @@
 
     private TaggedProcesses() {}
 
-    /** The mark of a task; that of all tasks of an agent is a prefix of it. */
-    static String tag(String agent, Action.AttemptKey key) {
-        return agent + "/" + key.taskName() + "/" + key.attempt() + "/";
+    /** Returns the tag of a task's attempt; the agent's own tag is a prefix of it. */
+    static String tag(String agentTag, Action.AttemptKey key) {
+        return agentTag + "/" + key.taskName() + "/" + key.attempt() + "/";
     }
 
-    /** Whether processes can be found here at all. */
+    /** Returns whether processes can be found by their tag on this system. */
     static boolean isSupported() {
         return Files.isReadable(PROC.resolve("self/environ"));
     }
 
+    /** Returns the ids of all processes whose tag begins with a prefix. */
     static List<Long> find(String prefix) throws IOException {
-        byte[] mark = (TAG_VARIABLE + "=" + prefix).getBytes(StandardCharsets.UTF_8);
+        byte[] tag = (TAG_VARIABLE + "=" + prefix).getBytes(StandardCharsets.UTF_8);
         List<Long> found = new ArrayList<>();
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(PROC, "[0-9]*")) {
-            for (Path p : all) {
+        try (DirectoryStream<Path> processes = Files.newDirectoryStream(PROC, "[0-9]*")) {
+            for (Path process : processes) {
                 try {
-                    if (containsVariable(Files.readAllBytes(p.resolve("environ")), mark)) {
-                        found.add(Long.parseLong(p.getFileName().toString()));
+                    if (containsVariable(Files.readAllBytes(process.resolve("environ")), tag)) {
+                        found.add(Long.parseLong(process.getFileName().toString()));
                     }
                 } catch (IOException e) {
-                    // Another user's, or it has just ended.
+                    // The process belongs to another user or has just ended.
                     continue;
                 }
             }
@@ -48,17 +50,17 @@
         return found;
     }
 
-    /** Whether a variable, at the beginning or behind a zero byte, begins with the mark. */
-    static boolean containsVariable(byte[] environment, byte[] mark) {
-        for (int i = 0; i + mark.length <= environment.length; i++) {
+    /** Returns whether any variable, at the beginning or after a zero byte, starts with the tag. */
+    static boolean containsVariable(byte[] environment, byte[] tag) {
+        for (int i = 0; i + tag.length <= environment.length; i++) {
             if (i > 0 && environment[i - 1] != 0) {
                 continue;
             }
-            int n = 0;
-            while (n < mark.length && environment[i + n] == mark[n]) {
-                n++;
+            int length = 0;
+            while (length < tag.length && environment[i + length] == tag[length]) {
+                length++;
             }
-            if (n == mark.length) {
+            if (length == tag.length) {
                 return true;
             }
         }
@@ -66,14 +68,15 @@
     }
 
     /**
-     * Kills until none is found. A process may fork between being seen and being killed; its child is seen the next time.
-     * (A process that was killed has no environment any more, even before its parent has taken its exit code.)
+     * Kills all processes whose tag begins with a prefix, until none is found. A process may fork after it is listed and
+     * before it is killed; its child is found in the next round. A killed process has no environment any more, even before
+     * its parent has collected its exit code.
      */
     static void killAll(String prefix) throws IOException, InterruptedException {
         for (List<Long> found = find(prefix); !found.isEmpty(); found = find(prefix)) {
             for (long pid : found) {
-                Optional<ProcessHandle> p = ProcessHandle.of(pid);
-                p.ifPresent(ProcessHandle::destroyForcibly);
+                Optional<ProcessHandle> process = ProcessHandle.of(pid);
+                process.ifPresent(ProcessHandle::destroyForcibly);
             }
             Thread.sleep(KILL_INTERVAL_MS);
         }
--- a/src/main/java/birchusher/agent/TaskLogs.java
+++ b/src/main/java/birchusher/agent/TaskLogs.java
@@ -16,11 +16,17 @@
 import java.util.stream.Stream;
 
 /**
- * What tasks print, a file each for every attempt, bounded: of a longer one the beginning stays and the end goes on in a second
- * file that is begun anew whenever it is full. The oldest files go when all together take too much.
+ * Output of tasks, in files of limited size. Each attempt has a head file with the beginning of its output; when that is
+ * full, output goes on in a tail file, which is started anew whenever it is full. The oldest files are deleted when all
+ * files together take too much space.
  */
 final class TaskLogs {
-    /** @param part bytes of each of the two files; {@code total}: of all */
+    /**
+     * Limits of the size of logs.
+     *
+     * @param fileBytes of each of the two files of an attempt
+     * @param totalBytes of all files
+     */
     record Limits(long fileBytes, long totalBytes) {
         static final Limits DEFAULT = new Limits(4 << 20, 1L << 30);
     }
@@ -32,56 +38,59 @@
     private final Path dir;
     private final Limits limits;
 
-    TaskLogs(Path dir, Limits bounds) throws IOException {
+    TaskLogs(Path dir, Limits limits) throws IOException {
         this.dir = Files.createDirectories(dir);
-        this.limits = bounds;
+        this.limits = limits;
     }
 
-    private Path logFile(Action.AttemptKey key, String end) {
-        return dir.resolve(key.job()).resolve(key.index() + "." + key.attempt() + end);
+    private Path logFile(Action.AttemptKey key, String suffix) {
+        return dir.resolve(key.job()).resolve(key.index() + "." + key.attempt() + suffix);
     }
 
-    /** Copies all that comes, until its end. Runs in a thread of its own. A full disk costs the rest of the log, never the task. */
-    void copy(Action.AttemptKey key, InputStream from) throws IOException {
+    /**
+     * Copies a task's output to its log until the output ends; to be called in a thread of its own. If a write fails, as on
+     * a full disk, the rest of the output is discarded and still read, so that the task does not block.
+     */
+    void copy(Action.AttemptKey key, InputStream input) throws IOException {
         Files.createDirectories(dir.resolve(key.job()));
         byte[] buffer = new byte[8192];
-        Path to = logFile(key, HEAD_SUFFIX);
-        OutputStream out = Files.newOutputStream(to);
+        Path head = logFile(key, HEAD_SUFFIX);
+        OutputStream output = Files.newOutputStream(head);
         long written = 0;
         try {
-            for (int n = from.read(buffer); n >= 0; n = from.read(buffer)) {
-                if (out == null) {
+            for (int count = input.read(buffer); count >= 0; count = input.read(buffer)) {
+                if (output == null) {
                     continue;
                 }
                 try {
-                    if (written + n > limits.fileBytes()) {
-                        out.close();
-                        out = Files.newOutputStream(logFile(key, TAIL_SUFFIX));
+                    if (written + count > limits.fileBytes()) {
+                        output.close();
+                        output = Files.newOutputStream(logFile(key, TAIL_SUFFIX));
                         written = 0;
                     }
-                    out.write(buffer, 0, n);
-                    written += n;
+                    output.write(buffer, 0, count);
+                    written += count;
                 } catch (IOException e) {
-                    closeQuietly(out);
-                    out = null;
+                    closeQuietly(output);
+                    output = null;
                 }
             }
         } finally {
-            closeQuietly(out);
+            closeQuietly(output);
         }
     }
 
-    private static void closeQuietly(OutputStream out) {
+    private static void closeQuietly(OutputStream output) {
         try {
-            if (out != null) {
-                out.close();
+            if (output != null) {
+                output.close();
             }
         } catch (IOException e) {
             return;
         }
     }
 
-    /** One line from the agent itself, such as why a program could not be started. */
+    /** Writes a line of the agent itself as the log, such as why a program could not be started. */
     void writeNote(Action.AttemptKey key, String line) {
         try {
             Files.createDirectories(dir.resolve(key.job()));
@@ -91,79 +100,80 @@
         }
     }
 
-    /** The attempts whose logs are here: {"try", "bytes", "changed_ms"}. */
+    /** Lists the attempts of a task whose logs are on this host: {"try", "bytes", "changed_ms"}. */
     List<Map<String, Object>> list(String job, int index) throws IOException {
-        List<Map<String, Object>> l = new ArrayList<>();
-        Path d = dir.resolve(job);
-        if (!Files.isDirectory(d)) {
-            return l;
+        List<Map<String, Object>> attempts = new ArrayList<>();
+        Path jobDir = dir.resolve(job);
+        if (!Files.isDirectory(jobDir)) {
+            return attempts;
         }
-        try (Stream<Path> files = Files.list(d)) {
-            for (Path p : files.sorted().toList()) {
-                String[] name = p.getFileName().toString().split("\\.");
-                if (name.length == 3 && name[0].equals(String.valueOf(index)) && name[2].equals("log")) {
-                    Action.AttemptKey key = new Action.AttemptKey(job, index, Long.parseLong(name[1]));
+        try (Stream<Path> files = Files.list(jobDir)) {
+            for (Path file : files.sorted().toList()) {
+                String[] nameParts = file.getFileName().toString().split("\\.");
+                if (nameParts.length == 3 && nameParts[0].equals(String.valueOf(index)) && nameParts[2].equals("log")) {
+                    Action.AttemptKey key = new Action.AttemptKey(job, index, Long.parseLong(nameParts[1]));
                     Path tail = logFile(key, TAIL_SUFFIX);
-                    l.add(Map.of(
+                    attempts.add(Map.of(
                             "try",
                             key.attempt(),
                             "bytes",
-                            Files.size(p) + (Files.exists(tail) ? Files.size(tail) : 0),
+                            Files.size(file) + (Files.exists(tail) ? Files.size(tail) : 0),
                             "changed_ms",
-                            Files.getLastModifiedTime(Files.exists(tail) ? tail : p)
+                            Files.getLastModifiedTime(Files.exists(tail) ? tail : file)
                                     .toMillis()));
                 }
             }
         }
-        return l;
+        return attempts;
     }
 
     /**
-     * A part of an attempt's log, from an offset on, at most 32 KiB: {"text", "next", "cut"}. The offset runs through both files;
-     * {@code cut} says that bytes between them are gone.
+     * Reads at most 32 KiB of an attempt's log from an offset on: {"text", "next", "cut"}. Offsets run through both files;
+     * {@code cut} says that output between them is missing.
      */
-    Map<String, Object> read(Action.AttemptKey key, long from) throws IOException {
+    Map<String, Object> read(Action.AttemptKey key, long offset) throws IOException {
         Path head = logFile(key, HEAD_SUFFIX);
         Path tail = logFile(key, TAIL_SUFFIX);
         if (!Files.exists(head)) {
-            throw new InvalidInputException("try: no log of this attempt is kept here");
+            throw new InvalidInputException("try: this host has no log of this attempt");
         }
-        long first = Files.size(head);
-        boolean second = from >= first && Files.exists(tail);
+        long headBytes = Files.size(head);
+        boolean fromTail = offset >= headBytes && Files.exists(tail);
         byte[] bytes;
-        try (RandomAccessFile f = new RandomAccessFile((second ? tail : head).toFile(), "r")) {
-            long at = Math.min(second ? from - first : from, f.length());
-            f.seek(at);
-            bytes = new byte[(int) Math.min(MAX_READ_BYTES, f.length() - at)];
-            f.readFully(bytes);
+        try (RandomAccessFile file = new RandomAccessFile((fromTail ? tail : head).toFile(), "r")) {
+            long position = Math.min(fromTail ? offset - headBytes : offset, file.length());
+            file.seek(position);
+            bytes = new byte[(int) Math.min(MAX_READ_BYTES, file.length() - position)];
+            file.readFully(bytes);
         }
-        Map<String, Object> m = new HashMap<>();
-        m.put("text", new String(bytes, StandardCharsets.UTF_8));
-        m.put("next", from + bytes.length);
-        m.put("cut", second && from == first && Files.size(head) + MAX_READ_BYTES > limits.fileBytes());
-        return m;
+        Map<String, Object> fields = new HashMap<>();
+        fields.put("text", new String(bytes, StandardCharsets.UTF_8));
+        fields.put("next", offset + bytes.length);
+        fields.put("cut", fromTail && offset == headBytes && Files.size(head) + MAX_READ_BYTES > limits.fileBytes());
+        return fields;
     }
 
-    /** Drops the oldest logs until the rest is within bounds; for now and then. */
+    /** Deletes the oldest log files until the rest is within the total limit; to be called periodically. */
     void prune() throws IOException {
-        record Kept(Path path, long bytes, long changed) {}
-        List<Kept> all = new ArrayList<>();
+        record StoredFile(Path path, long bytes, long changedMs) {}
+        List<StoredFile> stored = new ArrayList<>();
         try (Stream<Path> files = Files.walk(dir)) {
-            for (Path p : files.filter(Files::isRegularFile).toList()) {
-                all.add(new Kept(p, Files.size(p), Files.getLastModifiedTime(p).toMillis()));
+            for (Path path : files.filter(Files::isRegularFile).toList()) {
+                stored.add(new StoredFile(
+                        path, Files.size(path), Files.getLastModifiedTime(path).toMillis()));
             }
         }
-        long total = all.stream().mapToLong(Kept::bytes).sum();
-        all.sort(Comparator.comparingLong(Kept::changed));
-        for (Kept k : all) {
-            if (total <= limits.totalBytes()) {
+        long totalBytes = stored.stream().mapToLong(StoredFile::bytes).sum();
+        stored.sort(Comparator.comparingLong(StoredFile::changedMs));
+        for (StoredFile oldest : stored) {
+            if (totalBytes <= limits.totalBytes()) {
                 return;
             }
-            Files.deleteIfExists(k.path());
-            total -= k.bytes();
-            try (Stream<Path> rest = Files.list(k.path().getParent())) {
-                if (rest.findAny().isEmpty()) {
-                    Files.delete(k.path().getParent());
+            Files.deleteIfExists(oldest.path());
+            totalBytes -= oldest.bytes();
+            try (Stream<Path> remaining = Files.list(oldest.path().getParent())) {
+                if (remaining.findAny().isEmpty()) {
+                    Files.delete(oldest.path().getParent());
                 }
             }
         }
--- a/src/main/java/birchusher/agent/Worker.java
+++ b/src/main/java/birchusher/agent/Worker.java
@@ -13,33 +13,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One host's worker by the published protocol, as a pure machine: time is an input, processes and messages are the edge's.
+ * State machine of the worker on one host, following the published worker protocol. It performs no I/O: the current time
+ * is passed in, and messages and process operations are returned as {@link Action}s, which the caller performs. Not
+ * thread-safe. All times are milliseconds of a monotonic clock.
  *
- * <p>Two leases hold its tasks. One is the protocol's: the last answered report. The other is the pool's: the last answered
- * question which machine this host is, as a pool that hears nothing for that long gives the machine up. When either ends, every
- * process is killed, and nothing is reported before all of them are gone.
+ * <p>Tasks run under two leases. The worker lease is renewed by each answered report, and counts from the sending of that
+ * report. The pool lease is renewed by each answered poll for this host's assignment, and counts from the sending of that
+ * poll, because the pool declares a machine failed if it receives no poll for that long. When either lease ends, all
+ * processes are killed, and nothing is reported until all of them are gone.
  *
  * <pre>
- * stage      from                                     to
- * fetching   a start                                  waiting (a gang's), running; exited: no_such, full, error, halted
- * waiting    its description is there                 running: all mates wait too; exited: incomplete, halted
+ * state      entered when                             next
+ * fetching   a start command arrives                  waiting (gangs), running; exited: no_such, in_use, full, error, halted
+ * waiting    the job's description has arrived        running: the whole gang waits; exited: incomplete, mates_gone, halted
  * running    its process was started                  flushing; exited: done, error, mates_gone, halted
- * flushing   a stop with time enough to save          exited: halted
- * exited     nothing of its process is left           gone: a reap
+ * flushing   a stop allows enough time to save        exited: halted
+ * exited     nothing of its process is left           removed: a reap command arrives
  * </pre>
  */
 final class Worker {
     private static final Logger LOG = LoggerFactory.getLogger(Worker.class);
-    /** By the exit code a program says "saved, not finished": EX_TEMPFAIL of sysexits.h. */
+    /** Exit code of a program that saved a checkpoint without finishing its work: EX_TEMPFAIL of sysexits.h. */
     static final int SAVED_EXIT_CODE = 75;
-    /** Tasks are killed this long before their lease ends, so that they are gone when it does. */
+    /** Tasks are killed this long before their lease ends, so that no process outlives it. */
     static final long KILL_MARGIN_MS = 1_500;
 
     private static final long MIN_REPORT_GAP_MS = 500;
     private static final long CONTROLLER_RETRY_MS = 1_000;
     private static final long GANG_STATUS_INTERVAL_MS = 1_000;
     private static final long FETCH_RETRY_MS = 4_000;
-    /** A task that does not save gets this long after SIGTERM, if its stop grants as much. */
+    /** Time from SIGTERM to SIGKILL for a task that does not save, unless its stop command grants less. */
     private static final long MAX_TERM_GRACE_MS = 2_000;
 
     private static final int MAX_TASKS = 1_000;
@@ -51,14 +54,14 @@
         String cause;
         boolean saved;
         JobDescription description;
-        /** Why it is being ended, null if it is not. */
+        /** Exit reason of a task that is being stopped or killed, otherwise null. */
         String endCause;
 
         long killAtMs = NEVER;
         long nextFetchMs;
         long nextGangStatusMs;
         long gangWaitEndMs = NEVER;
-        /** A gang's task whose process has ended well waits for the others. */
+        /** Its process exited with 0 and the task waits for the others of its gang. */
         boolean succeeded;
 
         Task(Action.AttemptKey key) {
@@ -76,7 +79,7 @@
     private List<Action> pendingActions = new ArrayList<>();
     private Assignment assignment;
     private Assignment latestAssignment;
-    /** The machine this host runs as, null while it is none. */
+    /** The machine that this host is assigned to, null if none. */
     private String machine;
 
     private String previousMachine;
@@ -94,50 +97,50 @@
     private long nextReportMs;
     private long lastReportMs = -MIN_REPORT_GAP_MS;
 
-    /** @param address where controllers reach this worker */
+    /** @param address host and port at which controllers reach this worker */
     Worker(String address, SplittableRandom random) {
         this.address = address;
         this.random = random;
     }
 
-    // ---- which machine this host is
+    // ---- machine assignment and leases
 
-    /** The machine that this host runs as, or still ends; null if none. */
+    /** Returns the machine that this host runs as, also while its tasks are still being killed; null if none. */
     String currentMachine() {
         return machine;
     }
 
-    /** The pool has answered what was asked at {@code asked}. */
-    List<Action> onAssignment(long at, long asked, Assignment a) {
-        poolLeaseStartMs = Math.max(poolLeaseStartMs, asked);
-        latestAssignment = a;
-        if (assignment == null || !killingAll && Objects.equals(machine, a.machine())) {
-            assignment = a;
+    /** Handles the response to the assignment poll that was sent at {@code requestedMs}. */
+    List<Action> onAssignment(long nowMs, long requestedMs, Assignment newAssignment) {
+        poolLeaseStartMs = Math.max(poolLeaseStartMs, requestedMs);
+        latestAssignment = newAssignment;
+        if (assignment == null || !killingAll && Objects.equals(machine, newAssignment.machine())) {
+            assignment = newAssignment;
         }
-        applyAssignment(at);
-        extendSupervisorLease(at);
+        applyAssignment(nowMs);
+        extendSupervisorLease(nowMs);
         return drainActions();
     }
 
-    private void applyAssignment(long at) {
+    private void applyAssignment(long nowMs) {
         if (killingAll || latestAssignment == null) {
             return;
         }
         if (machine != null && !machine.equals(latestAssignment.machine())) {
-            LOG.info("no longer {}", machine);
+            LOG.info("no longer assigned to machine {}: killing its tasks", machine);
             startKillingAll();
         } else if (machine == null && latestAssignment.machine() != null) {
             assignment = latestAssignment;
             machine = assignment.machine();
-            LOG.info("running as {}, {} in {}", machine, assignment.type(), assignment.zone());
-            // The same machine again, after the pool was not heard for a lease: its sessions go on, they never begin
-            // anew.
+            LOG.info("running as machine {} of type {} in zone {}", machine, assignment.type(), assignment.zone());
+            // The host may get the same machine again after its pool lease expired: session numbers of a machine
+            // continue, they never start again.
             session = machine.equals(previousMachine) ? session + 1 : 1;
             fencingToken = machine.equals(previousMachine) ? fencingToken : 0;
             previousMachine = machine;
             tasks.clear();
-            leaseStartMs = at;
-            nextReportMs = at;
+            leaseStartMs = nowMs;
+            nextReportMs = nowMs;
             reportInFlight = false;
             reportId++;
         }
@@ -148,22 +151,22 @@
         pendingActions.add(new Action.KillAllTasks());
     }
 
-    /** Nothing of any task is left. */
-    List<Action> onAllKilled(long at) {
+    /** Called when no process of any task is left after {@link Action.KillAllTasks}. */
+    List<Action> onAllKilled(long nowMs) {
         if (!killingAll) {
             return drainActions();
         }
         killingAll = false;
-        tasks.values().forEach(t -> pendingActions.add(new Action.DeleteWorkDir(t.key)));
+        tasks.values().forEach(task -> pendingActions.add(new Action.DeleteWorkDir(task.key)));
         tasks.clear();
         if (latestAssignment == null || !machine.equals(latestAssignment.machine())) {
             machine = null;
         } else {
             session++;
-            leaseStartMs = at;
-            nextReportMs = at;
+            leaseStartMs = nowMs;
+            nextReportMs = nowMs;
         }
-        applyAssignment(at);
+        applyAssignment(nowMs);
         return drainActions();
     }
 
@@ -171,112 +174,115 @@
         return Math.min(leaseStartMs, poolLeaseStartMs) + assignment.leaseMs() - KILL_MARGIN_MS;
     }
 
-    private void extendSupervisorLease(long at) {
+    private void extendSupervisorLease(long nowMs) {
         if (machine != null && !killingAll) {
-            pendingActions.add(new Action.ExtendSupervisorLease(Math.max(0, leaseEndMs() - at)));
+            pendingActions.add(new Action.ExtendSupervisorLease(Math.max(0, leaseEndMs() - nowMs)));
         }
     }
 
-    List<Action> tick(long at) {
+    List<Action> tick(long nowMs) {
         if (machine == null || killingAll) {
             return drainActions();
         }
-        if (at > leaseEndMs()) {
-            LOG.info("lease of {} is over: {} tasks end", machine, tasks.size());
-            if (poolLeaseStartMs + assignment.leaseMs() - KILL_MARGIN_MS < at) {
-                // The pool may have given this machine up: it is asked before anything is run again.
+        if (nowMs > leaseEndMs()) {
+            LOG.info("lease of machine {} expired: killing {} tasks", machine, tasks.size());
+            if (poolLeaseStartMs + assignment.leaseMs() - KILL_MARGIN_MS < nowMs) {
+                // The pool may have declared this machine failed: nothing runs again before its next answer.
                 latestAssignment = null;
             }
             startKillingAll();
             return drainActions();
         }
-        for (Task t : List.copyOf(tasks.values())) {
-            tick(at, t);
+        for (Task task : List.copyOf(tasks.values())) {
+            tick(nowMs, task);
         }
-        if (!reportInFlight && at >= nextReportMs) {
-            sendReport(at);
+        if (!reportInFlight && nowMs >= nextReportMs) {
+            sendReport(nowMs);
         }
         return drainActions();
     }
 
-    private void tick(long at, Task t) {
-        if (t.hasExited()) {
+    private void tick(long nowMs, Task task) {
+        if (task.hasExited()) {
             return;
         }
-        if (t.state.equals("fetching") && at >= t.nextFetchMs) {
-            // One description serves all tasks of a job, however many start with one answer.
-            boolean asked = tasks.values().stream()
-                    .anyMatch(x -> x.state.equals("fetching")
-                            && x.nextFetchMs > at
-                            && x.key.job().equals(t.key.job()));
-            t.nextFetchMs = at + FETCH_RETRY_MS;
-            if (!asked) {
-                pendingActions.add(new Action.FetchDescription(t.key.job()));
+        if (task.state.equals("fetching") && nowMs >= task.nextFetchMs) {
+            // One request serves all tasks of a job, however many of them one response starts.
+            boolean alreadyRequested = tasks.values().stream()
+                    .anyMatch(other -> other.state.equals("fetching")
+                            && other.nextFetchMs > nowMs
+                            && other.key.job().equals(task.key.job()));
+            task.nextFetchMs = nowMs + FETCH_RETRY_MS;
+            if (!alreadyRequested) {
+                pendingActions.add(new Action.FetchDescription(task.key.job()));
             }
         }
-        if (t.state.equals("waiting") && at >= t.gangWaitEndMs) {
-            recordExit(at, t, "incomplete");
+        if (task.state.equals("waiting") && nowMs >= task.gangWaitEndMs) {
+            recordExit(nowMs, task, "incomplete");
             return;
         }
-        if (isMultiTaskGang(t) && t.endCause == null && at >= t.nextGangStatusMs && !t.state.equals("fetching")) {
-            t.nextGangStatusMs = at + GANG_STATUS_INTERVAL_MS;
-            sendGangStatus(t, t.succeeded ? "ended" : t.state.equals("waiting") ? "waiting" : "running");
+        if (isMultiTaskGang(task)
+                && task.endCause == null
+                && nowMs >= task.nextGangStatusMs
+                && !task.state.equals("fetching")) {
+            task.nextGangStatusMs = nowMs + GANG_STATUS_INTERVAL_MS;
+            sendGangStatus(task, task.succeeded ? "ended" : task.state.equals("waiting") ? "waiting" : "running");
         }
-        if (at >= t.killAtMs) {
-            t.killAtMs = NEVER;
-            pendingActions.add(new Action.KillTask(t.key));
+        if (nowMs >= task.killAtMs) {
+            task.killAtMs = NEVER;
+            pendingActions.add(new Action.KillTask(task.key));
         }
     }
 
-    private static boolean isMultiTaskGang(Task t) {
-        return t.description != null && t.description.gang() && t.description.taskCount() > 1;
+    private static boolean isMultiTaskGang(Task task) {
+        return task.description != null && task.description.gang() && task.description.taskCount() > 1;
     }
 
-    private void sendGangStatus(Task t, String phase) {
-        pendingActions.add(new Action.SendGangStatus(t.key, t.description.taskCount(), phase));
+    private void sendGangStatus(Task task, String phase) {
+        pendingActions.add(new Action.SendGangStatus(task.key, task.description.taskCount(), phase));
     }
 
     // ---- reports
 
     private Map<String, Object> reportBody() {
-        List<Object> pieces = new ArrayList<>();
-        for (Task t : tasks.values()) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put(Wire.TASK, t.key.taskName());
-            m.put(Wire.ATTEMPT, t.key.attempt());
-            m.put(Wire.STATE, t.state);
-            if (t.cause != null) {
-                m.put(Wire.EXIT_REASON, t.cause);
-                if (t.saved) {
-                    m.put(Wire.CHECKPOINT_SAVED, true);
+        List<Object> taskReports = new ArrayList<>();
+        for (Task task : tasks.values()) {
+            Map<String, Object> taskReport = new LinkedHashMap<>();
+            taskReport.put(Wire.TASK, task.key.taskName());
+            taskReport.put(Wire.ATTEMPT, task.key.attempt());
+            taskReport.put(Wire.STATE, task.state);
+            if (task.cause != null) {
+                taskReport.put(Wire.EXIT_REASON, task.cause);
+                if (task.saved) {
+                    taskReport.put(Wire.CHECKPOINT_SAVED, true);
                 }
             }
-            pieces.add(m);
-        }
-        Map<String, Object> r = new LinkedHashMap<>();
-        r.put(Wire.MACHINE, machine);
-        r.put(Wire.ADDRESS, address);
-        r.put(Wire.TYPE, assignment.type());
-        r.put(Wire.ZONE, assignment.zone());
-        r.put(Wire.SPOT, false);
-        r.put(Wire.SESSION, session);
-        r.put(Wire.SEQUENCE, ++reportSequence);
-        r.put(Wire.FENCING_TOKEN, fencingToken);
-        r.put(Wire.RECLAIM_NOTICE_S, null);
-        r.put("pieces", pieces);
-        return r;
-    }
-
-    private void sendReport(long at) {
+            taskReports.add(taskReport);
+        }
+        Map<String, Object> report = new LinkedHashMap<>();
+        report.put(Wire.MACHINE, machine);
+        report.put(Wire.ADDRESS, address);
+        report.put(Wire.TYPE, assignment.type());
+        report.put(Wire.ZONE, assignment.zone());
+        report.put(Wire.SPOT, false);
+        report.put(Wire.SESSION, session);
+        report.put(Wire.SEQUENCE, ++reportSequence);
+        report.put(Wire.FENCING_TOKEN, fencingToken);
+        report.put(Wire.RECLAIM_NOTICE_S, null);
+        report.put("pieces", taskReports);
+        return report;
+    }
+
+    private void sendReport(long nowMs) {
         if (assignment.controllers().isEmpty()) {
-            nextReportMs = at + CONTROLLER_RETRY_MS;
+            nextReportMs = nowMs + CONTROLLER_RETRY_MS;
             return;
         }
         reportInFlight = true;
-        reportSentMs = at;
+        reportSentMs = nowMs;
         reportSession = session;
-        lastReportMs = at;
-        nextReportMs = at + Math.round(assignment.reportMs() * (0.75 + 0.5 * random.nextDouble()));
+        lastReportMs = nowMs;
+        nextReportMs = nowMs + Math.round(assignment.reportMs() * (0.75 + 0.5 * random.nextDouble()));
         pendingActions.add(new Action.SendReport(
                 ++reportId,
                 assignment
@@ -286,13 +292,16 @@
                 reportBody()));
     }
 
-    private void scheduleReport(long at) {
-        nextReportMs = Math.min(nextReportMs, Math.max(at, lastReportMs + MIN_REPORT_GAP_MS));
+    private void scheduleReport(long nowMs) {
+        nextReportMs = Math.min(nextReportMs, Math.max(nowMs, lastReportMs + MIN_REPORT_GAP_MS));
     }
 
-    /** The answer to a report; status 0: none came. */
-    List<Action> onReportResponse(long at, long id, int status, Map<String, Object> m) {
-        if (id != reportId || machine == null) {
+    /**
+     * Handles the response to a report; status 0 means that none arrived. Only the latest report's response counts, and
+     * only if no new session has begun since that report.
+     */
+    List<Action> onReportResponse(long nowMs, long requestId, int status, Map<String, Object> body) {
+        if (requestId != reportId || machine == null) {
             return drainActions();
         }
         reportInFlight = false;
@@ -301,243 +310,245 @@
         }
         try {
             if (status == 200) {
-                applyResponse(at, m);
+                applyResponse(nowMs, body);
             } else {
-                switchController(at, status == 421 ? Fields.textOrNull(m, Wire.REPORT_TO) : null);
+                switchController(nowMs, status == 421 ? Fields.textOrNull(body, Wire.REPORT_TO) : null);
             }
         } catch (InvalidInputException e) {
-            LOG.error("answer to a report not as agreed: {}", e.getMessage());
+            LOG.error("invalid response to a report: {}", e.getMessage());
         }
         return drainActions();
     }
 
-    private void applyResponse(long at, Map<String, Object> m) {
-        if (m.get(Wire.FENCING_TOKEN) == null || Fields.count(m, Wire.FENCING_TOKEN) < fencingToken) {
+    private void applyResponse(long nowMs, Map<String, Object> body) {
+        if (body.get(Wire.FENCING_TOKEN) == null || Fields.count(body, Wire.FENCING_TOKEN) < fencingToken) {
             return;
         }
-        List<Command> orders = Command.read(m);
-        fencingToken(at, Fields.count(m, Wire.FENCING_TOKEN));
+        List<Command> commands = Command.read(body);
+        raiseFencingToken(nowMs, Fields.count(body, Wire.FENCING_TOKEN));
         leaseStartMs = reportSentMs;
-        extendSupervisorLease(at);
-        orders.forEach(o -> execute(at, o));
+        extendSupervisorLease(nowMs);
+        commands.forEach(command -> execute(nowMs, command));
     }
 
-    private void fencingToken(long at, long t) {
-        if (t > fencingToken) {
-            fencingToken = t;
-            scheduleReport(at);
+    private void raiseFencingToken(long nowMs, long newToken) {
+        if (newToken > fencingToken) {
+            fencingToken = newToken;
+            scheduleReport(nowMs);
         }
     }
 
-    private void switchController(long at, String name) {
+    private void switchController(long nowMs, String controllerName) {
         for (int i = 0; i < assignment.controllers().size(); i++) {
-            if (assignment.controllers().get(i).name().equals(name)
+            if (assignment.controllers().get(i).name().equals(controllerName)
                     && i != controllerIndex % assignment.controllers().size()) {
                 controllerIndex = i;
-                nextReportMs = at + random.nextInt((int) MIN_REPORT_GAP_MS);
+                nextReportMs = nowMs + random.nextInt((int) MIN_REPORT_GAP_MS);
                 return;
             }
         }
         controllerIndex =
                 (controllerIndex + 1) % Math.max(1, assignment.controllers().size());
-        nextReportMs = at + CONTROLLER_RETRY_MS;
+        nextReportMs = nowMs + CONTROLLER_RETRY_MS;
     }
 
-    // ---- direct commands
+    // ---- requests by controllers
 
-    List<Action> onDirectRequest(long at, long exchange, String method, String path, Object body) {
+    /** Handles a request to this worker: for a report, or to execute commands under a fencing token and a session. */
+    List<Action> onDirectRequest(long nowMs, long exchange, String method, String path, Object body) {
         if (machine == null || killingAll) {
-            pendingActions.add(new Action.SendResponse(exchange, 503, Map.of("error", "no machine at present"), 1));
+            pendingActions.add(new Action.SendResponse(
+                    exchange, 503, Map.of("error", "host is not assigned to a machine or is ending its tasks"), 1));
         } else if (path.equals("/show") && method.equals("GET")) {
             pendingActions.add(new Action.SendResponse(exchange, 200, reportBody(), 0));
         } else if (path.equals(Wire.WORKER_COMMANDS) && method.equals("POST")) {
-            Map<String, Object> m = Fields.map(body, "body");
-            long t = Fields.count(m, Wire.FENCING_TOKEN);
-            long s = Fields.count(m, Wire.SESSION);
-            List<Command> orders = Command.read(m);
-            boolean entitled = t >= fencingToken && s == session;
-            if (entitled) {
-                fencingToken(at, t);
-                orders.forEach(o -> execute(at, o));
+            Map<String, Object> fields = Fields.map(body, "body");
+            long token = Fields.count(fields, Wire.FENCING_TOKEN);
+            long commandSession = Fields.count(fields, Wire.SESSION);
+            List<Command> commands = Command.read(fields);
+            boolean accepted = token >= fencingToken && commandSession == session;
+            if (accepted) {
+                raiseFencingToken(nowMs, token);
+                commands.forEach(command -> execute(nowMs, command));
             }
-            pendingActions.add(new Action.SendResponse(exchange, entitled ? 200 : 409, reportBody(), 0));
+            pendingActions.add(new Action.SendResponse(exchange, accepted ? 200 : 409, reportBody(), 0));
         } else {
             pendingActions.add(new Action.SendResponse(exchange, 404, Map.of("error", "no such path"), 0));
         }
         return drainActions();
     }
 
-    private void execute(long at, Command o) {
-        Task t = tasks.get(o.attemptKey());
-        switch (o.operation()) {
+    private void execute(long nowMs, Command command) {
+        Task task = tasks.get(command.attemptKey());
+        switch (command.operation()) {
             case START -> {
-                if (t == null) {
-                    startTask(at, o.attemptKey());
+                if (task == null) {
+                    startTask(nowMs, command.attemptKey());
                 }
             }
             case STOP -> {
-                if (t != null && !t.hasExited()) {
-                    stopTask(at, t, o.graceMs());
+                if (task != null && !task.hasExited()) {
+                    stopTask(nowMs, task, command.graceMs());
                 }
             }
             case REAP -> {
-                if (t != null && t.hasExited()) {
-                    tasks.remove(o.attemptKey());
-                    pendingActions.add(new Action.DeleteWorkDir(o.attemptKey()));
-                    scheduleReport(at);
+                if (task != null && task.hasExited()) {
+                    tasks.remove(command.attemptKey());
+                    pendingActions.add(new Action.DeleteWorkDir(command.attemptKey()));
+                    scheduleReport(nowMs);
                 }
             }
         }
     }
 
-    private void startTask(long at, Action.AttemptKey key) {
-        Task t = new Task(key);
-        boolean other = tasks.values().stream()
-                .anyMatch(x -> !x.hasExited() && x.key.taskName().equals(key.taskName()));
-        if (!other && tasks.size() >= MAX_TASKS) {
-            recordExit(at, t, "full");
-        } else if (other) {
-            recordExit(at, t, "in_use");
-        }
-        tasks.put(key, t);
-        scheduleReport(at);
-        if (!t.hasExited()) {
-            tick(at, t);
-        }
-    }
-
-    private void stopTask(long at, Task t, long graceMs) {
-        scheduleReport(at);
-        if (t.state.equals("fetching") || t.state.equals("waiting") || t.succeeded) {
-            recordExit(at, t, "halted");
-        } else if (t.state.equals("running")
-                && t.endCause == null
-                && t.description.usesCheckpoints()
-                && graceMs >= t.description.saveDurationMs()) {
-            t.state = "flushing";
-            t.endCause = "halted";
-            t.killAtMs = at + graceMs;
-            pendingActions.add(new Action.SendSignal(t.key, t.description.saveSignal()));
-        } else if (t.state.equals("running") && t.endCause == null && graceMs > 0) {
-            t.endCause = "halted";
-            t.killAtMs = at + Math.min(graceMs, MAX_TERM_GRACE_MS);
-            pendingActions.add(new Action.SendSignal(t.key, "TERM"));
+    private void startTask(long nowMs, Action.AttemptKey key) {
+        Task task = new Task(key);
+        boolean otherAttemptActive = tasks.values().stream()
+                .anyMatch(active -> !active.hasExited() && active.key.taskName().equals(key.taskName()));
+        if (!otherAttemptActive && tasks.size() >= MAX_TASKS) {
+            recordExit(nowMs, task, "full");
+        } else if (otherAttemptActive) {
+            recordExit(nowMs, task, "in_use");
+        }
+        tasks.put(key, task);
+        scheduleReport(nowMs);
+        if (!task.hasExited()) {
+            tick(nowMs, task);
+        }
+    }
+
+    private void stopTask(long nowMs, Task task, long graceMs) {
+        scheduleReport(nowMs);
+        if (task.state.equals("fetching") || task.state.equals("waiting") || task.succeeded) {
+            recordExit(nowMs, task, "halted");
+        } else if (task.state.equals("running")
+                && task.endCause == null
+                && task.description.usesCheckpoints()
+                && graceMs >= task.description.saveDurationMs()) {
+            task.state = "flushing";
+            task.endCause = "halted";
+            task.killAtMs = nowMs + graceMs;
+            pendingActions.add(new Action.SendSignal(task.key, task.description.saveSignal()));
+        } else if (task.state.equals("running") && task.endCause == null && graceMs > 0) {
+            task.endCause = "halted";
+            task.killAtMs = nowMs + Math.min(graceMs, MAX_TERM_GRACE_MS);
+            pendingActions.add(new Action.SendSignal(task.key, "TERM"));
         } else {
-            killTask(t, "halted");
+            killTask(task, "halted");
         }
     }
 
-    /** Ends a task that has a process; it exits once nothing of that is left. */
-    private void killTask(Task t, String cause) {
-        t.endCause = t.endCause == null ? cause : t.endCause;
-        t.killAtMs = NEVER;
-        pendingActions.add(new Action.KillTask(t.key));
+    /** Kills a task that has a process; the task exits once nothing of that process is left. */
+    private void killTask(Task task, String cause) {
+        task.endCause = task.endCause == null ? cause : task.endCause;
+        task.killAtMs = NEVER;
+        pendingActions.add(new Action.KillTask(task.key));
     }
 
-    private void recordExit(long at, Task t, String cause) {
-        if (isMultiTaskGang(t) && !cause.equals("done")) {
-            sendGangStatus(t, "leaving");
+    private void recordExit(long nowMs, Task task, String cause) {
+        if (isMultiTaskGang(task) && !cause.equals("done")) {
+            sendGangStatus(task, "leaving");
         }
-        t.state = "exited";
-        t.cause = cause;
-        scheduleReport(at);
+        task.state = "exited";
+        task.cause = cause;
+        scheduleReport(nowMs);
     }
 
-    // ---- what becomes of tasks
+    // ---- task events
 
-    /** A description has come; null if there is no such job. An answer that did not come is asked for again. */
-    List<Action> onDescription(long at, String id, JobDescription job) {
-        for (Task t : List.copyOf(tasks.values())) {
-            if (!t.state.equals("fetching") || !t.key.job().equals(id) || killingAll) {
+    /** Handles a job's description, null if there is no such job. {@link #tick} repeats requests that got no answer. */
+    List<Action> onDescription(long nowMs, String jobId, JobDescription description) {
+        for (Task task : List.copyOf(tasks.values())) {
+            if (!task.state.equals("fetching") || !task.key.job().equals(jobId) || killingAll) {
                 continue;
             }
-            if (job == null || t.key.index() >= job.taskCount()) {
-                recordExit(at, t, "no_such");
+            if (description == null || task.key.index() >= description.taskCount()) {
+                recordExit(nowMs, task, "no_such");
                 continue;
             }
-            t.description = job;
-            if (!fitsCapacity(t)) {
-                recordExit(at, t, "full");
-            } else if (job.command().isEmpty()) {
-                LOG.error("no program was uploaded for {}", id);
-                recordExit(at, t, "error");
-            } else if (isMultiTaskGang(t)) {
-                t.state = "waiting";
-                t.gangWaitEndMs = at + assignment.gangWaitMs();
-                scheduleReport(at);
-                tick(at, t);
+            task.description = description;
+            if (!fitsCapacity(task)) {
+                recordExit(nowMs, task, "full");
+            } else if (description.command().isEmpty()) {
+                LOG.error("no program was uploaded for job {}", jobId);
+                recordExit(nowMs, task, "error");
+            } else if (isMultiTaskGang(task)) {
+                task.state = "waiting";
+                task.gangWaitEndMs = nowMs + assignment.gangWaitMs();
+                scheduleReport(nowMs);
+                tick(nowMs, task);
             } else {
-                runTask(at, t, List.of());
+                runTask(nowMs, task, List.of());
             }
         }
         return drainActions();
     }
 
-    private boolean fitsCapacity(Task t) {
+    private boolean fitsCapacity(Task task) {
         double cpus = 1e-6;
         double gpus = 1e-6;
-        double mem = 1e-6;
-        for (Task x : tasks.values()) {
-            if (x != t && !x.hasExited() && x.description != null) {
-                cpus += x.description.cpus();
-                gpus += x.description.gpus();
-                mem += x.description.memoryGb();
+        double memoryGb = 1e-6;
+        for (Task other : tasks.values()) {
+            if (other != task && !other.hasExited() && other.description != null) {
+                cpus += other.description.cpus();
+                gpus += other.description.gpus();
+                memoryGb += other.description.memoryGb();
             }
         }
-        return cpus + t.description.cpus() <= assignment.cpus() + 2e-6
-                && gpus + t.description.gpus() <= assignment.gpus() + 2e-6
-                && mem + t.description.memoryGb() <= assignment.memoryGb() + 2e-6;
+        return cpus + task.description.cpus() <= assignment.cpus() + 2e-6
+                && gpus + task.description.gpus() <= assignment.gpus() + 2e-6
+                && memoryGb + task.description.memoryGb() <= assignment.memoryGb() + 2e-6;
     }
 
-    private void runTask(long at, Task t, List<String> hosts) {
-        t.state = "running";
-        scheduleReport(at);
-        pendingActions.add(new Action.StartProcess(t.key, t.description, hosts));
+    private void runTask(long nowMs, Task task, List<String> hosts) {
+        task.state = "running";
+        scheduleReport(nowMs);
+        pendingActions.add(new Action.StartProcess(task.key, task.description, hosts));
     }
 
-    /** What the gang's meeting point says. */
-    List<Action> onGangInstruction(long at, Action.AttemptKey key, String say, List<String> hosts) {
-        Task t = tasks.get(key);
-        if (t == null || t.hasExited() || t.endCause != null || killingAll) {
+    /** Handles an instruction of the pool's gang coordinator; anything but go, all and broken has no effect. */
+    List<Action> onGangInstruction(long nowMs, Action.AttemptKey key, String instruction, List<String> hosts) {
+        Task task = tasks.get(key);
+        if (task == null || task.hasExited() || task.endCause != null || killingAll) {
             return drainActions();
         }
-        if (say.equals("go") && t.state.equals("waiting")) {
-            runTask(at, t, hosts);
-        } else if (say.equals("all") && t.succeeded) {
-            recordExit(at, t, "done");
-        } else if (say.equals("broken")) {
-            if (t.state.equals("waiting") || t.succeeded) {
-                recordExit(at, t, "mates_gone");
+        if (instruction.equals("go") && task.state.equals("waiting")) {
+            runTask(nowMs, task, hosts);
+        } else if (instruction.equals("all") && task.succeeded) {
+            recordExit(nowMs, task, "done");
+        } else if (instruction.equals("broken")) {
+            if (task.state.equals("waiting") || task.succeeded) {
+                recordExit(nowMs, task, "mates_gone");
             } else {
-                killTask(t, "mates_gone");
+                killTask(task, "mates_gone");
             }
         }
         return drainActions();
     }
 
-    /** Nothing is left of a task's process, which ended with this code. */
-    List<Action> onTaskExit(long at, Action.AttemptKey key, int code) {
-        Task t = tasks.get(key);
-        if (t == null || t.hasExited() || killingAll) {
+    /** Called when a task's process has ended with {@code exitCode} and nothing that it started is left. */
+    List<Action> onTaskExit(long nowMs, Action.AttemptKey key, int exitCode) {
+        Task task = tasks.get(key);
+        if (task == null || task.hasExited() || killingAll) {
             return drainActions();
         }
-        if (t.endCause != null) {
-            // Asked to end, many programs exit with 0 although their work is not done: that is never called done.
-            t.saved = t.state.equals("flushing") && code == SAVED_EXIT_CODE;
-            recordExit(at, t, t.endCause);
-        } else if (code != 0 || t.description.service()) {
-            recordExit(at, t, "error");
-        } else if (isMultiTaskGang(t)) {
-            t.succeeded = true;
-            t.nextGangStatusMs = at;
-            tick(at, t);
+        if (task.endCause != null) {
+            // Many programs exit with 0 on request although their work is not done: such an exit is never "done".
+            task.saved = task.state.equals("flushing") && exitCode == SAVED_EXIT_CODE;
+            recordExit(nowMs, task, task.endCause);
+        } else if (exitCode != 0 || task.description.service()) {
+            recordExit(nowMs, task, "error");
+        } else if (isMultiTaskGang(task)) {
+            task.succeeded = true;
+            task.nextGangStatusMs = nowMs;
+            tick(nowMs, task);
         } else {
-            recordExit(at, t, "done");
+            recordExit(nowMs, task, "done");
         }
         return drainActions();
     }
 
-    /** What guards the lease has failed: nothing may go on unguarded. */
+    /** Called when the supervisor process has ended: tasks must not run without a supervisor that enforces their lease. */
     List<Action> onSupervisorExit() {
         if (machine != null && !killingAll) {
             startKillingAll();
@@ -546,8 +557,8 @@
     }
 
     private List<Action> drainActions() {
-        List<Action> o = pendingActions;
+        List<Action> drained = pendingActions;
         pendingActions = new ArrayList<>();
-        return o;
+        return drained;
     }
 }
--- a/src/test/java/birchusher/agent/RunnerTest.java
+++ b/src/test/java/birchusher/agent/RunnerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes: nothing of a task outlives its end, whatever it does. */
+/** Tests with real processes: no process of a task outlives the task, whatever the task does. */
 class RunnerTest {
     private static final long TIMEOUT_S = 60;
 
@@ -37,9 +37,9 @@
 
     @AfterEach
     void killAndCheckLeftovers() throws IOException, InterruptedException {
-        List<Long> left = TaggedProcesses.find(tag);
+        List<Long> leftovers = TaggedProcesses.find(tag);
         TaggedProcesses.killAll(tag);
-        assertThat(left).isEmpty();
+        assertThat(leftovers).isEmpty();
     }
 
     private static Action.AttemptKey attemptKey(long attempt) {
@@ -66,24 +66,24 @@
     }
 
     private int awaitExitCode() throws InterruptedException {
-        Integer code = exitCodes.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertThat(code).as("the task has not ended").isNotNull();
-        return code;
+        Integer exitCode = exitCodes.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        assertThat(exitCode).as("the task did not end in time").isNotNull();
+        return exitCode;
     }
 
-    /** Waits until the task has said that it is so far. */
-    private void awaitOutput(long attempt, String word) throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-        while (!logText(attempt).contains(word)) {
+    /** Waits until the task's log contains a text. */
+    private void awaitOutput(long attempt, String expected) throws IOException, InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!logText(attempt).contains(expected)) {
             assertThat(System.nanoTime())
-                    .as("waiting for " + word + ": " + logText(attempt))
-                    .isLessThan(end);
+                    .as("waiting for " + expected + ": " + logText(attempt))
+                    .isLessThan(deadlineNs);
             Thread.sleep(10);
         }
     }
 
     private String logText(long attempt) throws IOException {
-        return logs.list("wk-1", 0).stream().anyMatch(m -> m.get("try").equals(attempt))
+        return logs.list("wk-1", 0).stream().anyMatch(log -> log.get("try").equals(attempt))
                 ? (String) logs.read(attemptKey(attempt), 0).get("text")
                 : "";
     }
@@ -96,7 +96,7 @@
         assertThat(awaitExitCode()).isZero();
         assertThat(TaggedProcesses.find(tag)).isEmpty();
         assertThat(logText(1)).isEqualTo("yes wk-1 1\n");
-        // Its result is kept: another attempt does not run it again.
+        // The task is marked as done: another attempt does not run it again.
         startTask(2, "echo again");
         assertThat(awaitExitCode()).isZero();
         assertThat(logs.list("wk-1", 0)).hasSize(1);
@@ -166,7 +166,9 @@
         logs.prune();
         assertThat(logs.list("wk-1", 0)).hasSizeBetween(3, 5);
         startTask(20, "exit 3");
-        assertThat(awaitExitCode()).as("its result stands").isZero();
+        assertThat(awaitExitCode())
+                .as("the task is already done and is not run again")
+                .isZero();
     }
 
     @Test
@@ -194,19 +196,19 @@
 
     @Test
     void supervisorKillsWhenTheLeaseExpiresAndWhenTheAgentIsGone() throws Exception {
-        Process w = startSupervisor();
-        OutputStream pipe = w.getOutputStream();
+        Process supervisor = startSupervisor();
+        OutputStream pipe = supervisor.getOutputStream();
         startTask(1, "echo up; sleep 600");
         awaitOutput(1, "up");
         pipe.write("600000\n300\n".getBytes(StandardCharsets.US_ASCII));
         pipe.flush();
-        assertThat(awaitExitCode()).as("its lease was over").isEqualTo(137);
+        assertThat(awaitExitCode()).as("killed because its lease expired").isEqualTo(137);
         pipe.write("600000\n".getBytes(StandardCharsets.US_ASCII));
         pipe.flush();
         startTask(2, "setsid sleep 600 & echo up; wait");
         awaitOutput(2, "up");
         pipe.close();
-        assertThat(awaitExitCode()).as("its agent was gone").isEqualTo(137);
-        assertThat(w.waitFor(TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(awaitExitCode()).as("killed because its agent was gone").isEqualTo(137);
+        assertThat(supervisor.waitFor(TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
     }
 }
--- a/src/test/java/birchusher/agent/WorkerTest.java
+++ b/src/test/java/birchusher/agent/WorkerTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The worker's machine, told in traces: what it is told on the left, what it wants done on the right. */
+/** Tests the worker's state machine: inputs with their times, and the actions that it returns, written as text. */
 class WorkerTest {
     private static final Action.AttemptKey KEY = new Action.AttemptKey("wk-1", 0, 1);
 
@@ -20,46 +20,47 @@
     private Action.SendReport report;
 
     private void perform(List<Action> actions) {
-        for (Action a : actions) {
-            if (a instanceof Action.SendReport r) {
-                report = r;
-                performed.add("report " + summary(r.body()));
-            } else if (a instanceof Action.SendResponse x) {
-                performed.add("answer " + x.status());
-            } else if (a instanceof Action.FetchDescription f) {
-                performed.add("fetch " + f.jobId());
-            } else if (a instanceof Action.StartProcess r) {
-                performed.add("run " + r.key().taskName());
-            } else if (a instanceof Action.SendSignal s) {
-                performed.add(s.name() + " " + s.key().taskName());
-            } else if (a instanceof Action.KillTask k) {
-                performed.add("kill " + k.key().taskName());
-            } else if (a instanceof Action.KillAllTasks) {
+        for (Action action : actions) {
+            if (action instanceof Action.SendReport sent) {
+                report = sent;
+                performed.add("report " + summary(sent.body()));
+            } else if (action instanceof Action.SendResponse response) {
+                performed.add("answer " + response.status());
+            } else if (action instanceof Action.FetchDescription fetch) {
+                performed.add("fetch " + fetch.jobId());
+            } else if (action instanceof Action.StartProcess start) {
+                performed.add("run " + start.key().taskName());
+            } else if (action instanceof Action.SendSignal signal) {
+                performed.add(signal.name() + " " + signal.key().taskName());
+            } else if (action instanceof Action.KillTask kill) {
+                performed.add("kill " + kill.key().taskName());
+            } else if (action instanceof Action.KillAllTasks) {
                 performed.add("kill all");
-            } else if (a instanceof Action.DeleteWorkDir f) {
-                performed.add("forget " + f.key().taskName());
-            } else if (a instanceof Action.SendGangStatus s) {
-                performed.add("say " + s.phase());
-            } else if (a instanceof Action.ExtendSupervisorLease l) {
-                performed.add("lease " + l.remainingMs());
+            } else if (action instanceof Action.DeleteWorkDir delete) {
+                performed.add("forget " + delete.key().taskName());
+            } else if (action instanceof Action.SendGangStatus status) {
+                performed.add("say " + status.phase());
+            } else if (action instanceof Action.ExtendSupervisorLease lease) {
+                performed.add("lease " + lease.remainingMs());
             }
         }
     }
 
     private static String summary(Map<String, ?> body) {
-        List<String> l = new ArrayList<>();
-        for (Object o : (List<?>) body.get("pieces")) {
-            Map<?, ?> m = (Map<?, ?>) o;
-            l.add(m.get("piece") + "#" + m.get("try") + " " + m.get("stage")
-                    + (m.containsKey("cause") ? " " + m.get("cause") : "") + (m.containsKey("kept") ? " kept" : ""));
+        List<String> tasks = new ArrayList<>();
+        for (Object item : (List<?>) body.get("pieces")) {
+            Map<?, ?> task = (Map<?, ?>) item;
+            tasks.add(task.get("piece") + "#" + task.get("try") + " " + task.get("stage")
+                    + (task.containsKey("cause") ? " " + task.get("cause") : "")
+                    + (task.containsKey("kept") ? " kept" : ""));
         }
-        return body.get("host") + " " + body.get("tenure") + " " + l;
+        return body.get("host") + " " + body.get("tenure") + " " + tasks;
     }
 
     private String drainPerformed() {
-        String s = String.join(", ", performed);
+        String drained = String.join(", ", performed);
         performed.clear();
-        return s;
+        return drained;
     }
 
     private static Assignment assignment(String machine) {
@@ -76,48 +77,48 @@
                 List.of(new Assignment.Controller("p", "c:1"), new Assignment.Controller("q", "c:2")));
     }
 
-    private static JobDescription jobDescription(String shape, int tasks, double cpus, boolean saves) {
+    private static JobDescription jobDescription(String shape, int taskCount, double cpus, boolean usesCheckpoints) {
         return new JobDescription(
                 "wk-1",
-                tasks,
+                taskCount,
                 shape.equals("gang"),
                 shape.equals("standing"),
                 cpus,
                 0,
                 1,
-                saves,
+                usesCheckpoints,
                 3_000,
                 List.of("x"),
                 Map.of(),
                 "USR1");
     }
 
-    private static Map<String, Object> response(long baton, Object... orders) {
-        Map<String, Object> m = new HashMap<>();
-        m.put("baton", baton);
-        m.put("orders", List.of(orders));
-        return m;
+    private static Map<String, Object> response(long fencingToken, Object... commands) {
+        Map<String, Object> body = new HashMap<>();
+        body.put("baton", fencingToken);
+        body.put("orders", List.of(commands));
+        return body;
     }
 
-    private static Map<String, Object> startCommand(String piece, long attempt) {
-        return Map.of("verb", "start", "piece", piece, "try", attempt);
+    private static Map<String, Object> startCommand(String taskName, long attempt) {
+        return Map.of("verb", "start", "piece", taskName, "try", attempt);
     }
 
-    private static Map<String, Object> stopCommand(String piece, double grace) {
-        return Map.of("verb", "stop", "piece", piece, "try", 1L, "wind_down_s", grace);
+    private static Map<String, Object> stopCommand(String taskName, double graceS) {
+        return Map.of("verb", "stop", "piece", taskName, "try", 1L, "wind_down_s", graceS);
     }
 
-    /** Running as n-1 at 1,000 with one task running since 1,100. */
-    private void startRunning(JobDescription job) {
+    /** Runs as machine n-1 from 1,000 ms on, with one task running from 1,100 ms on. */
+    private void startRunning(JobDescription description) {
         perform(worker.onAssignment(1_000, 900, assignment("n-1")));
         perform(worker.tick(1_000));
         perform(worker.onReportResponse(1_050, report.id(), 200, response(5, startCommand("wk-1/0", 1))));
-        perform(worker.onDescription(1_100, "wk-1", job));
+        perform(worker.onDescription(1_100, "wk-1", description));
         performed.clear();
     }
 
-    private void report(long at) {
-        perform(worker.tick(at));
+    private void tick(long nowMs) {
+        perform(worker.tick(nowMs));
     }
 
     @Test
@@ -129,13 +130,13 @@
         perform(worker.onReportResponse(
                 1_050, report.id(), 200, response(5, startCommand("wk-1/0", 1), startCommand("wk-1/0", 1))));
         assertThat(drainPerformed()).isEqualTo("lease 18350, fetch wk-1");
-        report(1_500);
+        tick(1_500);
         assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 fetching]");
         perform(worker.onDescription(1_600, "wk-1", jobDescription("sweep", 1, 1, false)));
         perform(worker.onReportResponse(1_700, report.id(), 200, response(5)));
         assertThat(drainPerformed()).isEqualTo("run wk-1/0, lease 17700");
         perform(worker.onTaskExit(2_500, KEY, 0));
-        report(2_600);
+        tick(2_600);
         assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 exited done]");
         perform(worker.onReportResponse(
                 2_650, report.id(), 200, response(5, Map.of("verb", "reap", "piece", "wk-1/0", "try", 1L))));
@@ -162,9 +163,9 @@
     @Test
     void staleOrInvalidResponsesNeitherRenewTheLeaseNorCommand() {
         startRunning(jobDescription("sweep", 1, 1, false));
-        report(2_000);
+        tick(2_000);
         perform(worker.onReportResponse(2_100, report.id(), 200, response(4, stopCommand("wk-1/0", 0))));
-        report(5_000);
+        tick(5_000);
         perform(worker.onReportResponse(5_100, report.id(), 200, Map.of("orders", List.of(stopCommand("wk-1/0", 0)))));
         perform(worker.onReportResponse(5_100, report.id() - 1, 200, response(9, stopCommand("wk-1/0", 0))));
         perform(worker.onDirectRequest(
@@ -184,7 +185,7 @@
         assertThat(drainPerformed())
                 .isEqualTo("report n-1 1 [wk-1/0#1 running], report n-1 1 [wk-1/0#1 running], answer 409, answer 409");
         perform(worker.onAssignment(6_000, 5_900, assignment("n-1")));
-        // The lease counts from the sending of the report that was answered as it should be, at 1,000.
+        // The lease counts from the sending of the last report with a valid response, at 1,000 ms.
         perform(worker.tick(19_499));
         assertThat(drainPerformed()).contains("report");
         perform(worker.tick(19_501));
@@ -211,7 +212,7 @@
     @Test
     void expiredPoolLeaseEndsTheMachineAndSessionNumbersContinue() {
         startRunning(jobDescription("sweep", 1, 1, false));
-        report(18_000);
+        tick(18_000);
         perform(worker.onReportResponse(18_100, report.id(), 200, response(5)));
         performed.clear();
         perform(worker.tick(19_500));
@@ -224,7 +225,7 @@
         assertThat(drainPerformed()).isEqualTo("lease 18400, report n-1 2 []");
         perform(worker.onAssignment(31_000, 30_900, assignment("n-2")));
         assertThat(drainPerformed()).isEqualTo("kill all");
-        assertThat(worker.currentMachine()).as("until all is gone").isEqualTo("n-1");
+        assertThat(worker.currentMachine()).as("until all processes are gone").isEqualTo("n-1");
         perform(worker.onAllKilled(31_100));
         perform(worker.tick(31_100));
         assertThat(drainPerformed()).isEqualTo("report n-2 1 []");
@@ -241,7 +242,7 @@
                 Map.of("baton", 5L, "tenure", 1L, "orders", List.of(stopCommand("wk-1/0", 4)))));
         assertThat(drainPerformed()).isEqualTo("USR1 wk-1/0, answer 200");
         perform(worker.onTaskExit(3_000, KEY, Worker.SAVED_EXIT_CODE));
-        report(3_000);
+        tick(3_000);
         assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 exited halted kept]");
     }
 
@@ -261,9 +262,9 @@
         assertThat(drainPerformed()).isEqualTo("kill wk-1/0");
         perform(worker.onTaskExit(6_100, KEY, 137));
         perform(worker.onReportResponse(6_100, report.id(), 503, Map.of()));
-        report(8_000);
+        tick(8_000);
         assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 exited halted]");
-        assertThat(report.address()).as("the next controller").isEqualTo("c:2");
+        assertThat(report.address()).as("reports go to the next controller").isEqualTo("c:2");
     }
 
     @Test
@@ -277,7 +278,7 @@
                 Map.of("baton", 5L, "tenure", 1L, "orders", List.of(stopCommand("wk-1/0", 4)))));
         assertThat(drainPerformed()).startsWith("TERM wk-1/0");
         perform(worker.onTaskExit(2_100, KEY, 0));
-        report(3_000);
+        tick(3_000);
         assertThat(drainPerformed()).isEqualTo("report n-1 1 [wk-1/0#1 exited halted]");
     }
 
@@ -309,18 +310,18 @@
                 "wk-3",
                 new JobDescription("wk-3", 1, false, false, 1, 0, 1, false, 0, List.of(), Map.of(), "TERM")));
         performed.clear();
-        report(3_500);
+        tick(3_500);
         assertThat(drainPerformed())
                 .isEqualTo("report n-1 1 [wk-1/0#1 running, wk-1/0#2 exited in_use, wk-1/1#1 exited full, "
                         + "wk-2/0#1 exited no_such, wk-1/7#1 exited no_such, wk-3/0#1 exited error]");
-        for (String piece : List.of("../0", "wk-1", "wk-1/x", "wk/../../1", "/1")) {
+        for (String taskName : List.of("../0", "wk-1", "wk-1/x", "wk/../../1", "/1")) {
             assertThatThrownBy(() -> worker.onDirectRequest(
                             4_000,
                             9,
                             "POST",
                             "/do",
-                            Map.of("baton", 5L, "tenure", 1L, "orders", List.of(startCommand(piece, 1)))))
-                    .as(piece)
+                            Map.of("baton", 5L, "tenure", 1L, "orders", List.of(startCommand(taskName, 1)))))
+                    .as(taskName)
                     .isInstanceOf(InvalidInputException.class);
         }
     }
@@ -336,7 +337,7 @@
         assertThat(drainPerformed()).isEqualTo("say ended");
         perform(worker.onGangInstruction(4_100, KEY, "all", List.of()));
         perform(worker.onReportResponse(4_100, report.id(), 200, response(5)));
-        report(4_200);
+        tick(4_200);
         assertThat(drainPerformed()).contains("[wk-1/0#1 exited done]");
     }
 
@@ -357,7 +358,7 @@
         perform(worker.onGangInstruction(7_200, KEY, "broken", List.of()));
         assertThat(drainPerformed()).isEqualTo("kill wk-1/0");
         perform(worker.onTaskExit(7_300, KEY, 137));
-        report(9_500);
+        tick(9_500);
         assertThat(drainPerformed()).contains("[wk-1/0#1 exited mates_gone]");
     }
 }
