--- a/src/main/java/birchusher/pool/GangCoordinator.java
+++ b/src/main/java/birchusher/pool/GangCoordinator.java
@@ -10,15 +10,15 @@
 import java.util.Map;
 
 /**
- * Where the tasks of a gang's attempt find each other, as a pure machine: each says once a second how it is, and is told
- * whether all are there, whether one is missing, and whether all have ended well.
+ * Coordinates the start and end of gangs: every task of a gang reports its phase once a second, and learns whether all tasks
+ * are present, whether one is missing, and whether all have succeeded. A state machine without I/O; not thread-safe.
  *
- * <p>Kept in memory only: after a restart the next messages say it all again. Until everybody has spoken, or the time that a
- * silent task is allowed has passed, nobody is told that one is missing.
+ * <p>The state is kept in memory only and is built again from the next messages after a restart. No task counts as missing
+ * before all have reported or the silence timeout has passed.
  *
  * <pre>
- * a task says    waiting  running  ended  leaving
- * it is told     wait     go       all    broken
+ * phase of a task   waiting  running  ended  leaving
+ * instruction       wait     go       all    broken
  * </pre>
  */
 public final class GangCoordinator {
@@ -27,7 +27,7 @@
     private static final int MAX_HOSTS_LISTED = 1_000;
     private static final long RETENTION_MS = 120_000;
 
-    /** How a task is: it has its program; its process runs; its process ended well; it ends for any other reason. */
+    /** Phase of a task: it has its program; its process runs; its process succeeded; it ends for any other reason. */
     private enum Phase {
         WAITING,
         RUNNING,
@@ -46,101 +46,108 @@
         boolean started;
         boolean broken;
         long heardMs;
-        /** Since when it may be said that a task is missing. */
+        /** Time from which absent tasks count as missing. */
         long missingFromMs;
     }
 
     private final long silenceTimeoutMs;
     private final Map<String, Gang> gangs = new HashMap<>();
 
-    /** @param silentMs a running task not heard of for this long is taken for gone */
-    public GangCoordinator(long silentMs) {
-        this.silenceTimeoutMs = silentMs;
+    /** @param silenceTimeoutMs a task that has not succeeded and does not report for this long is taken for gone */
+    public GangCoordinator(long silenceTimeoutMs) {
+        this.silenceTimeoutMs = silenceTimeoutMs;
     }
 
-    /** {@code POST /gangs}: {"job", "try", "index", "pieces", "phase", "address"}; the answer's "say" is one of the words above. With
-     * "go" come the hosts of all tasks, by index, unless there are over {@value #MAX_NAMED}. */
-    public Map<String, Object> handleStatus(long now, Map<String, Object> m) {
-        String job = Fields.text(m, "job");
-        long attempt = Fields.count(m, "try");
-        long index = Fields.count(m, "index");
-        long tasks = Fields.count(m, "pieces");
-        if (tasks < 1 || tasks > MAX_TASKS || index >= tasks) {
-            throw new InvalidInputException("pieces: 1 to " + MAX_TASKS + ", and above the index");
+    /**
+     * Handles {@code POST /gangs}: {"job", "try", "index", "pieces", "phase", "address"}. In the response, "say" is one of
+     * the instructions above; with "go" come the hosts of all tasks, ordered by index, if all tasks are present and not more
+     * than {@value #MAX_HOSTS_LISTED}.
+     *
+     * @throws InvalidInputException if a field is invalid or there are too many gangs
+     */
+    public Map<String, Object> handleStatus(long nowMs, Map<String, Object> message) {
+        String job = Fields.text(message, "job");
+        long attempt = Fields.count(message, "try");
+        long index = Fields.count(message, "index");
+        long taskCount = Fields.count(message, "pieces");
+        if (taskCount < 1 || taskCount > MAX_TASKS || index >= taskCount) {
+            throw new InvalidInputException("pieces: must be 1 to " + MAX_TASKS + " and greater than index");
         }
-        Phase phase = parsePhase(Fields.text(m, "phase"));
+        Phase phase = parsePhase(Fields.text(message, "phase"));
         String key = job + "#" + attempt;
         if (!gangs.containsKey(key) && gangs.size() >= MAX_GANGS) {
-            throw new InvalidInputException("gangs: as many as are kept");
+            throw new InvalidInputException("gangs: limit of gangs reached");
         }
-        Gang g = gangs.computeIfAbsent(key, k -> {
-            Gang fresh = new Gang();
-            fresh.missingFromMs = now + silenceTimeoutMs;
-            return fresh;
+        Gang gang = gangs.computeIfAbsent(key, absent -> {
+            Gang newGang = new Gang();
+            newGang.missingFromMs = nowMs + silenceTimeoutMs;
+            return newGang;
         });
-        g.heardMs = now;
-        Task t = g.tasks.computeIfAbsent((int) index, i -> new Task());
-        t.phase = phase;
-        t.host = Fields.text(m, Wire.ADDRESS);
-        t.heardMs = now;
+        gang.heardMs = nowMs;
+        Task task = gang.tasks.computeIfAbsent((int) index, absent -> new Task());
+        task.phase = phase;
+        task.host = Fields.text(message, Wire.ADDRESS);
+        task.heardMs = nowMs;
         if (phase == Phase.RUNNING || phase == Phase.ENDED) {
-            // It was started before this process was.
-            g.started = true;
+            // A task runs only after its gang was started, possibly before a restart of this process.
+            gang.started = true;
         }
         if (phase == Phase.LEAVING) {
-            g.tasks.remove((int) index);
-            g.broken |= g.started;
+            gang.tasks.remove((int) index);
+            gang.broken |= gang.started;
         }
-        updateState(now, g, tasks);
-        String say = instruction(g, tasks);
-        if (!say.equals("go") || tasks > MAX_HOSTS_LISTED || g.tasks.size() < tasks) {
-            return Map.of("say", say);
+        updateState(nowMs, gang, taskCount);
+        String instruction = instruction(gang, taskCount);
+        if (!instruction.equals("go") || taskCount > MAX_HOSTS_LISTED || gang.tasks.size() < taskCount) {
+            return Map.of("say", instruction);
         }
         List<Object> hosts = new ArrayList<>();
-        for (int i = 0; i < tasks; i++) {
-            String host = g.tasks.get(i).host;
+        for (int i = 0; i < taskCount; i++) {
+            String host = gang.tasks.get(i).host;
             hosts.add(host.substring(0, Math.max(0, host.lastIndexOf(':'))));
         }
-        return Map.of("say", say, "hosts", hosts);
+        return Map.of("say", instruction, "hosts", hosts);
     }
 
-    private void updateState(long now, Gang g, long tasks) {
-        for (Iterator<Task> i = g.tasks.values().iterator(); i.hasNext(); ) {
-            Task t = i.next();
-            if (now - t.heardMs <= silenceTimeoutMs || t.phase == Phase.ENDED) {
+    private void updateState(long nowMs, Gang gang, long taskCount) {
+        for (Iterator<Task> i = gang.tasks.values().iterator(); i.hasNext(); ) {
+            Task task = i.next();
+            if (nowMs - task.heardMs <= silenceTimeoutMs || task.phase == Phase.ENDED) {
                 continue;
             }
             i.remove();
-            // Before the start a missing task can be replaced by another with the same attempt.
-            g.broken |= g.started;
+            // Before the start, a missing task can be replaced by another of the same attempt.
+            gang.broken |= gang.started;
         }
-        if (!g.started && !g.broken && g.tasks.size() == tasks) {
-            g.started = true;
-            g.missingFromMs = now + silenceTimeoutMs;
+        if (!gang.started && !gang.broken && gang.tasks.size() == taskCount) {
+            gang.started = true;
+            gang.missingFromMs = nowMs + silenceTimeoutMs;
         }
-        if (g.started && now >= g.missingFromMs && g.tasks.size() < tasks) {
-            g.broken = true;
+        if (gang.started && nowMs >= gang.missingFromMs && gang.tasks.size() < taskCount) {
+            gang.broken = true;
         }
     }
 
-    private static String instruction(Gang g, long tasks) {
-        if (g.broken) {
+    private static String instruction(Gang gang, long taskCount) {
+        if (gang.broken) {
             return "broken";
         }
-        if (!g.started) {
+        if (!gang.started) {
             return "wait";
         }
-        return g.tasks.size() == tasks && g.tasks.values().stream().allMatch(t -> t.phase == Phase.ENDED)
+        return gang.tasks.size() == taskCount
+                        && gang.tasks.values().stream().allMatch(task -> task.phase == Phase.ENDED)
                 ? "all"
                 : "go";
     }
 
-    public void tick(long now) {
-        gangs.values().removeIf(g -> now - g.heardMs > RETENTION_MS);
+    /** Forgets gangs that have sent no message for a while; to be called periodically. */
+    public void tick(long nowMs) {
+        gangs.values().removeIf(gang -> nowMs - gang.heardMs > RETENTION_MS);
     }
 
-    private static Phase parsePhase(String s) {
-        return switch (s) {
+    private static Phase parsePhase(String name) {
+        return switch (name) {
             case "waiting" -> Phase.WAITING;
             case "running" -> Phase.RUNNING;
             case "ended" -> Phase.ENDED;
--- a/src/main/java/birchusher/pool/HostPool.java
+++ b/src/main/java/birchusher/pool/HostPool.java
@@ -14,22 +14,23 @@
 import java.util.TreeMap;
 
 /**
- * A cloud of hosts that are there already, as a pure machine: a machine is rented by being taken from the pool and returned
- * by being parked. What it promises of the published cloud protocol:
+ * A cloud provider made of a fixed set of hosts: renting a machine takes a parked host, deleting the machine parks the host
+ * again. A state machine without I/O: times are passed in, responses and writes go to the {@link Outbox}. Not thread-safe.
+ * It guarantees to users of the published cloud protocol:
  *
  * <ul>
- * <li>A host is never rented twice at once, nor lost: what it is rented as is durable before it is told, and a request
- *     that is repeated gets the same machines, also after a restart.
- * <li>A deletion is answered only when nothing of the machine runs any more: when its agent has said so, or when the agent has had no
- *     answer for so long that it has killed everything by itself ({@link Hosts#leaseMs}). Until then the answer is 503.
- * <li>{@code failed} is listed only of machines on which nothing runs: their agent was replaced, or has been silent that long.
+ * <li>A host is never rented twice at the same time, nor lost: a rental is durable before it is answered, and a repeated
+ *     request gets the same machines, also after a restart.
+ * <li>A deletion succeeds only when nothing of the machine runs any more: its agent has reported that, or has received no
+ *     answer for so long that it has killed everything itself ({@link HostInventory#leaseMs}). Until then the status is 503.
+ * <li>{@code failed} is listed only for machines on which nothing runs: their agent was replaced or silent for that long.
  * </ul>
  *
  * <pre>
- * state     row                              becomes
- * parked    none                             rented: a rental asks for its type and zone, and its agent is heard
- * rented    host/NAME {machine, boot, ...}   leaving: a deletion; failed: silent for a lease, or another agent came
- * leaving   the same, leaving                parked: its agent says that it runs nothing, or was silent for a lease
+ * state     row                              next
+ * parked    none                             rented: its type and zone are requested while its agent polls
+ * rented    host/NAME {machine, boot, ...}   leaving: a deletion; failed: silent for a lease, or another agent polls
+ * leaving   the same, leaving                parked: its agent reports that it runs nothing, or is silent for a lease
  * failed    the same, failed                 parked: a deletion
  * </pre>
  */
@@ -37,23 +38,24 @@
     static final String HOST_ROW_PREFIX = "host/";
     static final String REQUEST_ROW_PREFIX = "ask/";
     static final String NEXT_NUMBER_ROW = "next";
-    /** From a rental to the first task: the agent asks, reports, and reports again with the token it was told. */
+    /** Time from a rental to the first task: the agent polls, reports, and reports again with its fencing token. */
     private static final double READY_S = 3.0;
 
     private static final int MAX_RENT_COUNT = 50;
     private static final int MAX_DELETE_COUNT = 100;
     private static final int MAX_LIST_COUNT = 500;
-    /** Answers to rentals that are remembered; a request that comes later than that many others is not known as a repeat. */
+    /** Rental requests that are remembered; one repeated after that many others is not recognized as a repeat. */
     private static final int MAX_REMEMBERED_REQUESTS = 5_000;
 
     private static final int MAX_HOSTS_PER_WRITE = 64;
-    /** A host whose agent was not heard of for this long is not rented. */
+    /** A host whose agent has not polled for this long is not rented. */
     private static final long MAX_SILENCE_MS = 3_000;
-    /** An agent parks its host within a poll; whoever deletes is told to come back after this. */
+    /** An agent parks its host within one poll; a deletion that takes longer is answered with 503. */
     private static final long DELETE_WAIT_MS = 3_000;
-    /** Steady clocks of two hosts may differ by 0.05 % each, and an answer may have been a while on its way out. */
+    /** Monotonic clocks of two hosts may drift by 0.05 % each. */
     private static final double CLOCK_DRIFT_FACTOR = 1.002;
 
+    /** An answer may be delayed on its way to the agent. */
     private static final long DELIVERY_MARGIN_MS = 1_000;
 
     private enum RentalState {
@@ -62,42 +64,42 @@
         FAILED
     }
 
-    /** What a host is rented as. */
+    /** The rental of a host: its machine, the agent process it is rented to, and the wall time of the rental. */
     private record Rental(String machine, String bootId, long rentedAtMs, RentalState state) {
         Map<String, Object> toRow() {
             return Map.of("machine", machine, "boot", bootId, "since", rentedAtMs, "stage", state.name());
         }
 
-        static Rental fromRow(Map<String, Object> m) {
+        static Rental fromRow(Map<String, Object> row) {
             return new Rental(
-                    Fields.text(m, "machine"),
-                    Fields.text(m, "boot"),
-                    Fields.count(m, "since"),
-                    RentalState.valueOf(Fields.text(m, "stage")));
+                    Fields.text(row, "machine"),
+                    Fields.text(row, "boot"),
+                    Fields.count(row, "since"),
+                    RentalState.valueOf(Fields.text(row, "stage")));
         }
 
-        Rental withState(RentalState s) {
-            return new Rental(machine, bootId, rentedAtMs, s);
+        Rental withState(RentalState newState) {
+            return new Rental(machine, bootId, rentedAtMs, newState);
         }
     }
 
     private static final class PooledHost {
-        final HostInventory.Host host;
+        final HostInventory.Host listing;
         Rental rental;
-        /** A write about it is under way; nothing else is decided of it meanwhile. */
+        /** A write about this host is in progress; its rental does not change otherwise meanwhile. */
         boolean writePending;
-        /** Of the agent that may speak for this host, null before one is heard. */
+        /** Identifies the agent process that controls this host; null before the first poll. */
         String bootId;
-        /** Number of its newest message; older ones that arrive late say what is no longer so. */
+        /** Sequence number of the agent's newest poll; polls that arrive out of order are outdated and are refused. */
         long lastSequence;
 
         String address;
         long heardMs;
-        /** It has said that it runs as the machine that it is rented as. */
+        /** Its agent has reported that it runs as the rented machine. */
         boolean running;
 
-        PooledHost(HostInventory.Host host) {
-            this.host = host;
+        PooledHost(HostInventory.Host listing) {
+            this.listing = listing;
         }
     }
 
@@ -116,80 +118,87 @@
     private long nowMs;
 
     /**
-     * @param terms what every agent is told with its answer
-     * @param rows what was written before; others' rows are passed over
-     * @throws Bad if a row can't be read, or is of a host that is no longer listed and was rented
+     * @param agentSettings fields that are added to the response to every agent
+     * @param rows the rows written before; rows of others are skipped
+     * @throws InvalidInputException if a row can't be read, or is of a rented host that is no longer listed
      */
     public HostPool(
-            HostInventory hosts, Map<String, ?> terms, Outbox out, Map<String, Map<String, Object>> rows, long now) {
-        this.inventory = hosts;
-        this.agentSettings = Map.copyOf(terms);
-        this.outbox = out;
-        this.nowMs = now;
-        hosts.hosts().forEach((n, h) -> hostsByName.put(n, new PooledHost(h)));
-        TreeMap<Long, String> order = new TreeMap<>();
+            HostInventory inventory,
+            Map<String, ?> agentSettings,
+            Outbox outbox,
+            Map<String, Map<String, Object>> rows,
+            long nowMs) {
+        this.inventory = inventory;
+        this.agentSettings = Map.copyOf(agentSettings);
+        this.outbox = outbox;
+        this.nowMs = nowMs;
+        inventory.hosts().forEach((name, host) -> hostsByName.put(name, new PooledHost(host)));
+        TreeMap<Long, String> requestsBySequence = new TreeMap<>();
         rows.forEach((key, row) -> {
             if (key.equals(NEXT_NUMBER_ROW)) {
                 nextNumber = Fields.count(row, "next");
             } else if (key.startsWith(HOST_ROW_PREFIX)) {
-                PooledHost m = hostsByName.get(key.substring(HOST_ROW_PREFIX.length()));
-                if (m == null) {
-                    throw new InvalidInputException(key.substring(HOST_ROW_PREFIX.length()) + ": is rented as "
-                            + row.get("machine") + " and missing among the hosts; list it until it has been returned");
+                PooledHost host = hostsByName.get(key.substring(HOST_ROW_PREFIX.length()));
+                if (host == null) {
+                    throw new InvalidInputException(
+                            key.substring(HOST_ROW_PREFIX.length()) + ": is rented as " + row.get("machine")
+                                    + " but is not listed among the hosts; list it until that machine has been returned");
                 }
-                m.rental = Rental.fromRow(row);
-                m.bootId = m.rental.bootId();
-                // When its agent was last answered is not known any more: it may have been just now.
-                m.heardMs = now;
-                hostsByMachine.put(m.rental.machine(), m);
+                host.rental = Rental.fromRow(row);
+                host.bootId = host.rental.bootId();
+                // The time of the last answer to its agent is unknown after a restart: it may have been just before.
+                host.heardMs = nowMs;
+                hostsByMachine.put(host.rental.machine(), host);
             } else if (key.startsWith(REQUEST_ROW_PREFIX)) {
-                order.put(Fields.count(row, "order"), key.substring(REQUEST_ROW_PREFIX.length()));
+                requestsBySequence.put(Fields.count(row, "order"), key.substring(REQUEST_ROW_PREFIX.length()));
             }
         });
-        order.forEach((n, ask) -> {
+        requestsBySequence.forEach((sequence, request) -> {
             machinesByRequest.put(
-                    ask,
-                    Fields.list(rows.get(REQUEST_ROW_PREFIX + ask), Wire.MACHINES).stream()
+                    request,
+                    Fields.list(rows.get(REQUEST_ROW_PREFIX + request), Wire.MACHINES).stream()
                             .map(String::valueOf)
                             .toList());
-            requestSequence = n;
+            requestSequence = sequence;
         });
     }
 
+    /** Silence of an agent after which it has certainly killed everything. */
     private long agentLeaseMs() {
         return Math.round(inventory.leaseMs() * CLOCK_DRIFT_FACTOR) + DELIVERY_MARGIN_MS;
     }
 
     // ---- the cloud protocol
 
+    /** Handles {@code GET /machine_types}. */
     public Map<String, Object> listTypes() {
-        List<Object> l = new ArrayList<>();
-        for (HostInventory.HostType t : inventory.types()) {
-            Map<String, Object> m = new HashMap<>();
+        List<Object> types = new ArrayList<>();
+        for (HostInventory.HostType type : inventory.types()) {
+            Map<String, Object> fields = new HashMap<>();
             Object[] values = {
-                t.name(),
-                t.cpus(),
-                t.gpus(),
-                t.memoryGb(),
+                type.name(),
+                type.cpus(),
+                type.gpus(),
+                type.memoryGb(),
                 1_000.0,
                 1_000.0,
-                t.price(),
-                t.price(),
-                inventory.zones(t.name()),
+                type.price(),
+                type.price(),
+                inventory.zones(type.name()),
                 READY_S
             };
             for (int i = 0; i < values.length; i++) {
-                m.put(Wire.TYPE_FIELDS[i], values[i]);
+                fields.put(Wire.TYPE_FIELDS[i], values[i]);
             }
-            l.add(m);
+            types.add(fields);
         }
-        return Map.of(Wire.TYPE_LIST, l);
+        return Map.of(Wire.TYPE_LIST, types);
     }
 
-    /** {@code POST /rentals} */
-    public void rent(long at, long wall, long exchange, Map<String, Object> body) {
-        nowMs = at;
-        String ask = Fields.text(body, Wire.RENTAL_REQUEST);
+    /** Handles {@code POST /rentals}; the response is sent when the rentals are durable. */
+    public void rent(long atMs, long wallMs, long exchange, Map<String, Object> body) {
+        nowMs = atMs;
+        String request = Fields.text(body, Wire.RENTAL_REQUEST);
         String type = Fields.text(body, Wire.TYPE);
         String zone = Fields.text(body, Wire.ZONE);
         boolean spot = Fields.flag(body, Wire.SPOT);
@@ -197,320 +206,323 @@
         if (count < 1 || count > MAX_RENT_COUNT) {
             throw new InvalidInputException(Wire.COUNT + ": 1 to " + MAX_RENT_COUNT);
         }
-        List<String> before = machinesByRequest.get(ask);
-        if (before != null) {
-            outbox.answer(exchange, 200, Map.of(Wire.MACHINES, before));
+        List<String> alreadyRented = machinesByRequest.get(request);
+        if (alreadyRented != null) {
+            outbox.answer(exchange, 200, Map.of(Wire.MACHINES, alreadyRented));
             return;
         }
-        if (requestsInProgress.contains(ask)) {
-            outbox.refuse(exchange, 503, "the same request is under way", 1);
+        if (requestsInProgress.contains(request)) {
+            outbox.refuse(exchange, 503, "the same request is in progress", 1);
             return;
         }
         List<PooledHost> free = new ArrayList<>();
-        for (PooledHost m : hostsByName.values()) {
+        for (PooledHost host : hostsByName.values()) {
             if (!spot
-                    && m.rental == null
-                    && !m.writePending
-                    && m.bootId != null
-                    && nowMs - m.heardMs <= MAX_SILENCE_MS
+                    && host.rental == null
+                    && !host.writePending
+                    && host.bootId != null
+                    && nowMs - host.heardMs <= MAX_SILENCE_MS
                     && free.size() < count
-                    && m.host.type().equals(type)
-                    && m.host.zone().equals(zone)) {
-                free.add(m);
+                    && host.listing.type().equals(type)
+                    && host.listing.zone().equals(zone)) {
+                free.add(host);
             }
         }
         if (free.isEmpty()) {
-            // A host on its way back is no lack of hosts: whoever hears of one looks elsewhere for a good while.
-            boolean soon = !spot
+            // A host that will soon be parked is no lack of capacity, after which clients look elsewhere for a long
+            // time.
+            boolean freeSoon = !spot
                     && hostsByName.values().stream()
-                            .anyMatch(m -> nowMs - m.heardMs <= MAX_SILENCE_MS
-                                    && m.bootId != null
-                                    && (m.writePending || m.rental != null && m.rental.state() != RentalState.RENTED)
-                                    && m.host.type().equals(type)
-                                    && m.host.zone().equals(zone));
-            outbox.refuse(exchange, 503, soon ? "trouble" : "no capacity", soon ? 1 : 5);
+                            .anyMatch(host -> nowMs - host.heardMs <= MAX_SILENCE_MS
+                                    && host.bootId != null
+                                    && (host.writePending
+                                            || host.rental != null && host.rental.state() != RentalState.RENTED)
+                                    && host.listing.type().equals(type)
+                                    && host.listing.zone().equals(zone));
+            outbox.refuse(exchange, 503, freeSoon ? "trouble" : "no capacity", freeSoon ? 1 : 5);
             return;
         }
         Map<String, Map<String, ?>> rows = new HashMap<>();
-        Map<PooledHost, Rental> taken = new LinkedHashMap<>();
-        for (PooledHost m : free) {
-            // A number is never used again, even if this write fails: it may be there after a restart.
-            Rental r = new Rental(String.format("n-%06d", nextNumber++), m.bootId, wall, RentalState.RENTED);
-            taken.put(m, r);
-            rows.put(HOST_ROW_PREFIX + m.host.name(), r.toRow());
-            m.writePending = true;
+        Map<PooledHost, Rental> rentals = new LinkedHashMap<>();
+        for (PooledHost host : free) {
+            // A number is never used again, even if this write fails: a restart may find it written.
+            Rental rental = new Rental(String.format("n-%06d", nextNumber++), host.bootId, wallMs, RentalState.RENTED);
+            rentals.put(host, rental);
+            rows.put(HOST_ROW_PREFIX + host.listing.name(), rental.toRow());
+            host.writePending = true;
         }
-        List<String> names = taken.values().stream().map(Rental::machine).toList();
-        rows.put(REQUEST_ROW_PREFIX + ask, Map.of("order", ++requestSequence, Wire.MACHINES, names));
+        List<String> machines = rentals.values().stream().map(Rental::machine).toList();
+        rows.put(REQUEST_ROW_PREFIX + request, Map.of("order", ++requestSequence, Wire.MACHINES, machines));
         rows.put(NEXT_NUMBER_ROW, Map.of("next", nextNumber));
-        Iterator<String> oldest = machinesByRequest.keySet().iterator();
-        String forgotten = machinesByRequest.size() >= MAX_REMEMBERED_REQUESTS ? oldest.next() : null;
-        if (forgotten != null) {
-            rows.put(REQUEST_ROW_PREFIX + forgotten, null);
+        Iterator<String> oldestRequests = machinesByRequest.keySet().iterator();
+        String forgottenRequest = machinesByRequest.size() >= MAX_REMEMBERED_REQUESTS ? oldestRequests.next() : null;
+        if (forgottenRequest != null) {
+            rows.put(REQUEST_ROW_PREFIX + forgottenRequest, null);
         }
-        requestsInProgress.add(ask);
+        requestsInProgress.add(request);
         outbox.write(rows, durable -> {
-            requestsInProgress.remove(ask);
-            taken.forEach((m, r) -> {
-                m.writePending = false;
+            requestsInProgress.remove(request);
+            rentals.forEach((host, rental) -> {
+                host.writePending = false;
                 if (durable) {
-                    m.rental = r;
-                    m.running = false;
-                    hostsByMachine.put(r.machine(), m);
+                    host.rental = rental;
+                    host.running = false;
+                    hostsByMachine.put(rental.machine(), host);
                 }
             });
             if (durable) {
-                machinesByRequest.remove(forgotten);
-                machinesByRequest.put(ask, names);
-                outbox.answer(exchange, 200, Map.of(Wire.MACHINES, names));
+                machinesByRequest.remove(forgottenRequest);
+                machinesByRequest.put(request, machines);
+                outbox.answer(exchange, 200, Map.of(Wire.MACHINES, machines));
             } else {
                 outbox.refuse(exchange, 503, "trouble", 1);
             }
         });
     }
 
-    /** {@code POST /rentals/delete} */
-    public void delete(long at, long exchange, Map<String, Object> body) {
-        nowMs = at;
-        List<?> names = Fields.list(body, Wire.MACHINES);
-        if (names.size() > MAX_DELETE_COUNT) {
+    /** Handles {@code POST /rentals/delete}; the response is sent when all machines are gone, or 503 after a time. */
+    public void delete(long atMs, long exchange, Map<String, Object> body) {
+        nowMs = atMs;
+        List<?> machines = Fields.list(body, Wire.MACHINES);
+        if (machines.size() > MAX_DELETE_COUNT) {
             throw new InvalidInputException(Wire.MACHINES + ": at most " + MAX_DELETE_COUNT);
         }
-        Set<String> leaving = new HashSet<>();
-        for (Object o : names) {
-            if (o instanceof String s && hostsByMachine.containsKey(s)) {
-                leaving.add(s);
+        Set<String> known = new HashSet<>();
+        for (Object item : machines) {
+            if (item instanceof String machine && hostsByMachine.containsKey(machine)) {
+                known.add(machine);
             }
         }
-        startReturning(leaving);
-        pendingDeletions.add(new PendingDeletion(exchange, leaving, nowMs + DELETE_WAIT_MS));
+        startReturning(known);
+        pendingDeletions.add(new PendingDeletion(exchange, known, nowMs + DELETE_WAIT_MS));
         answerDeletions();
     }
 
-    /** Marks machines as leaving, or parks those on which nothing runs; what is busy is looked at again with the next tick. */
-    private void startReturning(Set<String> names) {
-        List<PooledHost> turn = new ArrayList<>();
-        for (String n : names) {
-            PooledHost m = hostsByMachine.get(n);
-            if (m != null
-                    && !m.writePending
-                    && m.rental.state() != RentalState.LEAVING
-                    && turn.size() < MAX_HOSTS_PER_WRITE) {
-                turn.add(m);
+    /** Marks machines as leaving and parks failed ones; {@link #tick} repeats this for hosts with a pending write. */
+    private void startReturning(Set<String> machines) {
+        List<PooledHost> changed = new ArrayList<>();
+        for (String machine : machines) {
+            PooledHost host = hostsByMachine.get(machine);
+            if (host != null
+                    && !host.writePending
+                    && host.rental.state() != RentalState.LEAVING
+                    && changed.size() < MAX_HOSTS_PER_WRITE) {
+                changed.add(host);
             }
         }
         Map<String, Map<String, ?>> rows = new HashMap<>();
-        for (PooledHost m : turn) {
+        for (PooledHost host : changed) {
             rows.put(
-                    HOST_ROW_PREFIX + m.host.name(),
-                    m.rental.state() == RentalState.FAILED
+                    HOST_ROW_PREFIX + host.listing.name(),
+                    host.rental.state() == RentalState.FAILED
                             ? null
-                            : m.rental.withState(RentalState.LEAVING).toRow());
+                            : host.rental.withState(RentalState.LEAVING).toRow());
         }
-        writeRentals(turn, rows);
+        writeRentals(changed, rows);
     }
 
-    /** Writes these members' new rows, and takes them over once they are durable. */
-    private void writeRentals(List<PooledHost> turn, Map<String, Map<String, ?>> rows) {
-        if (turn.isEmpty()) {
+    /** Writes new rows of hosts, and applies them when they are durable. */
+    private void writeRentals(List<PooledHost> changed, Map<String, Map<String, ?>> rows) {
+        if (changed.isEmpty()) {
             return;
         }
-        turn.forEach(m -> m.writePending = true);
+        changed.forEach(host -> host.writePending = true);
         outbox.write(rows, durable -> {
-            for (PooledHost m : turn) {
-                m.writePending = false;
-                Map<String, ?> row = rows.get(HOST_ROW_PREFIX + m.host.name());
+            for (PooledHost host : changed) {
+                host.writePending = false;
+                Map<String, ?> row = rows.get(HOST_ROW_PREFIX + host.listing.name());
                 if (!durable) {
                     continue;
                 }
                 if (row == null) {
-                    hostsByMachine.remove(m.rental.machine());
-                    m.rental = null;
-                    m.running = false;
+                    hostsByMachine.remove(host.rental.machine());
+                    host.rental = null;
+                    host.running = false;
                 } else {
-                    m.rental = m.rental.withState(RentalState.valueOf((String) row.get("stage")));
+                    host.rental = host.rental.withState(RentalState.valueOf((String) row.get("stage")));
                 }
             }
             answerDeletions();
         });
     }
 
-    /** Answers deletions that have come to their end, or have waited long enough. */
+    /** Answers deletions whose machines are gone, or whose deadline has passed. */
     private void answerDeletions() {
         for (Iterator<PendingDeletion> i = pendingDeletions.iterator(); i.hasNext(); ) {
-            PendingDeletion l = i.next();
-            if (l.machines().stream().noneMatch(hostsByMachine::containsKey)) {
+            PendingDeletion deletion = i.next();
+            if (deletion.machines().stream().noneMatch(hostsByMachine::containsKey)) {
                 i.remove();
-                outbox.answer(l.exchange(), 200, Map.of());
-            } else if (nowMs >= l.deadlineMs()) {
+                outbox.answer(deletion.exchange(), 200, Map.of());
+            } else if (nowMs >= deletion.deadlineMs()) {
                 i.remove();
-                outbox.refuse(l.exchange(), 503, "trouble", 2);
+                outbox.refuse(deletion.exchange(), 503, "trouble", 2);
             }
         }
     }
 
-    /** {@code GET /rentals} */
-    public Map<String, Object> listMachines(long wall, String after, long most) {
-        if (most < 1 || most > MAX_LIST_COUNT) {
+    /** Handles {@code GET /rentals}: at most {@code limit} machines whose names follow {@code after}. */
+    public Map<String, Object> listMachines(long wallMs, String after, long limit) {
+        if (limit < 1 || limit > MAX_LIST_COUNT) {
             throw new InvalidInputException(Wire.LIMIT + ": 1 to " + MAX_LIST_COUNT);
         }
-        List<Object> l = new ArrayList<>();
+        List<Object> machines = new ArrayList<>();
         boolean more = false;
-        for (Map.Entry<String, PooledHost> e :
+        for (Map.Entry<String, PooledHost> entry :
                 hostsByMachine.tailMap(after, false).entrySet()) {
-            if (l.size() == most) {
+            if (machines.size() == limit) {
                 more = true;
                 break;
             }
-            PooledHost m = e.getValue();
-            l.add(Map.of(
+            PooledHost host = entry.getValue();
+            machines.add(Map.of(
                     Wire.ID,
-                    e.getKey(),
+                    entry.getKey(),
                     Wire.ADDRESS,
-                    m.address == null ? "unknown:1" : m.address,
+                    host.address == null ? "unknown:1" : host.address,
                     Wire.TYPE,
-                    m.host.type(),
+                    host.listing.type(),
                     Wire.ZONE,
-                    m.host.zone(),
+                    host.listing.zone(),
                     Wire.SPOT,
                     false,
                     Wire.STATE,
-                    m.rental.state() == RentalState.FAILED ? "failed" : m.running ? Wire.RUNNING : "starting",
+                    host.rental.state() == RentalState.FAILED ? "failed" : host.running ? Wire.RUNNING : "starting",
                     Wire.AGE_S,
-                    Math.max(0, wall - m.rental.rentedAtMs()) / 1000.0));
+                    Math.max(0, wallMs - host.rental.rentedAtMs()) / 1000.0));
         }
-        return Map.of(Wire.MACHINES, l, Wire.HAS_MORE, more);
+        return Map.of(Wire.MACHINES, machines, Wire.HAS_MORE, more);
     }
 
     // ---- agents
 
     /**
-     * {@code POST /agents}: an agent says who it is and which machine it runs as, and is told which one it should be.
-     * 404: no such host; 409: another agent speaks for it. Whoever is answered otherwise may not run anything.
+     * Handles {@code POST /agents}: an agent reports its host and the machine that it runs as, and learns which machine it is
+     * to run as. Status 404 if the host is not listed, 409 if another agent controls it or if the poll is outdated. An agent
+     * must not run anything unless the status is 200.
      */
-    public void handlePoll(long at, long exchange, Map<String, Object> body) {
-        nowMs = at;
+    public void handlePoll(long atMs, long exchange, Map<String, Object> body) {
+        nowMs = atMs;
         String name = Fields.text(body, "agent");
-        String boot = Fields.text(body, "boot");
-        String runs = Fields.textOrNull(body, Wire.MACHINE);
+        String bootId = Fields.text(body, "boot");
+        String reportedMachine = Fields.textOrNull(body, Wire.MACHINE);
         String address = Fields.text(body, Wire.ADDRESS);
-        String before = Fields.textOrNull(body, "before");
-        long message = Fields.count(body, Wire.SEQUENCE);
-        PooledHost m = hostsByName.get(name);
-        if (m == null) {
-            outbox.refuse(exchange, 404, "no host " + name + " is listed", 0);
+        String previousBootId = Fields.textOrNull(body, "before");
+        long sequence = Fields.count(body, Wire.SEQUENCE);
+        PooledHost host = hostsByName.get(name);
+        if (host == null) {
+            outbox.refuse(exchange, 404, "host " + name + " is not listed", 0);
             return;
         }
-        if (!boot.equals(m.bootId)) {
-            // Whoever holds the lock on the agent's directory and found the other's mark there knows that it is dead;
-            // nobody
-            // else does before a lease has passed.
-            if (m.bootId != null && !m.bootId.equals(before) && nowMs - m.heardMs <= agentLeaseMs()) {
+        if (!bootId.equals(host.bootId)) {
+            // An agent that holds the lock on its directory and found the previous agent's id there proves that the
+            // previous one is dead; any other agent has to wait until a lease has passed.
+            if (host.bootId != null && !host.bootId.equals(previousBootId) && nowMs - host.heardMs <= agentLeaseMs()) {
                 outbox.refuse(
                         exchange,
                         409,
-                        "another agent speaks for host " + name + ", heard " + (nowMs - m.heardMs) / 1000 + " s ago",
+                        "another agent speaks for host " + name + ", heard " + (nowMs - host.heardMs) / 1000 + " s ago",
                         5);
                 return;
             }
-            m.bootId = boot;
-        } else if (message <= m.lastSequence) {
-            // "Runs nothing" from before it was told to be a machine would park that machine with its tasks running.
-            outbox.refuse(exchange, 409, "older than what was heard", 1);
+            host.bootId = bootId;
+        } else if (sequence <= host.lastSequence) {
+            // A poll sent before the agent ran as its machine would park that machine while its tasks run.
+            outbox.refuse(exchange, 409, "poll is older than the newest one received", 1);
             return;
         }
-        m.lastSequence = message;
-        m.heardMs = nowMs;
-        m.address = address;
-        Rental r = m.rental;
-        boolean mine = r != null && r.bootId().equals(boot);
-        if (r != null && !m.writePending) {
-            if (!mine && r.state() == RentalState.RENTED) {
+        host.lastSequence = sequence;
+        host.heardMs = nowMs;
+        host.address = address;
+        Rental rental = host.rental;
+        boolean rentedByAgent = rental != null && rental.bootId().equals(bootId);
+        if (rental != null && !host.writePending) {
+            if (!rentedByAgent && rental.state() == RentalState.RENTED) {
                 writeRentals(
-                        List.of(m),
+                        List.of(host),
                         Map.of(
                                 HOST_ROW_PREFIX + name,
-                                r.withState(RentalState.FAILED).toRow()));
-            } else if (r.state() == RentalState.LEAVING && (!mine || runs == null)) {
+                                rental.withState(RentalState.FAILED).toRow()));
+            } else if (rental.state() == RentalState.LEAVING && (!rentedByAgent || reportedMachine == null)) {
                 Map<String, Map<String, ?>> rows = new HashMap<>();
                 rows.put(HOST_ROW_PREFIX + name, null);
-                writeRentals(List.of(m), rows);
+                writeRentals(List.of(host), rows);
             }
         }
-        boolean should = mine && r.state() == RentalState.RENTED;
-        m.running = should && r.machine().equals(runs);
+        boolean assigned = rentedByAgent && rental.state() == RentalState.RENTED;
+        host.running = assigned && rental.machine().equals(reportedMachine);
         Map<String, Object> answer = new HashMap<>(agentSettings);
-        answer.put(Wire.MACHINE, should ? r.machine() : null);
-        answer.put(Wire.TYPE, m.host.type());
-        answer.put(Wire.ZONE, m.host.zone());
-        HostInventory.HostType t = inventory.type(m.host.type());
-        answer.put(Wire.CPUS, t.cpus());
-        answer.put(Wire.GPUS, t.gpus());
-        answer.put(Wire.MEMORY_GB, t.memoryGb());
+        answer.put(Wire.MACHINE, assigned ? rental.machine() : null);
+        answer.put(Wire.TYPE, host.listing.type());
+        answer.put(Wire.ZONE, host.listing.zone());
+        HostInventory.HostType type = inventory.type(host.listing.type());
+        answer.put(Wire.CPUS, type.cpus());
+        answer.put(Wire.GPUS, type.gpus());
+        answer.put(Wire.MEMORY_GB, type.memoryGb());
         outbox.answer(exchange, 200, answer);
     }
 
-    public void tick(long at) {
-        nowMs = at;
-        List<PooledHost> turn = new ArrayList<>();
+    /** Ends rentals of silent agents and advances deletions; to be called periodically. */
+    public void tick(long atMs) {
+        nowMs = atMs;
+        List<PooledHost> changed = new ArrayList<>();
         Map<String, Map<String, ?>> rows = new HashMap<>();
-        for (PooledHost m : hostsByName.values()) {
-            if (m.rental == null
-                    || m.writePending
-                    || nowMs - m.heardMs <= agentLeaseMs()
-                    || turn.size() >= MAX_HOSTS_PER_WRITE) {
+        for (PooledHost host : hostsByName.values()) {
+            if (host.rental == null
+                    || host.writePending
+                    || nowMs - host.heardMs <= agentLeaseMs()
+                    || changed.size() >= MAX_HOSTS_PER_WRITE) {
                 continue;
             }
-            if (m.rental.state() == RentalState.RENTED) {
-                turn.add(m);
+            if (host.rental.state() == RentalState.RENTED) {
+                changed.add(host);
                 rows.put(
-                        HOST_ROW_PREFIX + m.host.name(),
-                        m.rental.withState(RentalState.FAILED).toRow());
-            } else if (m.rental.state() == RentalState.LEAVING) {
-                turn.add(m);
-                rows.put(HOST_ROW_PREFIX + m.host.name(), null);
+                        HOST_ROW_PREFIX + host.listing.name(),
+                        host.rental.withState(RentalState.FAILED).toRow());
+            } else if (host.rental.state() == RentalState.LEAVING) {
+                changed.add(host);
+                rows.put(HOST_ROW_PREFIX + host.listing.name(), null);
             }
         }
-        writeRentals(turn, rows);
+        writeRentals(changed, rows);
         Set<String> leaving = new HashSet<>();
-        pendingDeletions.forEach(l -> leaving.addAll(l.machines()));
+        pendingDeletions.forEach(deletion -> leaving.addAll(deletion.machines()));
         startReturning(leaving);
         answerDeletions();
     }
 
-    /** The hosts for people: name, state, machine, address, seconds since heard. */
-    public List<Map<String, Object>> describeHosts(long at) {
-        List<Map<String, Object>> l = new ArrayList<>();
-        for (PooledHost m : hostsByName.values()) {
-            Map<String, Object> x = new LinkedHashMap<>();
-            x.put("agent", m.host.name());
-            x.put(Wire.TYPE, m.host.type());
-            x.put(Wire.ZONE, m.host.zone());
-            x.put(
+    /** Describes all hosts for operators: name, type, zone, state, machine and seconds since the last poll. */
+    public List<Map<String, Object>> describeHosts(long atMs) {
+        List<Map<String, Object>> descriptions = new ArrayList<>();
+        for (PooledHost host : hostsByName.values()) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("agent", host.listing.name());
+            fields.put(Wire.TYPE, host.listing.type());
+            fields.put(Wire.ZONE, host.listing.zone());
+            fields.put(
                     Wire.STATE,
-                    m.rental == null
-                            ? m.bootId == null || at - m.heardMs > MAX_SILENCE_MS ? "absent" : "parked"
-                            : m.rental.state() == RentalState.RENTED
-                                    ? m.running ? Wire.RUNNING : "starting"
-                                    : m.rental.state() == RentalState.LEAVING ? "leaving" : "failed");
-            x.put(Wire.MACHINE, m.rental == null ? null : m.rental.machine());
-            x.put("heard_s", m.address == null ? null : (at - m.heardMs) / 1000.0);
-            l.add(x);
+                    host.rental == null
+                            ? host.bootId == null || atMs - host.heardMs > MAX_SILENCE_MS ? "absent" : "parked"
+                            : host.rental.state() == RentalState.RENTED
+                                    ? host.running ? Wire.RUNNING : "starting"
+                                    : host.rental.state() == RentalState.LEAVING ? "leaving" : "failed");
+            fields.put(Wire.MACHINE, host.rental == null ? null : host.rental.machine());
+            fields.put("heard_s", host.address == null ? null : (atMs - host.heardMs) / 1000.0);
+            descriptions.add(fields);
         }
-        return l;
+        return descriptions;
     }
 
-    /** Where a host's agent listens, null if it has not been heard of. */
-    public String agentAddress(String host) {
-        PooledHost m = hostsByName.get(host);
-        return m == null ? null : m.address;
+    /** Returns the host and port of a host's agent, null if it has not polled. */
+    public String agentAddress(String name) {
+        PooledHost host = hostsByName.get(name);
+        return host == null ? null : host.address;
     }
 
-    /** Hosts whose agents are heard of. */
-    public List<String> reachableHosts(long at) {
+    /** Returns the hosts whose agents have polled recently. */
+    public List<String> reachableHosts(long atMs) {
         return hostsByName.values().stream()
-                .filter(m -> m.address != null && at - m.heardMs <= MAX_SILENCE_MS)
-                .map(m -> m.host.name())
+                .filter(host -> host.address != null && atMs - host.heardMs <= MAX_SILENCE_MS)
+                .map(host -> host.listing.name())
                 .toList();
     }
 }
--- a/src/main/java/birchusher/pool/Outbox.java
+++ b/src/main/java/birchusher/pool/Outbox.java
@@ -6,15 +6,18 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Collects what a step of the pool's machines decided, and keeps what is to happen once a write is durable. */
+/**
+ * Collects the outputs of the pool's state machines, and holds the callbacks that run when a write is durable or has failed.
+ * Not thread-safe.
+ */
 public final class Outbox {
-    /** What the edge has to do. */
+    /** What the caller of the state machines has to do. */
     public sealed interface Output {}
 
-    /** Answers a request. {@code retryAfterS} 0: no such header. */
+    /** Answer an HTTP request. A {@code retryAfterS} of 0 means no {@code Retry-After} header. */
     public record Response(long exchange, int status, Map<String, ?> body, int retryAfterS) implements Output {}
 
-    /** Rows to be made durable together; a null value removes one. {@link Outbox#written} is told what became of it. */
+    /** Write rows atomically; a null value removes a row. The result is to be passed to {@link Outbox#onWritten}. */
     public record Write(long id, Map<String, Map<String, ?>> rows) implements Output {}
 
     private final Map<Long, Consumer<Boolean>> pendingWrites = new HashMap<>();
@@ -25,27 +28,29 @@
         pendingOutputs.add(new Response(exchange, status, body, 0));
     }
 
-    void refuse(long exchange, int status, String why, int retryAfterS) {
-        pendingOutputs.add(new Response(exchange, status, Map.of("error", why), retryAfterS));
+    void refuse(long exchange, int status, String reason, int retryAfterS) {
+        pendingOutputs.add(new Response(exchange, status, Map.of("error", reason), retryAfterS));
     }
 
-    /** @param then is told whether the rows are durable; false means that they may or may not be after a restart */
-    void write(Map<String, Map<String, ?>> rows, Consumer<Boolean> then) {
+    /** @param onResult receives whether the rows are durable; after false, a restart may find them written or not */
+    void write(Map<String, Map<String, ?>> rows, Consumer<Boolean> onResult) {
         long id = nextWriteId++;
-        pendingWrites.put(id, then);
+        pendingWrites.put(id, onResult);
         pendingOutputs.add(new Write(id, rows));
     }
 
+    /** Runs the callback of a write; later calls for the same write have no effect. */
     public void onWritten(long id, boolean durable) {
-        Consumer<Boolean> then = pendingWrites.remove(id);
-        if (then != null) {
-            then.accept(durable);
+        Consumer<Boolean> onResult = pendingWrites.remove(id);
+        if (onResult != null) {
+            onResult.accept(durable);
         }
     }
 
+    /** Returns the outputs since the last call, in order. */
     public List<Output> drain() {
-        List<Output> o = pendingOutputs;
+        List<Output> drained = pendingOutputs;
         pendingOutputs = new ArrayList<>();
-        return o;
+        return drained;
     }
 }
--- a/src/main/java/birchusher/pool/ProgramStore.java
+++ b/src/main/java/birchusher/pool/ProgramStore.java
@@ -11,8 +11,9 @@
 import java.util.TreeMap;
 
 /**
- * What jobs run, as their users upload it: kept durably before the job itself is submitted, served to agents, dropped some time
- * after the job is over. The first upload for an id stays; another one with the same content is a repeat.
+ * Stores the programs of jobs: they are uploaded and made durable before the job itself is submitted, served to agents, and
+ * deleted some time after the job has ended. The first upload for a job is kept; an upload of the same content is accepted
+ * as a repeat, any other is refused. Not thread-safe. Wall times are milliseconds since the epoch.
  *
  * <pre>
  * {"command": ["sh", "-c", "..."], "env": {"NAME": "value"}, "save_signal": "TERM"}
@@ -21,27 +22,29 @@
 public final class ProgramStore {
     static final String ROW_PREFIX = "program/";
     static final int MAX_PROGRAMS = 200_000;
-    /** Of one program, as JSON. */
+    /** Size limit of one program as JSON. */
     public static final int MAX_PROGRAM_BYTES = 48 * 1024;
 
     private static final int MAX_COMMAND_WORDS = 1_000;
     private static final int MAX_VARIABLES = 200;
+    /** Age of a program from which on {@link #nextToCheck} returns it. */
     private static final long CHECK_AFTER_MS = 600_000;
-    /** An upload whose job never came is dropped after this. */
+    /** A program whose job was never submitted is deleted after this time. */
     private static final long UNKNOWN_JOB_RETENTION_MS = 86_400_000;
 
     private static final Set<String> SAVE_SIGNALS = Set.of("TERM", "INT", "HUP", "USR1", "USR2");
 
-    /** Time of day of the upload, and the program. */
+    /** A program and the wall time of its upload. */
     private record StoredProgram(long uploadedMs, Map<String, Object> program) {}
 
-    private final Outbox out;
+    private final Outbox outbox;
     private final TreeMap<String, StoredProgram> programs = new TreeMap<>();
     private final Set<String> jobsBeingWritten = new HashSet<>();
     private String lastChecked = "";
 
-    public ProgramStore(Outbox out, Map<String, Map<String, Object>> rows) {
-        this.out = out;
+    /** @param rows all rows of the pool's store; rows that are no programs are skipped */
+    public ProgramStore(Outbox outbox, Map<String, Map<String, Object>> rows) {
+        this.outbox = outbox;
         rows.forEach((key, row) -> {
             if (key.startsWith(ROW_PREFIX)) {
                 programs.put(
@@ -51,105 +54,115 @@
         });
     }
 
-    /** Null if there is none. */
+    /** Returns the program of a job, null if there is none. */
     public Map<String, Object> get(String job) {
-        StoredProgram k = programs.get(job);
-        return k == null ? null : k.program();
+        StoredProgram stored = programs.get(job);
+        return stored == null ? null : stored.program();
     }
 
-    public void put(long wall, long exchange, String job, Map<String, Object> body) {
+    /** Handles the upload of a job's program: 201 when it is durable, 200 for a repeat, 409 for other content, 503 otherwise. */
+    public void put(long wallMs, long exchange, String job, Map<String, Object> body) {
         Map<String, Object> program = validate(body);
-        StoredProgram k = programs.get(job);
-        if (k != null) {
-            if (Json.toText(k.program(), false).equals(Json.toText(program, false))) {
-                out.answer(exchange, 200, Map.of());
+        StoredProgram stored = programs.get(job);
+        if (stored != null) {
+            if (Json.toText(stored.program(), false).equals(Json.toText(program, false))) {
+                outbox.answer(exchange, 200, Map.of());
             } else {
-                out.refuse(exchange, 409, "another program was uploaded for " + job, 0);
+                outbox.refuse(exchange, 409, "another program was uploaded for " + job, 0);
             }
             return;
         }
         if (programs.size() + jobsBeingWritten.size() >= MAX_PROGRAMS) {
-            out.refuse(exchange, 503, "as many programs as are kept", 30);
+            outbox.refuse(exchange, 503, "limit of stored programs reached", 30);
             return;
         }
         if (!jobsBeingWritten.add(job)) {
-            out.refuse(exchange, 503, "an upload for this job is under way", 1);
+            outbox.refuse(exchange, 503, "another write for this job's program is in progress", 1);
             return;
         }
-        out.write(Map.of(ROW_PREFIX + job, Map.of("since", wall, "program", program)), durable -> {
+        outbox.write(Map.of(ROW_PREFIX + job, Map.of("since", wallMs, "program", program)), durable -> {
             jobsBeingWritten.remove(job);
             if (durable) {
-                programs.put(job, new StoredProgram(wall, program));
-                out.answer(exchange, 201, Map.of());
+                programs.put(job, new StoredProgram(wallMs, program));
+                outbox.answer(exchange, 201, Map.of());
             } else {
-                out.refuse(exchange, 503, "can't be kept at present", 1);
+                outbox.refuse(exchange, 503, "program could not be written to the store", 1);
             }
         });
     }
 
-    /** Only what is known here, so that nobody takes an unknown field for granted. */
+    /**
+     * Returns a program with only the known fields and their defaults. Unknown fields are refused, so that no user relies on
+     * a field that has no effect.
+     *
+     * @throws InvalidInputException if the program is not valid
+     */
     public static Map<String, Object> validate(Map<String, Object> body) {
-        Map<String, Object> p = new HashMap<>();
+        Map<String, Object> program = new HashMap<>();
         for (String field : body.keySet()) {
             if (!Set.of("command", "env", "save_signal").contains(field)) {
-                throw new InvalidInputException(field + ": not a field of a program");
+                throw new InvalidInputException(field + ": unknown field of a program");
             }
         }
         List<?> command = Fields.list(body, "command");
         if (command.isEmpty()
                 || command.size() > MAX_COMMAND_WORDS
-                || command.stream().anyMatch(w -> !(w instanceof String s) || s.indexOf('\0') >= 0)
+                || command.stream().anyMatch(word -> !(word instanceof String text) || text.indexOf('\0') >= 0)
                 || ((String) command.get(0)).isEmpty()) {
-            throw new InvalidInputException("command: 1 to " + MAX_COMMAND_WORDS + " words, the first not empty");
+            throw new InvalidInputException(
+                    "command: must be 1 to " + MAX_COMMAND_WORDS + " strings without NUL, the first not empty");
         }
-        p.put("command", command);
-        Map<String, Object> env = body.get("env") == null ? Map.of() : Fields.map(body.get("env"), "env");
-        if (env.size() > MAX_VARIABLES) {
-            throw new InvalidInputException("env: at most " + MAX_VARIABLES);
+        program.put("command", command);
+        Map<String, Object> variables = body.get("env") == null ? Map.of() : Fields.map(body.get("env"), "env");
+        if (variables.size() > MAX_VARIABLES) {
+            throw new InvalidInputException("env: more than " + MAX_VARIABLES);
         }
-        env.forEach((k, v) -> {
-            if (!k.matches("[A-Za-z_][A-Za-z0-9_]*")
-                    || k.startsWith("BIRCHUSHER_")
-                    || !(v instanceof String s)
-                    || s.indexOf('\0') >= 0) {
-                throw new InvalidInputException("env." + k + ": not a name, one of ours, or not text");
+        variables.forEach((name, value) -> {
+            if (!name.matches("[A-Za-z_][A-Za-z0-9_]*")
+                    || name.startsWith("BIRCHUSHER_")
+                    || !(value instanceof String text)
+                    || text.indexOf('\0') >= 0) {
+                throw new InvalidInputException("env." + name
+                        + ": not a valid name, reserved by its prefix BIRCHUSHER_, or not a string without NUL");
             }
         });
-        p.put("env", env);
+        program.put("env", variables);
         String signal = body.get("save_signal") == null ? "TERM" : Fields.text(body, "save_signal");
         if (!SAVE_SIGNALS.contains(signal)) {
-            throw new InvalidInputException("save_signal: one of TERM, INT, HUP, USR1, USR2");
+            throw new InvalidInputException("save_signal: must be one of TERM, INT, HUP, USR1, USR2");
         }
-        p.put("save_signal", signal);
-        if (Json.sizeBytes(p) > MAX_PROGRAM_BYTES) {
-            throw new InvalidInputException("program: over " + MAX_PROGRAM_BYTES + " bytes as JSON");
+        program.put("save_signal", signal);
+        if (Json.sizeBytes(program) > MAX_PROGRAM_BYTES) {
+            throw new InvalidInputException("program: larger than " + MAX_PROGRAM_BYTES + " bytes as JSON");
         }
-        return p;
+        return program;
     }
 
-    /** The next program old enough to be asked about, null if none is; each is asked about in turn. */
-    public String nextToCheck(long wall) {
+    /** Returns the next job whose program is old enough for a check of the job's status, in turn; null if there is none. */
+    public String nextToCheck(long wallMs) {
         for (int i = 0; i < Math.min(100, programs.size() + 1); i++) {
-            String id = programs.higherKey(lastChecked);
-            lastChecked = id == null ? "" : id;
-            if (id != null && wall - programs.get(id).uploadedMs() > CHECK_AFTER_MS && !jobsBeingWritten.contains(id)) {
-                return id;
+            String job = programs.higherKey(lastChecked);
+            lastChecked = job == null ? "" : job;
+            if (job != null
+                    && wallMs - programs.get(job).uploadedMs() > CHECK_AFTER_MS
+                    && !jobsBeingWritten.contains(job)) {
+                return job;
             }
         }
         return null;
     }
 
-    /** What the controller said of a job: a program that nobody can need any more goes. */
-    public void onJobStatus(long wall, String job, boolean over, boolean unknown) {
-        StoredProgram k = programs.get(job);
-        if (k == null
-                || !over && !(unknown && wall - k.uploadedMs() > UNKNOWN_JOB_RETENTION_MS)
+    /** Handles a job's status from the controller: deletes the program if no task can need it any more. */
+    public void onJobStatus(long wallMs, String job, boolean ended, boolean unknown) {
+        StoredProgram stored = programs.get(job);
+        if (stored == null
+                || !ended && !(unknown && wallMs - stored.uploadedMs() > UNKNOWN_JOB_RETENTION_MS)
                 || !jobsBeingWritten.add(job)) {
             return;
         }
         Map<String, Map<String, ?>> rows = new HashMap<>();
         rows.put(ROW_PREFIX + job, null);
-        out.write(rows, durable -> {
+        outbox.write(rows, durable -> {
             jobsBeingWritten.remove(job);
             if (durable) {
                 programs.remove(job);
--- a/src/test/java/birchusher/pool/GangCoordinatorTest.java
+++ b/src/test/java/birchusher/pool/GangCoordinatorTest.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The meeting point of gangs, and what is taken for a program. */
+/** Tests the coordination of gangs, and the upload and validation of programs. */
 class GangCoordinatorTest {
     private final GangCoordinator gangs = new GangCoordinator(5_000);
 
-    private String instruction(long now, int index, String phase) {
-        return (String) sendStatus(now, index, phase).get("say");
+    private String instruction(long nowMs, int index, String phase) {
+        return (String) sendStatus(nowMs, index, phase).get("say");
     }
 
-    private Map<String, Object> sendStatus(long now, int index, String phase) {
+    private Map<String, Object> sendStatus(long nowMs, int index, String phase) {
         return gangs.handleStatus(
-                now,
+                nowMs,
                 Map.of(
                         "job",
                         "wk-1",
@@ -45,7 +45,9 @@
         assertThat(instruction(2_000, 0, "waiting")).isEqualTo("go");
         assertThat(instruction(3_000, 0, "ended")).isEqualTo("go");
         assertThat(instruction(4_000, 1, "ended")).isEqualTo("all");
-        assertThat(instruction(30_000, 0, "ended")).as("also told late").isEqualTo("all");
+        assertThat(instruction(30_000, 0, "ended"))
+                .as("also after the silence timeout")
+                .isEqualTo("all");
     }
 
     @Test
@@ -66,7 +68,7 @@
         assertThat(other.handleStatus(1_000, one).get("say")).isEqualTo("wait");
         one.put("phase", "waiting");
         assertThat(other.handleStatus(2_000, one).get("say"))
-                .as("a replacement completes it")
+                .as("a replacement completes the gang")
                 .isEqualTo("go");
     }
 
@@ -85,27 +87,29 @@
 
     @Test
     void programIsStoredOnceAndOnlyIfValid() {
-        Outbox out = new Outbox();
-        ProgramStore programs = new ProgramStore(out, Map.of());
+        Outbox outbox = new Outbox();
+        ProgramStore programs = new ProgramStore(outbox, Map.of());
         Map<String, Object> program = Map.of("command", List.of("sh", "-c", "true"), "env", Map.of("A", "b"));
         programs.put(0, 1, "wk-1", program);
         programs.put(0, 2, "wk-1", program);
-        List<Outbox.Output> l = out.drain();
-        assertThat(((Outbox.Response) l.get(1)).status()).as("not durable yet").isEqualTo(503);
-        out.onWritten(((Outbox.Write) l.get(0)).id(), true);
+        List<Outbox.Output> outputs = outbox.drain();
+        assertThat(((Outbox.Response) outputs.get(1)).status())
+                .as("the first upload is not durable yet")
+                .isEqualTo(503);
+        outbox.onWritten(((Outbox.Write) outputs.get(0)).id(), true);
         programs.put(0, 3, "wk-1", program);
         programs.put(0, 4, "wk-1", Map.of("command", List.of("other")));
-        assertThat(out.drain().stream().map(o -> ((Outbox.Response) o).status()))
+        assertThat(outbox.drain().stream().map(output -> ((Outbox.Response) output).status()))
                 .containsExactly(201, 200, 409);
-        // It goes once its job is over, not before.
+        // A program is deleted when its job has ended, not before.
         assertThat(programs.nextToCheck(1_000)).isNull();
         assertThat(programs.nextToCheck(700_000)).isEqualTo("wk-1");
         programs.onJobStatus(700_000, "wk-1", false, true);
-        assertThat(out.drain()).as("an upload whose job may still come").isEmpty();
+        assertThat(outbox.drain()).as("the job may still be submitted").isEmpty();
         programs.onJobStatus(700_000, "wk-1", true, false);
-        out.onWritten(((Outbox.Write) out.drain().get(0)).id(), true);
+        outbox.onWritten(((Outbox.Write) outbox.drain().get(0)).id(), true);
         assertThat(programs.get("wk-1")).isNull();
-        for (Map<String, Object> bad : List.<Map<String, Object>>of(
+        for (Map<String, Object> invalid : List.<Map<String, Object>>of(
                 Map.of(),
                 Map.of("command", List.of()),
                 Map.of("command", List.of(1L)),
@@ -114,8 +118,8 @@
                 Map.of("command", List.of("x"), "env", Map.of("BIRCHUSHER_TAG", "x")),
                 Map.of("command", List.of("x"), "save_signal", "KILL"),
                 Map.of("command", List.of("x".repeat(50_000))))) {
-            assertThatThrownBy(() -> ProgramStore.validate(bad))
-                    .as(String.valueOf(bad.keySet()))
+            assertThatThrownBy(() -> ProgramStore.validate(invalid))
+                    .as(String.valueOf(invalid.keySet()))
                     .isInstanceOf(InvalidInputException.class);
         }
     }
--- a/src/test/java/birchusher/pool/HostPoolTest.java
+++ b/src/test/java/birchusher/pool/HostPoolTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A pool of fixed hosts: never rented twice, never called gone while something of it may run. */
+/** Tests the pool of fixed hosts: none is rented twice, none is reported gone while something on it may run. */
 class HostPoolTest {
     private static final long LEASE_MS = 10_000;
     private static final HostInventory INVENTORY = new HostInventory(
@@ -32,7 +32,7 @@
     private long nowMs = 1_000;
     private long lastExchange;
     private long lastSequence;
-    /** Of the next writes: kept and told; not kept and told so; kept, but told otherwise. */
+    /** Outcome of the next writes: 0 written; 1 not written and reported as failed; 2 written but reported as failed. */
     private int writeOutcome;
 
     @BeforeEach
@@ -43,79 +43,80 @@
 
     @SuppressWarnings("unchecked")
     private void perform() {
-        for (List<Outbox.Output> l = outbox.drain(); !l.isEmpty(); l = outbox.drain()) {
-            for (Outbox.Output o : l) {
-                if (o instanceof Outbox.Response a) {
-                    assertThat(responses.put(a.exchange(), a))
+        for (List<Outbox.Output> outputs = outbox.drain(); !outputs.isEmpty(); outputs = outbox.drain()) {
+            for (Outbox.Output output : outputs) {
+                if (output instanceof Outbox.Response response) {
+                    assertThat(responses.put(response.exchange(), response))
                             .as("answered twice")
                             .isNull();
                 } else {
-                    Outbox.Write w = (Outbox.Write) o;
+                    Outbox.Write write = (Outbox.Write) output;
                     if (writeOutcome != 1) {
-                        w.rows().forEach((k, v) -> {
-                            if (v == null) {
-                                rows.remove(k);
+                        write.rows().forEach((key, value) -> {
+                            if (value == null) {
+                                rows.remove(key);
                             } else {
-                                rows.put(k, (Map<String, Object>) v);
+                                rows.put(key, (Map<String, Object>) value);
                             }
                         });
                     }
-                    outbox.onWritten(w.id(), writeOutcome == 0);
+                    outbox.onWritten(write.id(), writeOutcome == 0);
                 }
             }
         }
     }
 
-    private Outbox.Response rent(String ask, long count) {
+    private Outbox.Response rent(String request, long count) {
         pool.rent(
                 nowMs,
                 50_000 + nowMs,
                 ++lastExchange,
-                Map.of("ask", ask, "build", "small", "grove", "z", "loaners", false, "how_many", count));
+                Map.of("ask", request, "build", "small", "grove", "z", "loaners", false, "how_many", count));
         perform();
         return responses.get(lastExchange);
     }
 
-    private long delete(String... names) {
-        pool.delete(nowMs, ++lastExchange, Map.of("hosts", List.of(names)));
+    private long delete(String... machines) {
+        pool.delete(nowMs, ++lastExchange, Map.of("hosts", List.of(machines)));
         perform();
         return lastExchange;
     }
 
-    private Outbox.Response poll(String host, String boot, String runs) {
-        return poll(host, boot, runs, null, ++lastSequence);
+    private Outbox.Response poll(String host, String bootId, String machine) {
+        return poll(host, bootId, machine, null, ++lastSequence);
     }
 
-    private Outbox.Response poll(String host, String boot, String runs, String before, long number) {
-        Map<String, Object> m = new HashMap<>(Map.of("agent", host, "boot", boot, "address", "h:1", "tick", number));
-        m.put("host", runs);
-        m.put("before", before);
-        pool.handlePoll(nowMs, ++lastExchange, m);
+    private Outbox.Response poll(String host, String bootId, String machine, String previousBootId, long sequence) {
+        Map<String, Object> body =
+                new HashMap<>(Map.of("agent", host, "boot", bootId, "address", "h:1", "tick", sequence));
+        body.put("host", machine);
+        body.put("before", previousBootId);
+        pool.handlePoll(nowMs, ++lastExchange, body);
         perform();
         return responses.get(lastExchange);
     }
 
-    private int responseStatus(long x) {
-        return responses.containsKey(x) ? responses.get(x).status() : 0;
+    private int responseStatus(long exchange) {
+        return responses.containsKey(exchange) ? responses.get(exchange).status() : 0;
     }
 
-    private List<Object> machines(Outbox.Response a) {
-        return new ArrayList<>((List<?>) a.body().get("hosts"));
+    private List<Object> machines(Outbox.Response response) {
+        return new ArrayList<>((List<?>) response.body().get("hosts"));
     }
 
     @SuppressWarnings("unchecked")
     private Map<String, String> statesByMachine() {
-        Map<String, String> m = new LinkedHashMap<>();
-        for (Object o : (List<Object>) pool.listMachines(nowMs, "", 500).get("hosts")) {
-            Map<String, Object> x = (Map<String, Object>) o;
-            m.put((String) x.get("name_id"), (String) x.get("stage"));
+        Map<String, String> states = new LinkedHashMap<>();
+        for (Object item : (List<Object>) pool.listMachines(nowMs, "", 500).get("hosts")) {
+            Map<String, Object> machine = (Map<String, Object>) item;
+            states.put((String) machine.get("name_id"), (String) machine.get("stage"));
         }
-        return m;
+        return states;
     }
 
     @Test
     void repeatedRentalRequestReturnsTheSameMachinesAlsoAfterARestart() {
-        assertThat(rent("r1", 2).body().get("error")).as("no agent is heard").isEqualTo("no capacity");
+        assertThat(rent("r1", 2).body().get("error")).as("no agent has polled").isEqualTo("no capacity");
         poll("a", "boot-a", null);
         poll("b", "boot-b", null);
         assertThat(machines(rent("r1", 3))).containsExactly("n-000001", "n-000002");
@@ -133,23 +134,25 @@
         poll("a", "boot-a", null);
         rent("r1", 1);
         poll("a", "boot-a", "n-000001");
-        long x = delete("n-000001", "n-000099");
-        assertThat(responseStatus(x)).isZero();
-        assertThat(rent("r2", 1).body().get("error")).as("it will be back soon").isEqualTo("trouble");
+        long firstDeletion = delete("n-000001", "n-000099");
+        assertThat(responseStatus(firstDeletion)).isZero();
+        assertThat(rent("r2", 1).body().get("error"))
+                .as("the host will soon be free")
+                .isEqualTo("trouble");
         assertThat(poll("a", "boot-a", "n-000001").body().get("host"))
-                .as("told to end it")
+                .as("told to stop running it")
                 .isNull();
-        assertThat(responseStatus(x)).isZero();
+        assertThat(responseStatus(firstDeletion)).isZero();
         poll("a", "boot-a", null);
-        assertThat(responseStatus(x)).isEqualTo(200);
+        assertThat(responseStatus(firstDeletion)).isEqualTo(200);
         assertThat(machines(rent("r2", 1))).containsExactly("n-000002");
-        // Now it falls silent: who deletes is told to come back, until the lease has passed.
-        long y = delete("n-000002");
+        // The agent falls silent: a deletion is answered with a retry until the lease has passed.
+        long secondDeletion = delete("n-000002");
         nowMs += 4_000;
         pool.tick(nowMs);
         perform();
-        assertThat(responses.get(y).status()).isEqualTo(503);
-        assertThat(responses.get(y).retryAfterS()).isPositive();
+        assertThat(responses.get(secondDeletion).status()).isEqualTo(503);
+        assertThat(responses.get(secondDeletion).retryAfterS()).isPositive();
         nowMs += LEASE_MS;
         pool.tick(nowMs);
         perform();
@@ -160,13 +163,13 @@
     @Test
     void outdatedPollDoesNotParkAHost() {
         poll("a", "boot-a", null, null, 1);
-        long late = 2;
+        long lateSequence = 2;
         rent("r1", 1);
         poll("a", "boot-a", "n-000001", null, 3);
-        long x = delete("n-000001");
-        // "Runs nothing", sent before the agent was told to be the machine.
-        assertThat(poll("a", "boot-a", null, null, late).status()).isEqualTo(409);
-        assertThat(responseStatus(x)).isZero();
+        long deletion = delete("n-000001");
+        // A poll that reports no machine, sent before the agent learnt which machine it is.
+        assertThat(poll("a", "boot-a", null, null, lateSequence).status()).isEqualTo(409);
+        assertThat(responseStatus(deletion)).isZero();
     }
 
     @Test
@@ -176,7 +179,7 @@
         poll("a", "boot-1", "n-000001");
         assertThat(poll("a", "boot-2", null).status()).isEqualTo(409);
         assertThat(poll("a", "boot-1", "n-000001").body().get("host")).isEqualTo("n-000001");
-        // One that found the other dead, in its own directory, may take over at once; what that ran has failed.
+        // An agent that found the other's id in its own directory takes over at once; the other's machine has failed.
         assertThat(poll("a", "boot-2", null, "boot-1", ++lastSequence).body().get("host"))
                 .isNull();
         assertThat(statesByMachine()).isEqualTo(Map.of("n-000001", "failed"));
@@ -184,7 +187,7 @@
         assertThat(rent("r2", 1).status()).isEqualTo(503);
         assertThat(responseStatus(delete("n-000001"))).isEqualTo(200);
         assertThat(machines(rent("r2", 1))).containsExactly("n-000002");
-        // And one that knows nothing has to wait.
+        // An agent without that id has to wait until a lease has passed.
         nowMs += LEASE_MS / 2;
         assertThat(poll("a", "boot-3", null).status()).isEqualTo(409);
         nowMs += LEASE_MS;
@@ -207,7 +210,7 @@
                 .hasMessageContaining("gone");
     }
 
-    /** What one agent would do: it obeys answers, which may be lost, and ends its machine a lease after the last one. */
+    /** An agent that obeys responses, some of which are lost, and stops its machine a lease after the last one. */
     private static final class SimulatedAgent {
         final String host;
         int boots;
@@ -225,7 +228,7 @@
     void noMachineIsReportedGoneWhileItRuns() {
         int deleted = 0;
         for (int seed = 0; seed < 300; seed++) {
-            SplittableRandom r = new SplittableRandom(seed);
+            SplittableRandom random = new SplittableRandom(seed);
             rows.clear();
             responses.clear();
             restartPool();
@@ -235,41 +238,41 @@
             Set<String> gone = new HashSet<>();
             for (int i = 0; i < 400; i++) {
                 nowMs += 250;
-                writeOutcome = r.nextInt(20) == 0 ? 1 + r.nextInt(2) : 0;
-                for (SimulatedAgent a : agents) {
-                    stepAgent(a, r);
+                writeOutcome = random.nextInt(20) == 0 ? 1 + random.nextInt(2) : 0;
+                for (SimulatedAgent agent : agents) {
+                    stepAgent(agent, random);
                 }
-                if (r.nextInt(6) == 0) {
-                    Outbox.Response got = rent("r" + i, 1);
-                    if (got.status() == 200) {
-                        for (Object h : machines(got)) {
-                            assertThat(rented.add((String) h))
-                                    .as("a name given twice, seed " + seed)
+                if (random.nextInt(6) == 0) {
+                    Outbox.Response response = rent("r" + i, 1);
+                    if (response.status() == 200) {
+                        for (Object machine : machines(response)) {
+                            assertThat(rented.add((String) machine))
+                                    .as("machine name used twice, seed " + seed)
                                     .isTrue();
                         }
                     }
                 }
-                List<String> names = new ArrayList<>(statesByMachine().keySet());
-                if (r.nextInt(8) == 0 && !names.isEmpty()) {
-                    deletions.put(delete(names.get(0)), List.of(names.get(0)));
+                List<String> machines = new ArrayList<>(statesByMachine().keySet());
+                if (random.nextInt(8) == 0 && !machines.isEmpty()) {
+                    deletions.put(delete(machines.get(0)), List.of(machines.get(0)));
                 }
-                if (r.nextInt(100) == 0) {
+                if (random.nextInt(100) == 0) {
                     restartPool();
                 }
                 pool.tick(nowMs);
                 perform();
-                deletions.forEach((x, l) -> {
-                    if (responseStatus(x) == 200) {
-                        gone.addAll(l);
+                deletions.forEach((exchange, deletedMachines) -> {
+                    if (responseStatus(exchange) == 200) {
+                        gone.addAll(deletedMachines);
                     }
                 });
-                for (SimulatedAgent a : agents) {
-                    assertThat(a.machine == null || !gone.contains(a.machine))
-                            .as(a.machine + " runs and is gone, seed " + seed)
+                for (SimulatedAgent agent : agents) {
+                    assertThat(agent.machine == null || !gone.contains(agent.machine))
+                            .as(agent.machine + " runs but was reported gone, seed " + seed)
                             .isTrue();
-                    assertThat(a.machine == null
-                                    || !"failed".equals(statesByMachine().get(a.machine)))
-                            .as("failed and runs, " + seed)
+                    assertThat(agent.machine == null
+                                    || !"failed".equals(statesByMachine().get(agent.machine)))
+                            .as("machine is failed and runs, seed " + seed)
                             .isTrue();
                 }
                 assertThat(agents.get(0).machine == null
@@ -281,28 +284,32 @@
         assertThat(deleted).isGreaterThan(3_000);
     }
 
-    private void stepAgent(SimulatedAgent a, SplittableRandom r) {
-        if (a.machine != null && nowMs - a.lastResponseMs > LEASE_MS) {
-            a.machine = null;
+    private void stepAgent(SimulatedAgent agent, SplittableRandom random) {
+        if (agent.machine != null && nowMs - agent.lastResponseMs > LEASE_MS) {
+            agent.machine = null;
         }
-        if (r.nextInt(120) == 0) {
-            a.boots++;
-            a.machine = null;
-            a.sequence = 0;
+        if (random.nextInt(120) == 0) {
+            agent.boots++;
+            agent.machine = null;
+            agent.sequence = 0;
         }
-        if (nowMs < a.nextPollMs || r.nextInt(5) == 0) {
+        if (nowMs < agent.nextPollMs || random.nextInt(5) == 0) {
             return;
         }
-        Outbox.Response got =
-                poll(a.host, "boot-" + a.boots, a.machine, a.boots > 0 ? "boot-" + (a.boots - 1) : null, ++a.sequence);
-        if (r.nextInt(4) == 0) {
-            // The answer is lost; now and then for longer than a lease.
-            a.nextPollMs = nowMs + (r.nextInt(10) == 0 ? 2 * LEASE_MS : 1_000);
+        Outbox.Response response = poll(
+                agent.host,
+                "boot-" + agent.boots,
+                agent.machine,
+                agent.boots > 0 ? "boot-" + (agent.boots - 1) : null,
+                ++agent.sequence);
+        if (random.nextInt(4) == 0) {
+            // The response is lost, in some cases with all others for longer than a lease.
+            agent.nextPollMs = nowMs + (random.nextInt(10) == 0 ? 2 * LEASE_MS : 1_000);
             return;
         }
-        if (got.status() == 200) {
-            a.lastResponseMs = nowMs;
-            a.machine = (String) got.body().get("host");
+        if (response.status() == 200) {
+            agent.lastResponseMs = nowMs;
+            agent.machine = (String) response.body().get("host");
         }
     }
 }
