--- a/src/main/java/birchusher/cli/ClientCommands.java
+++ b/src/main/java/birchusher/cli/ClientCommands.java
@@ -15,11 +15,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The commands that look and those that cancel. */
+/** The commands that query a server, and the one that cancels a job. */
 final class ClientCommands {
     private ClientCommands() {}
 
-    @Command(name = "status", description = "tell a job's state", mixinStandardHelpOptions = true)
+    @Command(name = "status", description = "print the state of a job", mixinStandardHelpOptions = true)
     static final class StatusCommand implements Callable<Integer> {
         @CommandLine.Mixin
         ClientContext context;
@@ -50,68 +50,72 @@
         }
     }
 
-    private static int printStateOrRefusal(ClientContext talk, RetryingClient.Response g) {
-        if (!g.isSuccess()) {
-            return ClientContext.printRefusal(g);
+    /** Prints the job's state or the server's refusal, and returns the exit code. */
+    private static int printStateOrRefusal(ClientContext context, RetryingClient.Response response) {
+        if (!response.isSuccess()) {
+            return ClientContext.printRefusal(response);
         }
-        talk.printState(g.body());
+        context.printState(response.body());
         return 0;
     }
 
-    @Command(name = "list", description = "list jobs by their ids", mixinStandardHelpOptions = true)
+    @Command(name = "list", description = "list jobs in the order of their ids", mixinStandardHelpOptions = true)
     static final class ListCommand implements Callable<Integer> {
         @CommandLine.Mixin
         ClientContext context;
 
-        @Option(names = "--state", description = "queued, running, done or cancelled (default: all that are not over)")
+        @Option(
+                names = "--state",
+                description =
+                        "only jobs that are queued, running, done or cancelled (default: all that have not ended)")
         String state;
 
-        @Option(names = "--team", description = "only this team's")
+        @Option(names = "--team", description = "only jobs of this team")
         String team;
 
-        @Option(names = "--class", description = "only this class")
+        @Option(names = "--class", description = "only jobs of this class")
         String jobClass;
 
-        @Option(names = "--after", paramLabel = "ID", description = "begin behind this id")
+        @Option(names = "--after", paramLabel = "ID", description = "start after this id")
         String afterId;
 
         @Option(
                 names = "--limit",
                 paramLabel = "N",
                 defaultValue = "200",
-                description = "at most so many (default: ${DEFAULT-VALUE})")
+                description = "maximum number of jobs to print (default: ${DEFAULT-VALUE})")
         int limit;
 
         @Override
         public Integer call() {
             return Main.exitCodeOf(() -> {
-                List<Object> runs = new ArrayList<>();
-                String from = afterId == null ? "" : ClientContext.requireJobId(afterId);
-                boolean more = true;
-                while (more && runs.size() < limit) {
-                    RetryingClient.Response g = context.call(
+                List<Object> jobs = new ArrayList<>();
+                String lastId = afterId == null ? "" : ClientContext.requireJobId(afterId);
+                boolean hasMore = true;
+                while (hasMore && jobs.size() < limit) {
+                    RetryingClient.Response response = context.call(
                             "GET",
-                            Wire.JOBS + "?" + Wire.AFTER + "=" + from + queryParameter("--state", Wire.STATE, state)
+                            Wire.JOBS + "?" + Wire.AFTER + "=" + lastId + queryParameter("--state", Wire.STATE, state)
                                     + queryParameter("--team", Wire.TEAM, team)
                                     + queryParameter("--class", Wire.JOB_CLASS, jobClass),
                             null);
-                    if (!g.isSuccess()) {
-                        return ClientContext.printRefusal(g);
+                    if (!response.isSuccess()) {
+                        return ClientContext.printRefusal(response);
                     }
-                    runs.addAll(Fields.list(g.body(), "runs"));
-                    more = Boolean.TRUE.equals(g.body().get(Wire.HAS_MORE));
-                    from = String.valueOf(g.body().get("last"));
+                    jobs.addAll(Fields.list(response.body(), "runs"));
+                    hasMore = Boolean.TRUE.equals(response.body().get(Wire.HAS_MORE));
+                    lastId = String.valueOf(response.body().get("last"));
                 }
-                more |= runs.size() > limit;
-                List<Object> shown = runs.subList(0, Math.min(limit, runs.size()));
+                hasMore |= jobs.size() > limit;
+                List<Object> shown = jobs.subList(0, Math.min(limit, jobs.size()));
                 if (context.isJson()) {
-                    System.out.println(Json.toText(Map.of("runs", shown, Wire.HAS_MORE, more), false));
+                    System.out.println(Json.toText(Map.of("runs", shown, Wire.HAS_MORE, hasMore), false));
                 } else {
                     ClientContext.printTable(
                             shown,
                             new String[] {Wire.ID, Wire.STATE, Wire.DONE, Wire.RUNNING, Wire.TEAM, Wire.JOB_CLASS},
                             new String[] {"ID", "STATE", "DONE", "RUNNING", "TEAM", "CLASS"});
-                    if (more) {
+                    if (hasMore) {
                         System.err.println("more: --after "
                                 + Fields.map(shown.get(shown.size() - 1), "row").get(Wire.ID));
                     }
@@ -122,13 +126,13 @@
 
         private static String queryParameter(String option, String name, String value) {
             if (value != null && !value.matches("[A-Za-z0-9_.-]+")) {
-                throw new InvalidInputException(option + ": letters, digits, - _ and .");
+                throw new InvalidInputException(option + ": only letters, digits, - _ and . are allowed");
             }
             return value == null ? "" : "&" + name + "=" + value;
         }
     }
 
-    @Command(name = "describe", description = "tell all about a job", mixinStandardHelpOptions = true)
+    @Command(name = "describe", description = "print all details of a job", mixinStandardHelpOptions = true)
     static final class DescribeCommand implements Callable<Integer> {
         @CommandLine.Mixin
         ClientContext context;
@@ -139,40 +143,40 @@
         @Override
         public Integer call() {
             return Main.exitCodeOf(() -> {
-                RetryingClient.Response g =
+                RetryingClient.Response response =
                         context.call("GET", Wire.JOBS + "/" + ClientContext.requireJobId(jobId) + Wire.DESCRIBE, null);
-                if (!g.isSuccess()) {
-                    return ClientContext.printRefusal(g);
+                if (!response.isSuccess()) {
+                    return ClientContext.printRefusal(response);
                 }
-                Map<String, Object> m = new HashMap<>(g.body());
+                Map<String, Object> details = new HashMap<>(response.body());
                 RetryingClient.Response program = context.call("GET", Wire.PROGRAMS + jobId, null);
                 if (program.isSuccess()) {
-                    m.put("program", program.body());
+                    details.put("program", program.body());
                 }
                 if (context.isJson()) {
-                    System.out.println(Json.toText(m, true));
+                    System.out.println(Json.toText(details, true));
                     return 0;
                 }
-                context.printState(m);
-                if (m.get("job") != null) {
-                    new TreeMap<>(Fields.map(m.get("job"), "job"))
-                            .forEach((k, v) -> System.out.printf("  %-14s %s%n", k, v));
+                context.printState(details);
+                if (details.get("job") != null) {
+                    new TreeMap<>(Fields.map(details.get("job"), "job"))
+                            .forEach((field, value) -> System.out.printf("  %-14s %s%n", field, value));
                 }
                 if (program.isSuccess()) {
                     System.out.printf("  %-14s %s%n", "command", program.body().get("command"));
                 }
-                if (m.get("pieces") instanceof List<?> l && !l.isEmpty()) {
+                if (details.get("pieces") instanceof List<?> tasks && !tasks.isEmpty()) {
                     ClientContext.printTable(
-                            l,
+                            tasks,
                             new String[] {"index", Wire.ATTEMPT, Wire.MACHINE, "held_s"},
                             new String[] {"TASK", "ATTEMPT", "MACHINE", "SINCE S"});
-                    if (Boolean.TRUE.equals(m.get(Wire.HAS_MORE))) {
-                        System.out.println("more tasks behind " + m.get("next"));
+                    if (Boolean.TRUE.equals(details.get(Wire.HAS_MORE))) {
+                        System.out.println("more tasks after " + details.get("next"));
                     }
                 }
-                if (m.get("events") instanceof List<?> l && !l.isEmpty()) {
+                if (details.get("events") instanceof List<?> events && !events.isEmpty()) {
                     ClientContext.printTable(
-                            l,
+                            events,
                             new String[] {"ago_s", "index", Wire.ATTEMPT, Wire.MACHINE, "what"},
                             new String[] {"S AGO", "TASK", "ATTEMPT", "MACHINE", "WHAT"});
                 }
@@ -181,7 +185,7 @@
         }
     }
 
-    @Command(name = "machines", description = "list the daemon's hosts", mixinStandardHelpOptions = true)
+    @Command(name = "machines", description = "list the hosts that the daemon manages", mixinStandardHelpOptions = true)
     static final class MachinesCommand implements Callable<Integer> {
         @CommandLine.Mixin
         ClientContext context;
@@ -197,7 +201,7 @@
         }
     }
 
-    @Command(name = "teams", description = "tell what teams use and may use", mixinStandardHelpOptions = true)
+    @Command(name = "teams", description = "print the usage and the quotas of teams", mixinStandardHelpOptions = true)
     static final class TeamsCommand implements Callable<Integer> {
         @CommandLine.Mixin
         ClientContext context;
@@ -213,21 +217,22 @@
         }
     }
 
+    /** Gets a list of rows and prints it or the server's refusal, and returns the exit code. */
     private static int printRowsOrRefusal(
-            ClientContext talk, String path, String field, String[] fields, String[] names) throws Exception {
-        RetryingClient.Response g = talk.call("GET", path, null);
-        if (!g.isSuccess()) {
-            return ClientContext.printRefusal(g);
+            ClientContext context, String path, String field, String[] fields, String[] headers) throws Exception {
+        RetryingClient.Response response = context.call("GET", path, null);
+        if (!response.isSuccess()) {
+            return ClientContext.printRefusal(response);
         }
-        if (talk.isJson()) {
-            System.out.println(Json.toText(g.body(), false));
+        if (context.isJson()) {
+            System.out.println(Json.toText(response.body(), false));
         } else {
-            ClientContext.printTable(Fields.list(g.body(), field), fields, names);
+            ClientContext.printTable(Fields.list(response.body(), field), fields, headers);
         }
         return 0;
     }
 
-    @Command(name = "logs", description = "print what a task has printed", mixinStandardHelpOptions = true)
+    @Command(name = "logs", description = "print the output of a task", mixinStandardHelpOptions = true)
     static final class LogsCommand implements Callable<Integer> {
         private static final long FOLLOW_INTERVAL_MS = 1_000;
 
@@ -248,12 +253,12 @@
         @Option(
                 names = "--attempt",
                 paramLabel = "N",
-                description = "which attempt (default: the one that printed last)")
+                description = "number of the attempt (default: the one with the latest output)")
         Long attempt;
 
         @Option(
                 names = {"-f", "--follow"},
-                description = "go on until the job is over")
+                description = "print new output until the job has ended")
         boolean follow;
 
         @Override
@@ -261,72 +266,76 @@
             return Main.exitCodeOf(() -> {
                 String path = Wire.TASK_LOGS + ClientContext.requireJobId(jobId) + "/" + taskIndex;
                 Map<String, Object> log = null;
-                long from = 0;
+                long offset = 0;
                 while (true) {
-                    boolean over = isJobOver();
+                    boolean ended = isJobOver();
                     if (log == null) {
                         log = findLog(path);
                     }
                     if (log != null) {
-                        from = printFrom(path, log, from);
+                        offset = printFrom(path, log, offset);
                     }
-                    if (!follow || over) {
+                    if (!follow || ended) {
                         break;
                     }
                     Thread.sleep(FOLLOW_INTERVAL_MS);
                 }
                 if (log == null) {
-                    System.err.println("birchusher: no log of this task is kept on a host that answers");
+                    System.err.println("birchusher: no host that answers has a log of this task");
                     return 1;
                 }
                 return 0;
             });
         }
 
+        /** Whether the job is done or cancelled, or the server refuses to tell its state. */
         private boolean isJobOver() throws Exception {
-            RetryingClient.Response g = context.call("GET", Wire.JOBS + "/" + jobId, null);
-            Object stage = g.body().get(Wire.STATE);
-            return !g.isSuccess() || Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage);
+            RetryingClient.Response response = context.call("GET", Wire.JOBS + "/" + jobId, null);
+            Object state = response.body().get(Wire.STATE);
+            return !response.isSuccess() || Wire.DONE.equals(state) || Wire.CANCELLED.equals(state);
         }
 
+        /** The log of the wanted attempt, or else the one that changed last; null if no host has one. */
         private Map<String, Object> findLog(String path) throws Exception {
-            RetryingClient.Response g = context.call("GET", path, null);
-            if (!g.isSuccess()) {
-                throw new InvalidInputException(g.errorMessage());
+            RetryingClient.Response response = context.call("GET", path, null);
+            if (!response.isSuccess()) {
+                throw new InvalidInputException(response.errorMessage());
             }
-            Map<String, Object> best = null;
+            Map<String, Object> latest = null;
             for (Map.Entry<String, Object> host :
-                    Fields.map(g.body().get("hosts"), "hosts").entrySet()) {
-                for (Object o : (List<?>) host.getValue()) {
-                    Map<String, Object> m = new HashMap<>(Fields.map(o, "log"));
-                    m.put("host", host.getKey());
-                    if ((attempt == null || attempt == Fields.count(m, "try"))
-                            && (best == null || Fields.count(m, "changed_ms") > Fields.count(best, "changed_ms"))) {
-                        best = m;
+                    Fields.map(response.body().get("hosts"), "hosts").entrySet()) {
+                for (Object log : (List<?>) host.getValue()) {
+                    Map<String, Object> candidate = new HashMap<>(Fields.map(log, "log"));
+                    candidate.put("host", host.getKey());
+                    if ((attempt == null || attempt == Fields.count(candidate, "try"))
+                            && (latest == null
+                                    || Fields.count(candidate, "changed_ms") > Fields.count(latest, "changed_ms"))) {
+                        latest = candidate;
                     }
                 }
             }
-            return best;
+            return latest;
         }
 
-        private long printFrom(String path, Map<String, Object> log, long from) throws Exception {
-            long at = from;
+        /** Prints a log from an offset to its present end, and returns the offset of that end. */
+        private long printFrom(String path, Map<String, Object> log, long startOffset) throws Exception {
+            long offset = startOffset;
             while (true) {
-                RetryingClient.Response g = context.call(
-                        "GET", path + "?host=" + log.get("host") + "&try=" + log.get("try") + "&from=" + at, null);
-                if (!g.isSuccess()) {
-                    throw new InvalidInputException(g.errorMessage());
+                RetryingClient.Response response = context.call(
+                        "GET", path + "?host=" + log.get("host") + "&try=" + log.get("try") + "&from=" + offset, null);
+                if (!response.isSuccess()) {
+                    throw new InvalidInputException(response.errorMessage());
                 }
-                if (Boolean.TRUE.equals(g.body().get("cut"))) {
-                    System.out.println("\n[... the middle is not kept ...]");
+                if (Boolean.TRUE.equals(response.body().get("cut"))) {
+                    System.out.println("\n[... the middle of this log was discarded ...]");
                 }
-                System.out.print(g.body().get("text"));
+                System.out.print(response.body().get("text"));
                 System.out.flush();
-                long next = Fields.count(g.body(), "next");
-                if (next == at) {
-                    return at;
+                long nextOffset = Fields.count(response.body(), "next");
+                if (nextOffset == offset) {
+                    return offset;
                 }
-                at = next;
+                offset = nextOffset;
             }
         }
     }
--- a/src/main/java/birchusher/cli/ClientContext.java
+++ b/src/main/java/birchusher/cli/ClientContext.java
@@ -12,8 +12,12 @@
 import picocli.CommandLine.Help.TextTable;
 import picocli.CommandLine.Option;
 
-/** What all commands share that talk to a server: where it is, how long to try, how to print. */
+/**
+ * Options of all commands that call a server (its address, the deadline, the output format), with the calls and the console
+ * output that depend on them.
+ */
 final class ClientContext {
+    /** Output formats; the names are the values of {@code --output}. */
     enum Output {
         table,
         json
@@ -24,28 +28,29 @@
             paramLabel = "HOST:PORT",
             defaultValue = "${BIRCHUSHER_SERVER:-127.0.0.1:7070}",
             description =
-                    "the daemon, a controller or the load balancer (default: $BIRCHUSHER_SERVER, or ${DEFAULT-VALUE})")
+                    "address of the daemon, a controller or the load balancer (default: $BIRCHUSHER_SERVER, or ${DEFAULT-VALUE})")
     String server;
 
     @Option(
             names = "--deadline",
             paramLabel = "S",
             defaultValue = "30",
-            description = "how long to go on trying, in seconds (default: ${DEFAULT-VALUE})")
+            description = "time limit of each request in seconds, retries included (default: ${DEFAULT-VALUE})")
     double deadlineS;
 
     @Option(
             names = {"-o", "--output"},
             paramLabel = "FORM",
             defaultValue = "table",
-            description = "${COMPLETION-CANDIDATES}; json is for scripts (default: ${DEFAULT-VALUE})")
+            description = "output format: ${COMPLETION-CANDIDATES}; json is for scripts (default: ${DEFAULT-VALUE})")
     Output output;
 
     private RetryingClient client;
 
+    /** @param body null for an empty body */
     RetryingClient.Response call(String method, String path, Object body) throws Exception {
         if (!(deadlineS > 0 && deadlineS <= 86_400)) {
-            throw new InvalidInputException("--deadline: above 0, at most 86400");
+            throw new InvalidInputException("--deadline: must be above 0 and at most 86400 seconds");
         }
         if (client == null) {
             client = new RetryingClient(server, deadlineS);
@@ -57,6 +62,7 @@
         return output == Output.json;
     }
 
+    /** Returns the id, or rejects what does not have the form of a job id. */
     static String requireJobId(String id) {
         if (!JobCodec.isJobId(id)) {
             throw new InvalidInputException("ID: not a job id, expected " + Wire.JOB_ID_PREFIX + "...");
@@ -64,50 +70,52 @@
         return id;
     }
 
-    /** Prints a server's refusal; the exit code for it. */
-    static int printRefusal(RetryingClient.Response g) {
-        System.err.println("birchusher: " + g.errorMessage());
+    /** Prints a server's refusal to standard error and returns the exit code for it. */
+    static int printRefusal(RetryingClient.Response response) {
+        System.err.println("birchusher: " + response.errorMessage());
         return 1;
     }
 
-    /** A job's state, as a script or a person reads it. */
-    void printState(Map<String, Object> m) {
+    /** Prints a job's state: the whole answer as JSON, or one line of text. */
+    void printState(Map<String, Object> job) {
         if (isJson()) {
-            System.out.println(Json.toText(m, false));
+            System.out.println(Json.toText(job, false));
         } else {
-            System.out.println(m.get(Wire.ID) + " " + m.get(Wire.STATE)
-                    + (Wire.RUNNING.equals(m.get(Wire.STATE)) || Wire.QUEUED.equals(m.get(Wire.STATE))
-                            ? ", " + m.get(Wire.DONE) + " done, " + m.get(Wire.RUNNING) + " running"
+            System.out.println(job.get(Wire.ID) + " " + job.get(Wire.STATE)
+                    + (Wire.RUNNING.equals(job.get(Wire.STATE)) || Wire.QUEUED.equals(job.get(Wire.STATE))
+                            ? ", " + job.get(Wire.DONE) + " done, " + job.get(Wire.RUNNING) + " running"
                             : ""));
         }
     }
 
-    /** Rows of the same fields, under the names given. */
-    static void printTable(List<?> rows, String[] fields, String[] names) {
+    /** Prints the given fields of all rows as columns under the given headers. */
+    static void printTable(List<?> rows, String[] fields, String[] headers) {
         Column[] columns = new Column[fields.length];
         int[] widths = new int[fields.length];
         for (int i = 0; i < fields.length; i++) {
-            widths[i] = names[i].length();
-            for (Object r : rows) {
+            widths[i] = headers[i].length();
+            for (Object row : rows) {
                 widths[i] = Math.max(
                         widths[i],
-                        formatCell(Fields.map(r, "row").get(fields[i])).length());
+                        formatCell(Fields.map(row, "row").get(fields[i])).length());
             }
             columns[i] = new Column(widths[i] + 2, 0, Column.Overflow.SPAN);
         }
-        TextTable t = TextTable.forColumns(picocli.CommandLine.Help.defaultColorScheme(Ansi.OFF), columns);
-        t.addRowValues(names);
-        for (Object r : rows) {
+        TextTable table = TextTable.forColumns(picocli.CommandLine.Help.defaultColorScheme(Ansi.OFF), columns);
+        table.addRowValues(headers);
+        for (Object row : rows) {
             String[] cells = new String[fields.length];
             for (int i = 0; i < fields.length; i++) {
-                cells[i] = formatCell(Fields.map(r, "row").get(fields[i]));
+                cells[i] = formatCell(Fields.map(row, "row").get(fields[i]));
             }
-            t.addRowValues(cells);
+            table.addRowValues(cells);
         }
-        System.out.print(t.toString().replaceAll("(?m) +$", ""));
+        System.out.print(table.toString().replaceAll("(?m) +$", ""));
     }
 
-    private static String formatCell(Object o) {
-        return o == null ? "-" : o instanceof Double d ? String.format("%.1f", d) : String.valueOf(o);
+    private static String formatCell(Object value) {
+        return value == null
+                ? "-"
+                : value instanceof Double number ? String.format("%.1f", number) : String.valueOf(value);
     }
 }
--- a/src/main/java/birchusher/cli/Main.java
+++ b/src/main/java/birchusher/cli/Main.java
@@ -16,8 +16,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * The command line. Exit codes: 0 done, 1 refused or failed, 2 wrong use or bad settings, 3 no answer in time. A controller
- * pays for every class it loads at its start, so {@code serve} knows only what it needs itself.
+ * The entry point of the command line. Exit codes: 0 done, 1 refused or failed, 2 invalid usage or settings, 3 no answer before the
+ * deadline. Each class that a controller loads adds to the cost of its start, so {@code serve} and {@code check-config} run without the
+ * other commands.
  */
 @Command(
         name = "birchusher",
@@ -40,12 +41,13 @@
     }
 
     public static void main(String[] args) {
-        boolean light = args.length > 0 && (args[0].equals("serve") || args[0].equals("check-config"));
-        System.exit((light ? new CommandLine(new Main()) : fullCommandLine()).execute(args));
+        boolean controllerOnly = args.length > 0 && (args[0].equals("serve") || args[0].equals("check-config"));
+        System.exit((controllerOnly ? new CommandLine(new Main()) : fullCommandLine()).execute(args));
     }
 
+    /** The command line with all commands, those of clients and operators included. */
     static CommandLine fullCommandLine() {
-        CommandLine line = new CommandLine(new Main());
+        CommandLine commandLine = new CommandLine(new Main());
         List.of(
                         new OperatorCommands.DaemonCommand(),
                         new OperatorCommands.AgentCommand(),
@@ -60,8 +62,8 @@
                         new ClientCommands.MachinesCommand(),
                         new ClientCommands.TeamsCommand(),
                         new OperatorCommands.CompletionCommand())
-                .forEach(line::addSubcommand);
-        return line;
+                .forEach(commandLine::addSubcommand);
+        return commandLine;
     }
 
     @Override
@@ -69,7 +71,7 @@
         commandSpec.commandLine().usage(System.out);
     }
 
-    /** The two files every controller starts from. */
+    /** Options for the two files that a controller reads at its start. */
     static class ControllerFiles {
         @Option(
                 names = "--config",
@@ -78,7 +80,10 @@
                 description = "the platform's settings (JSON)")
         Path configFile;
 
-        @Option(names = "--properties", paramLabel = "FILE", description = "the operators' own settings")
+        @Option(
+                names = "--properties",
+                paramLabel = "FILE",
+                description = "the operators' settings, which override the defaults")
         Path propertiesFile;
 
         Settings readSettings() throws IOException {
@@ -86,20 +91,22 @@
         }
 
         Tuning readTuning() throws IOException {
-            Tuning t = new Tuning();
+            Tuning tuning = new Tuning();
             if (propertiesFile != null) {
-                try (Reader r = Files.newBufferedReader(propertiesFile)) {
-                    t.withOverrides(r);
+                try (Reader reader = Files.newBufferedReader(propertiesFile)) {
+                    tuning.withOverrides(reader);
                 }
             }
-            return t;
+            return tuning;
         }
     }
 
+    /** What a command does, up to its exit code. */
     interface CommandBody {
         int run() throws Exception;
     }
 
+    /** Runs a command, prints the message of an exception to standard error, and returns the exit code. */
     static int exitCodeOf(CommandBody body) {
         try {
             return body.run();
@@ -134,7 +141,7 @@
 
     @Command(
             name = "check-config",
-            description = "check the settings and say what is wrong",
+            description = "check the settings and report errors",
             mixinStandardHelpOptions = true)
     static final class CheckConfigCommand implements Callable<Integer> {
         @CommandLine.Mixin
@@ -143,10 +150,11 @@
         @Override
         public Integer call() {
             return exitCodeOf(() -> {
-                Settings s = files.readSettings();
+                Settings settings = files.readSettings();
                 files.readTuning();
-                System.out.println("ok: " + s.member() + " in " + s.zone() + ", "
-                        + (s.peers().size() + 1) + " controllers, " + s.teams().size() + " teams");
+                System.out.println("ok: " + settings.member() + " in " + settings.zone() + ", "
+                        + (settings.peers().size() + 1) + " controllers, "
+                        + settings.teams().size() + " teams");
                 return 0;
             });
         }
--- a/src/main/java/birchusher/cli/OperatorCommands.java
+++ b/src/main/java/birchusher/cli/OperatorCommands.java
@@ -19,23 +19,23 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The commands of an operator of hosts: the daemon, agents, and the way out of a damaged log. */
+/** The commands for operators of hosts: the daemon, agents, and the repair of a damaged log. */
 final class OperatorCommands {
     private OperatorCommands() {}
 
-    private static DaemonSettings readSettings(Path properties) throws IOException {
-        try (Reader r = Files.newBufferedReader(properties)) {
-            return DaemonSettings.read(r);
+    private static DaemonSettings readSettings(Path propertiesFile) throws IOException {
+        try (Reader reader = Files.newBufferedReader(propertiesFile)) {
+            return DaemonSettings.read(reader);
         }
     }
 
-    /** Runs on SIGTERM and the like, before the process goes. */
-    private static void onShutdown(Callable<Void> body) {
+    /** Registers an action that runs before the process ends, for example on SIGTERM. */
+    private static void onShutdown(Callable<Void> action) {
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
                             try {
-                                body.call();
+                                action.call();
                             } catch (Exception e) {
                                 System.err.println("birchusher: " + e);
                             }
@@ -45,17 +45,17 @@
 
     @Command(
             name = "daemon",
-            description = "run controller, state service and pool on this host",
+            description = "run a controller, the state service and the host pool on this host",
             mixinStandardHelpOptions = true)
     static final class DaemonCommand implements Callable<Integer> {
         @Option(
                 names = "--properties",
                 required = true,
                 paramLabel = "FILE",
-                description = "as deploy/daemon.properties")
+                description = "the daemon's settings; deploy/daemon.properties is an example")
         Path propertiesFile;
 
-        @Option(names = "--check", description = "only check the file")
+        @Option(names = "--check", description = "check the properties file and exit")
         boolean checkOnly;
 
         @Option(
@@ -63,26 +63,26 @@
                 paramLabel = "HOST",
                 arity = "0..1",
                 fallbackValue = "",
-                description = "start the agent of this host beside it (default: the first host listed)")
+                description = "also start the agent of this host (default: the first host listed)")
         String localHost;
 
         @Option(
                 names = "--local-listen",
                 paramLabel = "HOST:PORT",
                 defaultValue = "127.0.0.1:7075",
-                description = "where that agent listens (default: ${DEFAULT-VALUE})")
+                description = "address that this agent listens on (default: ${DEFAULT-VALUE})")
         String localAgentAddress;
 
         @Override
         public Integer call() {
             return Main.exitCodeOf(() -> {
-                DaemonSettings d = readSettings(propertiesFile);
+                DaemonSettings settings = readSettings(propertiesFile);
                 if (checkOnly) {
-                    System.out.println("ok: " + d.hosts().hosts().size() + " hosts, "
-                            + d.settings().teams().size() + " teams");
+                    System.out.println("ok: " + settings.hosts().hosts().size() + " hosts, "
+                            + settings.settings().teams().size() + " teams");
                     return 0;
                 }
-                Daemon daemon = new Daemon(d);
+                Daemon daemon = new Daemon(settings);
                 Process[] agent = new Process[1];
                 onShutdown(() -> {
                     if (agent[0] != null) {
@@ -94,17 +94,18 @@
                 });
                 daemon.start();
                 if (localHost != null) {
-                    agent[0] = startLocalAgent(d);
+                    agent[0] = startLocalAgent(settings);
                 }
                 return daemon.await() ? 0 : 1;
             });
         }
 
-        /** A process of its own, so that its tasks live on if this one is killed. */
-        private Process startLocalAgent(DaemonSettings d) throws IOException {
-            String host =
-                    localHost.isEmpty() ? d.hosts().hosts().keySet().iterator().next() : localHost;
-            if (!d.hosts().hosts().containsKey(host)) {
+        /** Starts the agent as a separate process, so that its tasks keep running if the daemon is killed. */
+        private Process startLocalAgent(DaemonSettings settings) throws IOException {
+            String host = localHost.isEmpty()
+                    ? settings.hosts().hosts().keySet().iterator().next()
+                    : localHost;
+            if (!settings.hosts().hosts().containsKey(host)) {
                 throw new InvalidInputException("--local: no host " + host + " is listed");
             }
             List<String> command = new ArrayList<>(List.of(
@@ -114,24 +115,28 @@
                     Main.class.getName(),
                     "agent",
                     "--server",
-                    d.listenAddress().toString(),
+                    settings.listenAddress().toString(),
                     "--host",
                     host,
                     "--listen",
                     localAgentAddress,
                     "--dir",
-                    d.dataDir().resolve("agent-" + host).toString()));
-            Process p = new ProcessBuilder(command).inheritIO().start();
-            // Such as one that still runs since an earlier daemon, which is as good, or an address that is taken, which
-            // is not.
-            p.onExit()
-                    .thenAccept(x -> System.err.println("birchusher: the local agent has ended with " + x.exitValue()
-                            + "; if 'machines' does not show host " + host + " as parked or running, start one"));
-            return p;
+                    settings.dataDir().resolve("agent-" + host).toString()));
+            Process agent = new ProcessBuilder(command).inheritIO().start();
+            // The agent exits at once if one started by an earlier daemon still runs, which can serve the host as well.
+            // It also exits if its address is in use by another process, which cannot.
+            agent.onExit()
+                    .thenAccept(exited -> System.err.println("birchusher: the local agent exited with status "
+                            + exited.exitValue() + "; if 'machines' does not show host " + host
+                            + " as parked or running, start its agent"));
+            return agent;
         }
     }
 
-    @Command(name = "agent", description = "run tasks on this host for a daemon", mixinStandardHelpOptions = true)
+    @Command(
+            name = "agent",
+            description = "run the agent that executes tasks on this host for a daemon",
+            mixinStandardHelpOptions = true)
     static final class AgentCommand implements Callable<Integer> {
         @Option(names = "--server", required = true, paramLabel = "HOST:PORT", description = "the daemon's address")
         String server;
@@ -140,40 +145,40 @@
                 names = "--host",
                 required = true,
                 paramLabel = "NAME",
-                description = "the name that the daemon lists this host under")
+                description = "name of this host in the daemon's properties")
         String hostName;
 
         @Option(
                 names = "--listen",
                 required = true,
                 paramLabel = "HOST:PORT",
-                description = "where the daemon reaches this agent")
+                description = "address at which the daemon reaches this agent")
         String listenAddress;
 
         @Option(
                 names = "--dir",
                 required = true,
                 paramLabel = "DIR",
-                description = "for its state, logs and working directories")
+                description = "directory for the agent's state, logs and working directories")
         Path dataDir;
 
         @Option(
                 names = "--checkpoints",
                 paramLabel = "DIR",
-                description =
-                        "where tasks save; shared by all hosts if tasks are to go on elsewhere (default: in --dir)")
+                description = "directory for checkpoints; shared by all hosts if tasks are to resume on another host "
+                        + "(default: in --dir)")
         Path checkpointDir;
 
         @Override
         public Integer call() {
             return Main.exitCodeOf(() -> {
-                Address a = SettingsReader.parseAddress(listenAddress, "--listen");
+                Address address = SettingsReader.parseAddress(listenAddress, "--listen");
                 SettingsReader.parseAddress(server, "--server");
                 Agent agent = new Agent(new Agent.Options(
                         server,
                         hostName,
-                        a.host(),
-                        a.port(),
+                        address.host(),
+                        address.port(),
                         dataDir,
                         checkpointDir == null ? dataDir.resolve("checkpoints") : checkpointDir));
                 onShutdown(() -> {
@@ -189,9 +194,9 @@
 
     @Command(
             name = "repair",
-            description = "say what of a damaged log can be kept, and with --yes keep it",
+            description = "report what can be kept of a damaged log, and with --yes repair the log",
             mixinStandardHelpOptions = true,
-            footer = {"", "Without --yes nothing is changed. Restore a backup instead if you have one."})
+            footer = {"", "Without --yes nothing is changed. Restore a backup instead if there is one."})
     static final class RepairCommand implements Callable<Integer> {
         @Option(
                 names = "--dir",
@@ -200,28 +205,28 @@
                 description = "the damaged directory: DATA/state or DATA/pool")
         Path damagedDir;
 
-        @Option(names = "--yes", description = "do it; the old files stay beside the new ones")
+        @Option(names = "--yes", description = "carry out the repair; the old files are kept beside the new ones")
         boolean confirmed;
 
         @Override
         public Integer call() {
             return Main.exitCodeOf(() -> {
                 if (!Files.isDirectory(damagedDir)) {
-                    throw new InvalidInputException("--dir: " + damagedDir + " is no directory");
+                    throw new InvalidInputException("--dir: " + damagedDir + " is not a directory");
                 }
-                try (LockedDirectory disk = new LockedDirectory(damagedDir)) {
-                    Repair.Plan plan = Repair.plan(disk);
+                try (LockedDirectory directory = new LockedDirectory(damagedDir)) {
+                    Repair.Plan plan = Repair.plan(directory);
                     if (plan == null) {
-                        System.out.println("nothing is damaged");
+                        System.out.println("no damage found");
                         return 0;
                     }
                     plan.summaryLines().forEach(System.out::println);
                     if (confirmed) {
-                        Repair.apply(disk, plan);
+                        Repair.apply(directory, plan);
                         System.out.println("done");
                         return 0;
                     }
-                    System.out.println("nothing was changed; --yes does it");
+                    System.out.println("nothing was changed; run again with --yes to repair");
                     return 1;
                 }
             });
--- a/src/main/java/birchusher/cli/RetryingClient.java
+++ b/src/main/java/birchusher/cli/RetryingClient.java
@@ -16,8 +16,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Calls a daemon or a controller, again and again until a deadline: every request of the protocol may be repeated. Refusals for
- * the moment (429, 5xx) and lost connections are tried again with growing, jittered pauses.
+ * Sends requests to a daemon or a controller and retries them until a deadline; every request of the protocol may be repeated.
+ * Temporary refusals (429, 5xx) and lost connections are retried with exponential backoff and jitter.
  */
 final class RetryingClient {
     private static final int SOCKET_TIMEOUT_MS = 5_000;
@@ -25,19 +25,19 @@
     private static final long MAX_RETRY_DELAY_MS = 2_000;
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-    /** A whole answer that is final for this request. */
+    /** A complete response that is final for its request. */
     record Response(int status, Map<String, Object> body) {
         boolean isSuccess() {
             return status == 200 || status == 201;
         }
 
-        /** What the server says is wrong. */
+        /** The status with the error text of the server. */
         String errorMessage() {
             return status + " " + body.getOrDefault("error", "");
         }
     }
 
-    /** No final answer before the deadline: whether the request was executed is not known. */
+    /** No final response before the deadline: whether the request was executed is not known. */
     static final class DeadlineExceededException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -51,60 +51,68 @@
     private final long deadlineMs;
     private final SplittableRandom random = new SplittableRandom();
 
-    /** @param deadlineS for each call, its repetitions included */
+    /** @param deadlineS time limit of each call in seconds, its retries included */
     RetryingClient(String server, double deadlineS) {
         this.server = server;
         this.address = SettingsReader.parseAddress(server, "--server");
         this.deadlineMs = Math.round(deadlineS * 1000);
     }
 
+    /**
+     * Sends a request until a final response arrives.
+     *
+     * @param body null for an empty body
+     * @throws DeadlineExceededException if the deadline passes first
+     */
     Response call(String method, String path, Object body) throws IOException, InterruptedException {
-        byte[] bytes = body == null ? new byte[0] : MessagePackCodec.encode(body);
-        long end = System.nanoTime() / 1_000_000 + deadlineMs;
-        long pause = MIN_RETRY_DELAY_MS;
+        byte[] encodedBody = body == null ? new byte[0] : MessagePackCodec.encode(body);
+        long endMs = System.nanoTime() / 1_000_000 + deadlineMs;
+        long delayMs = MIN_RETRY_DELAY_MS;
         while (true) {
-            String trouble;
+            String lastError;
             try {
-                Response g = callOnce(method, path, bytes);
-                if (g.status() != 429 && g.status() < 500) {
-                    return g;
+                Response response = callOnce(method, path, encodedBody);
+                if (response.status() != 429 && response.status() < 500) {
+                    return response;
                 }
-                trouble = g.errorMessage();
+                lastError = response.errorMessage();
             } catch (IOException e) {
-                trouble = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
+                lastError = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
             }
-            long wait = pause / 2 + random.nextLong(pause / 2 + 1);
-            if (System.nanoTime() / 1_000_000 + wait > end) {
-                throw new DeadlineExceededException(server + ": " + trouble.trim());
+            long jitteredDelayMs = delayMs / 2 + random.nextLong(delayMs / 2 + 1);
+            if (System.nanoTime() / 1_000_000 + jitteredDelayMs > endMs) {
+                throw new DeadlineExceededException(server + ": " + lastError.trim());
             }
-            Thread.sleep(wait);
-            pause = Math.min(MAX_RETRY_DELAY_MS, pause * 2);
+            Thread.sleep(jitteredDelayMs);
+            delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 2);
         }
     }
 
     private Response callOnce(String method, String path, byte[] body) throws IOException {
-        try (Socket s = new Socket()) {
-            s.connect(new InetSocketAddress(address.host(), address.port()), SOCKET_TIMEOUT_MS);
-            s.setSoTimeout(SOCKET_TIMEOUT_MS);
-            s.getOutputStream()
+        try (Socket socket = new Socket()) {
+            socket.connect(new InetSocketAddress(address.host(), address.port()), SOCKET_TIMEOUT_MS);
+            socket.setSoTimeout(SOCKET_TIMEOUT_MS);
+            socket.getOutputStream()
                     .write(HttpWriter.request(method, path, server, body).array());
             HttpParser parser = new HttpParser(false, MAX_RESPONSE_BYTES);
             byte[] buffer = new byte[4096];
-            InputStream in = s.getInputStream();
+            InputStream input = socket.getInputStream();
             while (true) {
-                int n = in.read(buffer);
-                if (n < 0) {
-                    throw new IOException("connection closed before an answer");
+                int count = input.read(buffer);
+                if (count < 0) {
+                    throw new IOException("connection closed before the response was complete");
                 }
-                HttpParser.Message m = parser.feed(ByteBuffer.wrap(buffer, 0, n));
-                if (m != null) {
+                HttpParser.Message message = parser.feed(ByteBuffer.wrap(buffer, 0, count));
+                if (message != null) {
                     return new Response(
-                            m.status(),
-                            m.body().length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(m.body()), "answer"));
+                            message.status(),
+                            message.body().length == 0
+                                    ? Map.of()
+                                    : Fields.map(MessagePackCodec.decode(message.body()), "answer"));
                 }
             }
         } catch (HttpParser.MalformedMessageException | InvalidInputException e) {
-            throw new IOException("answer is not as agreed: " + e.getMessage());
+            throw new IOException("invalid response: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/birchusher/cli/SubmissionJournal.java
+++ b/src/main/java/birchusher/cli/SubmissionJournal.java
@@ -18,8 +18,8 @@
 import java.util.stream.Stream;
 
 /**
- * Submissions that are not known to be accepted yet, a file each, on disk before the first byte is sent: after a crash the same
- * job is sent again under the same id, never a second one.
+ * The submissions that are not known to be accepted or refused, one file each. A submission is on disk before the first byte of it
+ * is sent: after a crash the same job is sent again under the same id, and no second job is created.
  */
 final class SubmissionJournal {
     private static final String FILE_SUFFIX = ".json";
@@ -30,34 +30,39 @@
         this.dir = Files.createDirectories(dir);
     }
 
+    /** Makes a submission durable; its file appears whole or not at all. */
     void write(String id, Map<String, ?> submission) throws IOException {
-        Path aside = dir.resolve(id + ".aside");
-        try (FileChannel c = FileChannel.open(
-                aside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer b = ByteBuffer.wrap(Json.toText(submission, true).getBytes(StandardCharsets.UTF_8));
-            while (b.hasRemaining()) {
-                c.write(b);
+        Path temporaryFile = dir.resolve(id + ".aside");
+        try (FileChannel channel = FileChannel.open(
+                temporaryFile,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE,
+                StandardOpenOption.TRUNCATE_EXISTING)) {
+            ByteBuffer buffer = ByteBuffer.wrap(Json.toText(submission, true).getBytes(StandardCharsets.UTF_8));
+            while (buffer.hasRemaining()) {
+                channel.write(buffer);
             }
-            c.force(true);
+            channel.force(true);
         }
-        Files.move(aside, dir.resolve(id + FILE_SUFFIX), StandardCopyOption.ATOMIC_MOVE);
-        try (FileChannel c = FileChannel.open(dir, StandardOpenOption.READ)) {
-            c.force(true);
+        Files.move(temporaryFile, dir.resolve(id + FILE_SUFFIX), StandardCopyOption.ATOMIC_MOVE);
+        try (FileChannel channel = FileChannel.open(dir, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
-    /** Its answer is known: the job is accepted, or can never be. */
+    /** Removes a submission whose answer is known: the job is accepted, or never will be. */
     void remove(String id) throws IOException {
         Files.deleteIfExists(dir.resolve(id + FILE_SUFFIX));
     }
 
+    /** The ids of all submissions in the journal, sorted. */
     List<String> pendingIds() throws IOException {
         List<String> ids = new ArrayList<>();
         try (Stream<Path> files = Files.list(dir)) {
-            files.map(p -> p.getFileName().toString())
-                    .filter(n -> n.endsWith(FILE_SUFFIX))
+            files.map(path -> path.getFileName().toString())
+                    .filter(name -> name.endsWith(FILE_SUFFIX))
                     .sorted()
-                    .forEach(n -> ids.add(n.substring(0, n.length() - FILE_SUFFIX.length())));
+                    .forEach(name -> ids.add(name.substring(0, name.length() - FILE_SUFFIX.length())));
         }
         return ids;
     }
--- a/src/main/java/birchusher/cli/SubmitCommand.java
+++ b/src/main/java/birchusher/cli/SubmitCommand.java
@@ -19,15 +19,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code submit}: a job from options, or from a file that options change. */
+/** The command {@code submit}: a job from options, or from a file whose fields options override. */
 @Command(
         name = "submit",
         description = "submit a job",
         mixinStandardHelpOptions = true,
         footer = {
             "",
-            "The job's id is on disk before the job is sent: after a crash, 'submit --resume' sends the same job again.",
-            "Exit codes: 0 accepted (with --wait: done), 1 refused (with --wait: cancelled), 2 wrong use, 3 not known in time."
+            "The job is written to the journal before it is sent: after a crash, 'submit --resume' sends the same job again.",
+            "Exit codes: 0 accepted (with --wait: done), 1 refused (with --wait: cancelled), 2 invalid usage, 3 no answer in time."
         })
 final class SubmitCommand implements Callable<Integer> {
     @CommandLine.Mixin
@@ -36,21 +36,25 @@
     @Option(
             names = "--file",
             paramLabel = "FILE",
-            description = "a job as JSON; its field \"program\" says what to run")
+            description = "the job as JSON; its field \"program\" holds the program to run")
     Path jobFile;
 
-    @Option(names = "--id", paramLabel = "ID", description = "the job's id (default: a new one)")
+    @Option(names = "--id", paramLabel = "ID", description = "the job's id (default: a generated one)")
     String jobId;
 
-    @Option(names = "--team", description = "whose guarantee and limit apply", defaultValue = "${BIRCHUSHER_TEAM}")
+    @Option(
+            names = "--team",
+            description = "the team whose guarantee and limit apply",
+            defaultValue = "${BIRCHUSHER_TEAM}")
     String team;
 
-    @Option(names = "--class", description = "the class of jobs it belongs to (default: batch)")
+    @Option(names = "--class", description = "the job's class (default: batch)")
     String jobClass;
 
     @Option(
             names = "--shape",
-            description = "sweep: independent tasks; gang: all at the same time; standing: until cancelled")
+            description =
+                    "sweep: independent tasks; gang: all tasks at the same time; standing: tasks run until cancelled")
     String shape;
 
     @Option(names = "--priority", description = "production, urgent, standard or low")
@@ -59,47 +63,56 @@
     @Option(names = "--tasks", paramLabel = "N", description = "number of tasks (default: 1)")
     Long tasks;
 
-    @Option(names = "--cpus", paramLabel = "N", description = "of each task (default: 1)")
+    @Option(names = "--cpus", paramLabel = "N", description = "CPUs of each task (default: 1)")
     Double cpus;
 
-    @Option(names = "--gpus", paramLabel = "N", description = "of each task (default: 0)")
+    @Option(names = "--gpus", paramLabel = "N", description = "GPUs of each task (default: 0)")
     Double gpus;
 
-    @Option(names = "--memory", paramLabel = "GB", description = "of each task (default: 0.5)")
+    @Option(names = "--memory", paramLabel = "GB", description = "memory of each task in GB (default: 0.5)")
     Double memoryGb;
 
-    @Option(names = "--zone", description = "the only allowed zone")
+    @Option(names = "--zone", description = "run the tasks only in this zone")
     String zone;
 
-    @Option(names = "--expect", paramLabel = "S", description = "estimated run time of a task (default: 60)")
+    @Option(names = "--expect", paramLabel = "S", description = "estimated run time of a task in seconds (default: 60)")
     Double estimateS;
 
-    @Option(names = "--save-every", paramLabel = "S", description = "a task saves about so often (default: 0, never)")
+    @Option(
+            names = "--save-every",
+            paramLabel = "S",
+            description = "interval between checkpoints of a task in seconds (default: 0, none)")
     Double checkpointIntervalS;
 
-    @Option(names = "--save-take", paramLabel = "S", description = "time to save when stopped")
+    @Option(
+            names = "--save-take",
+            paramLabel = "S",
+            description = "time in seconds to write a checkpoint when a task is stopped")
     Double checkpointWriteS;
 
-    @Option(names = "--env", paramLabel = "NAME=VALUE", description = "for the program's environment; may be repeated")
+    @Option(
+            names = "--env",
+            paramLabel = "NAME=VALUE",
+            description = "environment variable of the program; may be repeated")
     Map<String, String> environment = new HashMap<>();
 
     @Option(names = "--wait", description = "wait until the job is done or cancelled")
     boolean waitForEnd;
 
-    @Option(names = "--resume", description = "send again what is not known to be accepted")
+    @Option(names = "--resume", description = "send again all jobs that are not known to be accepted")
     boolean resume;
 
     @Option(
             names = "--journal",
             paramLabel = "DIR",
             defaultValue = "${user.home}/.birchusher/submissions",
-            description = "where ids are kept until they are accepted (default: ${DEFAULT-VALUE})")
+            description = "directory for jobs that are not known to be accepted (default: ${DEFAULT-VALUE})")
     Path journalDir;
 
     @Parameters(
             paramLabel = "COMMAND",
             arity = "0..*",
-            description = "what each task runs, after --; or a job file (.json)")
+            description = "the command that each task runs, after --; or a job file (.json)")
     List<String> command = List.of();
 
     @Override
@@ -107,53 +120,56 @@
         return Main.exitCodeOf(() -> {
             SubmissionJournal journal = new SubmissionJournal(journalDir);
             if (resume) {
-                return resume(journal);
+                return resumeSubmissions(journal);
             }
             if (jobFile == null && command.size() == 1 && command.get(0).endsWith(".json")) {
                 jobFile = Path.of(command.get(0));
                 command = List.of();
             }
             Map<String, Object> submission = buildSubmission();
-            String made = Fields.text(Fields.map(submission.get("job"), "job"), Wire.ID);
-            journal.write(made, submission);
-            int code = send(journal, made, submission);
-            return code == 0 && waitForEnd ? WaitCommand.waitForEnd(context, List.of(made), 0) : code;
+            String id = Fields.text(Fields.map(submission.get("job"), "job"), Wire.ID);
+            journal.write(id, submission);
+            int code = send(journal, id, submission);
+            return code == 0 && waitForEnd ? WaitCommand.waitForEnd(context, List.of(id), 0) : code;
         });
     }
 
-    private int resume(SubmissionJournal journal) throws Exception {
+    /** Sends all submissions of the journal and returns the highest exit code. */
+    private int resumeSubmissions(SubmissionJournal journal) throws Exception {
         int code = 0;
-        for (String open : journal.pendingIds()) {
-            code = Math.max(code, send(journal, open, journal.read(open)));
+        for (String id : journal.pendingIds()) {
+            code = Math.max(code, send(journal, id, journal.read(id)));
         }
         return code;
     }
 
-    private int send(SubmissionJournal journal, String made, Map<String, Object> submission) throws Exception {
-        RetryingClient.Response g = null;
+    /** Sends the program and then the job; their journal entry is removed once the answer is known. */
+    private int send(SubmissionJournal journal, String id, Map<String, Object> submission) throws Exception {
+        RetryingClient.Response response = null;
         if (submission.get("program") != null) {
-            g = context.call("POST", Wire.PROGRAMS + made, submission.get("program"));
+            response = context.call("POST", Wire.PROGRAMS + id, submission.get("program"));
         }
-        if (g == null || g.isSuccess()) {
-            g = context.call("POST", Wire.JOBS, submission.get("job"));
+        if (response == null || response.isSuccess()) {
+            response = context.call("POST", Wire.JOBS, submission.get("job"));
         }
-        journal.remove(made);
-        if (!g.isSuccess()) {
-            return ClientContext.printRefusal(g);
+        journal.remove(id);
+        if (!response.isSuccess()) {
+            return ClientContext.printRefusal(response);
         }
-        context.printState(g.body());
+        context.printState(response.body());
         return 0;
     }
 
+    /** Combines defaults, the job file and options, each overriding the one before, into a checked job and program. */
     private Map<String, Object> buildSubmission() throws IOException {
         Map<String, Object> job = defaultJobFields();
         Map<String, Object> program = null;
         if (jobFile != null) {
-            Map<String, Object> read =
+            Map<String, Object> fileFields =
                     new HashMap<>(Fields.map(SettingsReader.parseJson(Files.readAllBytes(jobFile)), "job"));
-            Object p = read.remove("program");
-            program = p == null ? null : new HashMap<>(Fields.map(p, "program"));
-            job.putAll(read);
+            Object fileProgram = fileFields.remove("program");
+            program = fileProgram == null ? null : new HashMap<>(Fields.map(fileProgram, "program"));
+            job.putAll(fileFields);
         }
         putIfSet(job, Wire.ID, jobId);
         putIfSet(job, Wire.TEAM, team);
@@ -181,42 +197,42 @@
         }
         if (!environment.isEmpty()) {
             if (program == null) {
-                throw new InvalidInputException("--env: without a command");
+                throw new InvalidInputException("--env: needs a command or a job file with a program");
             }
-            Map<String, Object> all =
+            Map<String, Object> allVariables =
                     new HashMap<>(program.get("env") == null ? Map.of() : Fields.map(program.get("env"), "env"));
-            all.putAll(environment);
-            program.put("env", all);
+            allVariables.putAll(environment);
+            program.put("env", allVariables);
         }
-        Map<String, Object> s = new LinkedHashMap<>();
-        s.put("job", job);
-        s.put("program", program == null ? null : ProgramStore.validate(program));
-        return s;
+        Map<String, Object> submission = new LinkedHashMap<>();
+        submission.put("job", job);
+        submission.put("program", program == null ? null : ProgramStore.validate(program));
+        return submission;
     }
 
     private static Map<String, Object> defaultJobFields() {
-        Map<String, Object> m = new HashMap<>();
-        m.put(Wire.JOB_CLASS, "batch");
-        m.put(Wire.SHAPE, "sweep");
-        m.put(Wire.PRIORITY, "standard");
-        m.put(Wire.TASKS, 1L);
-        m.put(Wire.CPUS, 1.0);
-        m.put(Wire.GPUS, 0.0);
-        m.put(Wire.MEMORY_GB, 0.5);
-        m.put(Wire.IMAGE, "none");
-        m.put(Wire.IMAGE_GB, 0.0);
-        m.put(Wire.ONE_ZONE, false);
-        m.put(Wire.SPREAD, false);
-        m.put(Wire.SPOT, false);
-        m.put(Wire.ESTIMATE_S, 60.0);
-        m.put(Wire.CHECKPOINT_INTERVAL_S, 0.0);
-        m.put(Wire.CHECKPOINT_WRITE_S, 0.0);
-        return m;
+        Map<String, Object> fields = new HashMap<>();
+        fields.put(Wire.JOB_CLASS, "batch");
+        fields.put(Wire.SHAPE, "sweep");
+        fields.put(Wire.PRIORITY, "standard");
+        fields.put(Wire.TASKS, 1L);
+        fields.put(Wire.CPUS, 1.0);
+        fields.put(Wire.GPUS, 0.0);
+        fields.put(Wire.MEMORY_GB, 0.5);
+        fields.put(Wire.IMAGE, "none");
+        fields.put(Wire.IMAGE_GB, 0.0);
+        fields.put(Wire.ONE_ZONE, false);
+        fields.put(Wire.SPREAD, false);
+        fields.put(Wire.SPOT, false);
+        fields.put(Wire.ESTIMATE_S, 60.0);
+        fields.put(Wire.CHECKPOINT_INTERVAL_S, 0.0);
+        fields.put(Wire.CHECKPOINT_WRITE_S, 0.0);
+        return fields;
     }
 
-    private static void putIfSet(Map<String, Object> m, String field, Object value) {
+    private static void putIfSet(Map<String, Object> fields, String name, Object value) {
         if (value != null && !value.equals("")) {
-            m.put(field, value);
+            fields.put(name, value);
         }
     }
 }
--- a/src/main/java/birchusher/cli/WaitCommand.java
+++ b/src/main/java/birchusher/cli/WaitCommand.java
@@ -11,12 +11,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code wait}: until jobs are over, through restarts of the server. */
+/** The command {@code wait}: waits until jobs have ended, also across restarts of the server. */
 @Command(
         name = "wait",
         description = "wait until jobs are done or cancelled",
         mixinStandardHelpOptions = true,
-        footer = {"", "Exit codes: 0 all done, 1 one cancelled or unknown, 2 wrong use, 3 time is over."})
+        footer = {
+            "",
+            "Exit codes: 0 all done, 1 one is cancelled or unknown, 2 invalid usage, 3 no answer in time or timed out."
+        })
 final class WaitCommand implements Callable<Integer> {
     private static final long MIN_POLL_INTERVAL_MS = 300;
     private static final long MAX_POLL_INTERVAL_MS = 5_000;
@@ -28,7 +31,7 @@
             names = "--timeout",
             paramLabel = "S",
             defaultValue = "0",
-            description = "give up after so long (default: never)")
+            description = "give up after this many seconds (default: never)")
     double timeoutS;
 
     @Parameters(paramLabel = "ID", arity = "1..*", description = "the jobs' ids")
@@ -38,57 +41,62 @@
     public Integer call() {
         return Main.exitCodeOf(() -> {
             if (!(timeoutS >= 0)) {
-                throw new InvalidInputException("--timeout: 0 or more");
+                throw new InvalidInputException("--timeout: must be 0 or more");
             }
             jobIds.forEach(ClientContext::requireJobId);
             return waitForEnd(context, jobIds, timeoutS);
         });
     }
 
-    static int waitForEnd(ClientContext talk, List<String> ids, double timeoutS) throws Exception {
-        long from = System.nanoTime();
-        List<String> open = new ArrayList<>(ids);
-        boolean person = System.console() != null && !talk.isJson();
+    /**
+     * Polls the jobs, prints each one when it has ended, and returns the exit code.
+     *
+     * @param timeoutS 0 for no time limit
+     */
+    static int waitForEnd(ClientContext context, List<String> jobIds, double timeoutS) throws Exception {
+        long startNs = System.nanoTime();
+        List<String> pendingIds = new ArrayList<>(jobIds);
+        boolean interactive = System.console() != null && !context.isJson();
         int code = 0;
-        long pause = MIN_POLL_INTERVAL_MS;
+        long delayMs = MIN_POLL_INTERVAL_MS;
         while (true) {
-            for (String id : List.copyOf(open)) {
-                RetryingClient.Response g = talk.call("GET", Wire.JOBS + "/" + id, null);
-                if (!g.isSuccess()) {
-                    return ClientContext.printRefusal(g);
+            for (String id : List.copyOf(pendingIds)) {
+                RetryingClient.Response response = context.call("GET", Wire.JOBS + "/" + id, null);
+                if (!response.isSuccess()) {
+                    return ClientContext.printRefusal(response);
                 }
-                Object stage = g.body().get(Wire.STATE);
-                if (Wire.DONE.equals(stage) || Wire.CANCELLED.equals(stage)) {
-                    open.remove(id);
-                    showProgress(person, "");
-                    talk.printState(g.body());
-                    code = Wire.DONE.equals(stage) ? code : 1;
-                } else if (person && open.size() == 1) {
-                    showProgress(true, progressLine(g.body()));
+                Object state = response.body().get(Wire.STATE);
+                if (Wire.DONE.equals(state) || Wire.CANCELLED.equals(state)) {
+                    pendingIds.remove(id);
+                    showProgress(interactive, "");
+                    context.printState(response.body());
+                    code = Wire.DONE.equals(state) ? code : 1;
+                } else if (interactive && pendingIds.size() == 1) {
+                    showProgress(true, progressLine(response.body()));
                 }
             }
-            double passed = (System.nanoTime() - from) / 1e9;
-            if (open.isEmpty()) {
+            double elapsedS = (System.nanoTime() - startNs) / 1e9;
+            if (pendingIds.isEmpty()) {
                 return code;
             }
-            if (timeoutS > 0 && passed >= timeoutS) {
-                showProgress(person, "");
+            if (timeoutS > 0 && elapsedS >= timeoutS) {
+                showProgress(interactive, "");
                 throw new RetryingClient.DeadlineExceededException(
-                        String.join(", ", open) + ": not over after " + Math.round(passed) + " s");
+                        String.join(", ", pendingIds) + ": not ended after " + Math.round(elapsedS) + " s");
             }
-            Thread.sleep(pause);
-            pause = Math.min(MAX_POLL_INTERVAL_MS, pause * 5 / 4);
+            Thread.sleep(delayMs);
+            delayMs = Math.min(MAX_POLL_INTERVAL_MS, delayMs * 5 / 4);
         }
     }
 
-    private static String progressLine(Map<String, Object> m) {
-        return m.get(Wire.ID) + " " + m.get(Wire.STATE) + ", " + m.get(Wire.DONE) + " done, " + m.get(Wire.RUNNING)
-                + " running";
+    private static String progressLine(Map<String, Object> job) {
+        return job.get(Wire.ID) + " " + job.get(Wire.STATE) + ", " + job.get(Wire.DONE) + " done, "
+                + job.get(Wire.RUNNING) + " running";
     }
 
-    /** One line that is written over; nothing where nobody looks. */
-    private static void showProgress(boolean person, String line) {
-        if (person) {
+    /** Overwrites the progress line on standard error; does nothing unless a person reads the output at a terminal. */
+    private static void showProgress(boolean interactive, String line) {
+        if (interactive) {
             System.err.print("\r" + line + "\u001b[K");
             System.err.flush();
         }
--- a/src/test/java/birchusher/cli/CommandLineTest.java
+++ b/src/test/java/birchusher/cli/CommandLineTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The client's verbs by what they send, print and return; and the daemon's properties. */
+/** What the client's commands send, print and return, and how the daemon's properties are checked. */
 class CommandLineTest {
     @TempDir
     Path dir;
@@ -34,31 +34,33 @@
     private final List<String> receivedRequests = new CopyOnWriteArrayList<>();
     private String consoleOutput;
 
-    /** A server that answers so many requests with 503 first, and then what its path suggests. */
+    /** Starts a server that refuses the given number of requests with 503 and then answers each by its path. */
     private EventLoop startServer(int refusals) throws IOException {
         int port;
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = socket.getLocalPort();
         }
         server = "127.0.0.1:" + port;
         EventLoop loop = new EventLoop();
-        HttpServer[] http = new HttpServer[1];
-        int[] left = {refusals};
-        http[0] = new HttpServer(loop, "127.0.0.1", port, 100, 65_536, (x, method, target, body) -> {
-            Map<String, Object> m = body.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(body), "body");
-            receivedRequests.add(method + " " + target + (m.containsKey("name_id") ? " " + m.get("name_id") : ""));
-            if (left[0]-- > 0) {
-                http[0].answer(x, 503, MessagePackCodec.encode(Map.of("error", "later")), 1);
+        HttpServer[] httpServer = new HttpServer[1];
+        int[] refusalsLeft = {refusals};
+        httpServer[0] = new HttpServer(loop, "127.0.0.1", port, 100, 65_536, (exchange, method, target, body) -> {
+            Map<String, Object> fields =
+                    body.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(body), "body");
+            receivedRequests.add(
+                    method + " " + target + (fields.containsKey("name_id") ? " " + fields.get("name_id") : ""));
+            if (refusalsLeft[0]-- > 0) {
+                httpServer[0].answer(exchange, 503, MessagePackCodec.encode(Map.of("error", "later")), 1);
             } else if (target.startsWith("/v2/runs?")) {
-                boolean second = target.contains("since=wk-b");
-                http[0].answer(
-                        x,
+                boolean secondPage = target.contains("since=wk-b");
+                httpServer[0].answer(
+                        exchange,
                         200,
                         MessagePackCodec.encode(Map.of(
                                 "runs",
                                 List.of(Map.of(
                                         "name_id",
-                                        second ? "wk-c" : "wk-b",
+                                        secondPage ? "wk-c" : "wk-b",
                                         "stage",
                                         "queued",
                                         "done",
@@ -70,65 +72,69 @@
                                         "lane",
                                         "l")),
                                 "has_next",
-                                !second,
+                                !secondPage,
                                 "last",
-                                second ? "wk-c" : "wk-b")),
+                                secondPage ? "wk-c" : "wk-b")),
                         0);
             } else if (target.contains("wk-no")) {
-                http[0].answer(x, 404, MessagePackCodec.encode(Map.of("error", "no such job")), 0);
+                httpServer[0].answer(exchange, 404, MessagePackCodec.encode(Map.of("error", "no such job")), 0);
             } else {
-                http[0].answer(
-                        x,
+                httpServer[0].answer(
+                        exchange,
                         200,
                         MessagePackCodec.encode(
                                 Map.of("name_id", "wk-a", "stage", "cancelled", "done", 0, "running", 0)),
                         0);
             }
         });
-        http[0].open();
-        Thread t = new Thread(() -> {
+        httpServer[0].open();
+        Thread thread = new Thread(() -> {
             try {
-                loop.run(late -> http[0].tick());
-                http[0].close();
+                loop.run(delayMs -> httpServer[0].tick());
+                httpServer[0].close();
             } catch (InterruptedException | IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
         return loop;
     }
 
     private int runCommand(String... args) {
-        List<String> all = new ArrayList<>(List.of(args));
-        all.addAll(1, List.of("--server", server, "--deadline", "2"));
-        PrintStream before = System.out;
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
+        List<String> allArguments = new ArrayList<>(List.of(args));
+        allArguments.addAll(1, List.of("--server", server, "--deadline", "2"));
+        PrintStream originalOut = System.out;
+        ByteArrayOutputStream captured = new ByteArrayOutputStream();
+        System.setOut(new PrintStream(captured, true, StandardCharsets.UTF_8));
         try {
-            return Main.fullCommandLine().execute(all.toArray(new String[0]));
+            return Main.fullCommandLine().execute(allArguments.toArray(new String[0]));
         } finally {
-            System.setOut(before);
-            consoleOutput = out.toString(StandardCharsets.UTF_8);
+            System.setOut(originalOut);
+            consoleOutput = captured.toString(StandardCharsets.UTF_8);
         }
     }
 
+    /**
+     * Guards against a second job after a client lost contact during a submission: {@code --resume} must send the job under the id
+     * that is in the journal.
+     */
     @Test
     void resumeSendsUnconfirmedSubmissionUnderTheSameId() throws IOException {
-        EventLoop loop = startServer(1_000);
+        EventLoop refusingServer = startServer(1_000);
         String journal = dir.toString();
         assertThat(runCommand("submit", "--journal", journal, "--team", "t", "--", "true"))
                 .isEqualTo(3);
-        loop.stop();
-        List<String> kept = new SubmissionJournal(dir).pendingIds();
-        assertThat(kept).hasSize(1);
+        refusingServer.stop();
+        List<String> pendingIds = new SubmissionJournal(dir).pendingIds();
+        assertThat(pendingIds).hasSize(1);
         receivedRequests.clear();
-        EventLoop other = startServer(0);
+        EventLoop restartedServer = startServer(0);
         assertThat(runCommand("submit", "--journal", journal, "--resume")).isZero();
         assertThat(receivedRequests)
-                .containsExactly("POST /v2/programs/" + kept.get(0), "POST /v2/runs " + kept.get(0));
+                .containsExactly("POST /v2/programs/" + pendingIds.get(0), "POST /v2/runs " + pendingIds.get(0));
         assertThat(new SubmissionJournal(dir).pendingIds()).isEmpty();
-        other.stop();
+        restartedServer.stop();
     }
 
     @Test
@@ -154,7 +160,7 @@
                 .isEqualTo(2);
         assertThat(receivedRequests).isEmpty();
         assertThat(new SubmissionJournal(dir).pendingIds())
-                .as("what is wrong is not kept")
+                .as("an invalid submission is not written to the journal")
                 .isEmpty();
         loop.stop();
         server = "127.0.0.1:1";
@@ -167,11 +173,11 @@
 
     @Test
     void daemonPropertyErrorsNameTheProperty() throws IOException {
-        String good = Files.readString(Path.of("deploy/daemon.properties"));
-        DaemonSettings d = readDaemonSettings(good);
-        assertThat(d.hosts().hosts()).containsOnlyKeys("local");
-        assertThat(d.tuning().value("fleet.linger-boots")).isEqualTo(20);
-        Map<String, String> bad = Map.of(
+        String valid = Files.readString(Path.of("deploy/daemon.properties"));
+        DaemonSettings settings = readDaemonSettings(valid);
+        assertThat(settings.hosts().hosts()).containsOnlyKeys("local");
+        assertThat(settings.tuning().value("fleet.linger-boots")).isEqualTo(20);
+        Map<String, String> propertyNamedByInvalidLine = Map.of(
                 "nonsense=1",
                 "nonsense",
                 "workers.lease-s=2",
@@ -192,11 +198,12 @@
                 "peers",
                 "workers.quarantine-s=-1",
                 "workers.quarantine-s");
-        bad.forEach((line, named) -> assertThatThrownBy(() -> readDaemonSettings(good + "\n" + line))
-                .as(line)
-                .isInstanceOf(InvalidInputException.class)
-                .hasMessageContaining(named));
-        assertThat(readDaemonSettings(good + "\npeers=p/here/10.0.0.2:1/10.0.0.2:2")
+        propertyNamedByInvalidLine.forEach(
+                (line, property) -> assertThatThrownBy(() -> readDaemonSettings(valid + "\n" + line))
+                        .as(line)
+                        .isInstanceOf(InvalidInputException.class)
+                        .hasMessageContaining(property));
+        assertThat(readDaemonSettings(valid + "\npeers=p/here/10.0.0.2:1/10.0.0.2:2")
                         .controllers())
                 .containsOnlyKeys("daemon", "p");
     }
--- a/src/test/java/birchusher/cli/DaemonLoadGenerator.java
+++ b/src/test/java/birchusher/cli/DaemonLoadGenerator.java
@@ -19,9 +19,15 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * By hand, not by the tests. {@code fill DIR N}: N ended jobs into a daemon's directory that is not in use. {@code submit
- * HOST:PORT CLIENTS SECONDS}: jobs that nothing can run yet, from so many clients at once, each with one connection a request.
- * {@code state}: the same number of clients straight at the state service, a row of 400 bytes each.
+ * Generates load on a daemon; run by hand, not by the tests.
+ *
+ * <ul>
+ *   <li>{@code fill DIR N} writes N ended jobs into the data directory of a daemon that is not running.
+ *   <li>{@code submit HOST:PORT CLIENTS SECONDS} submits jobs that cannot run yet, from the given number of concurrent clients,
+ *       each with a connection per request.
+ *   <li>{@code state HOST:PORT CLIENTS SECONDS} lets the same clients write directly to the state service, a row of 400 bytes per
+ *       request.
+ * </ul>
  */
 final class DaemonLoadGenerator {
     private DaemonLoadGenerator() {}
@@ -36,26 +42,29 @@
 
     private static void writeEndedJobs(Path dir, int jobs) throws IOException {
         byte[] ended = MessagePackCodec.encode(StoreView.endedJobRow(true, 1));
-        try (DurableStore k = DurableStore.open(
+        try (DurableStore store = DurableStore.open(
                 new LockedDirectory(dir.resolve("state")),
                 WriteAheadLog.Options.DEFAULT,
                 64 << 20,
                 new Limits(1e9, 1e9, 16, 8192),
                 0)) {
-            for (int i = 1; i <= jobs; i++) {
-                k.handle(
-                        i,
-                        i,
+            for (int job = 1; job <= jobs; job++) {
+                store.handle(
+                        job,
+                        job,
                         new Request.Transaction(
-                                List.of(), List.of(new Write.Set(Keys.ENDED_JOB + "wk-old-" + i, ended, 0)), 100, 100));
-                if (i % 1000 == 0 || i == jobs) {
-                    k.flush(i);
+                                List.of(),
+                                List.of(new Write.Set(Keys.ENDED_JOB + "wk-old-" + job, ended, 0)),
+                                100,
+                                100));
+                if (job % 1000 == 0 || job == jobs) {
+                    store.flush(job);
                 }
             }
         }
     }
 
-    private static void generateLoad(String server, int clients, double seconds, boolean state)
+    private static void generateLoad(String server, int clients, double seconds, boolean stateServiceOnly)
             throws InterruptedException {
         Map<String, Object> job = new HashMap<>(Map.of(
                 "lane",
@@ -91,26 +100,30 @@
                 0.0,
                 "mark_take_s",
                 0.0));
-        ConcurrentHistogram ms = new ConcurrentHistogram(60_000, 3);
+        ConcurrentHistogram latencyMs = new ConcurrentHistogram(60_000, 3);
         AtomicInteger accepted = new AtomicInteger();
-        String run = Long.toString(System.currentTimeMillis(), 36);
-        long end = System.nanoTime() + (long) (seconds * 1e9);
+        String runId = Long.toString(System.currentTimeMillis(), 36);
+        long endNs = System.nanoTime() + (long) (seconds * 1e9);
         Thread[] threads = new Thread[clients];
         for (int i = 0; i < clients; i++) {
-            int n = i;
+            int clientIndex = i;
             threads[i] = new Thread(() -> {
-                RetryingClient c = new RetryingClient(server, 60);
+                RetryingClient client = new RetryingClient(server, 60);
                 try {
-                    for (int j = 0; System.nanoTime() < end; j++) {
-                        Map<String, Object> mine = new HashMap<>(job);
-                        mine.put(Wire.ID, "wk-" + run + "-" + n + "-" + j);
-                        long from = System.nanoTime();
-                        Map<String, Object> row =
-                                Map.of("writes", List.of(Map.of("set", "m/" + mine.get(Wire.ID), "value", mine)));
-                        if (c.call("POST", state ? Wire.TRANSACTIONS : Wire.JOBS, state ? row : mine)
+                    for (int j = 0; System.nanoTime() < endNs; j++) {
+                        Map<String, Object> submittedJob = new HashMap<>(job);
+                        submittedJob.put(Wire.ID, "wk-" + runId + "-" + clientIndex + "-" + j);
+                        long startNs = System.nanoTime();
+                        Map<String, Object> transaction = Map.of(
+                                "writes",
+                                List.of(Map.of("set", "m/" + submittedJob.get(Wire.ID), "value", submittedJob)));
+                        if (client.call(
+                                        "POST",
+                                        stateServiceOnly ? Wire.TRANSACTIONS : Wire.JOBS,
+                                        stateServiceOnly ? transaction : submittedJob)
                                 .isSuccess()) {
                             accepted.incrementAndGet();
-                            ms.recordValue(Math.min(60_000, (System.nanoTime() - from) / 1_000_000));
+                            latencyMs.recordValue(Math.min(60_000, (System.nanoTime() - startNs) / 1_000_000));
                         }
                     }
                 } catch (IOException | InterruptedException e) {
@@ -119,15 +132,15 @@
             });
             threads[i].start();
         }
-        for (Thread t : threads) {
-            t.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
         System.out.printf(
-                "%d clients: %.0f accepted a second, ms median %d, p95 %d, most %d%n",
+                "%d clients: %.0f requests accepted per second, latency in ms: median %d, p95 %d, max %d%n",
                 clients,
                 accepted.get() / seconds,
-                ms.getValueAtPercentile(50),
-                ms.getValueAtPercentile(95),
-                ms.getMaxValue());
+                latencyMs.getValueAtPercentile(50),
+                latencyMs.getValueAtPercentile(95),
+                latencyMs.getMaxValue());
     }
 }
--- a/src/test/java/birchusher/cli/DaemonProcesses.java
+++ b/src/test/java/birchusher/cli/DaemonProcesses.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** A daemon and agents as processes of their own on loopback, to be killed. */
+/** Runs a daemon and agents as child processes on loopback addresses, so that tests can kill them. */
 final class DaemonProcesses implements AutoCloseable {
     final Path dir;
     final String server;
@@ -21,12 +21,12 @@
     private final Map<String, Integer> agentPorts = new HashMap<>();
     private final Map<String, Process> processByName = new ConcurrentHashMap<>();
 
-    /** @param more further lines of properties */
-    DaemonProcesses(Path dir, List<String> hosts, String... more) throws IOException {
+    /** @param moreProperties further lines of the daemon's properties file */
+    DaemonProcesses(Path dir, List<String> hosts, String... moreProperties) throws IOException {
         this.dir = dir;
         int[] ports = freePorts(5 + hosts.size());
         server = "127.0.0.1:" + ports[0];
-        List<String> l = new ArrayList<>(List.of(
+        List<String> lines = new ArrayList<>(List.of(
                 "data.dir=" + dir.resolve("data"),
                 "listen=" + server,
                 "controller.listen=127.0.0.1:" + ports[1],
@@ -41,31 +41,31 @@
                 "hosts=" + String.join(",", hosts),
                 "workers.report-s=1"));
         for (int i = 0; i < hosts.size(); i++) {
-            l.add("host." + hosts.get(i) + ".type=small");
+            lines.add("host." + hosts.get(i) + ".type=small");
             agentPorts.put(hosts.get(i), ports[5 + i]);
         }
-        l.addAll(List.of(more));
-        propertiesFile = Files.write(dir.resolve("daemon.properties"), l);
+        lines.addAll(List.of(moreProperties));
+        propertiesFile = Files.write(dir.resolve("daemon.properties"), lines);
     }
 
     /**
-     * Ports below those that the host gives to outgoing connections: a daemon that was killed must get its own again, and a
-     * client that calls meanwhile could have been given one of them.
+     * Free ports below the ephemeral range: a restarted daemon must be able to bind the ports that it had before it was killed,
+     * and in the meantime the system could assign an ephemeral port to a client's outgoing connection.
      */
-    private static int[] freePorts(int n) {
+    private static int[] freePorts(int count) {
         SplittableRandom random = new SplittableRandom(ProcessHandle.current().pid() * 31 + System.nanoTime());
-        int[] ports = new int[n];
-        for (int i = 0; i < n; ) {
+        int[] ports = new int[count];
+        for (int i = 0; i < count; ) {
             int port = 10_000 + random.nextInt(20_000);
-            try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                boolean taken = false;
+            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                boolean duplicate = false;
                 for (int j = 0; j < i; j++) {
-                    taken |= ports[j] == port;
+                    duplicate |= ports[j] == port;
                 }
-                ports[i] = s.getLocalPort();
-                i += taken ? 0 : 1;
+                ports[i] = socket.getLocalPort();
+                i += duplicate ? 0 : 1;
             } catch (IOException e) {
-                // Another process has it.
+                // Another process uses this port.
                 continue;
             }
         }
@@ -82,12 +82,12 @@
                 System.getProperty("java.class.path"),
                 Main.class.getName()));
         command.addAll(List.of(args));
-        ProcessBuilder b = new ProcessBuilder(command)
+        ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(
                         dir.resolve(name + ".log").toFile()));
-        b.environment().put("LOG_LEVEL", "info");
-        processByName.put(name, b.start());
+        builder.environment().put("LOG_LEVEL", "info");
+        processByName.put(name, builder.start());
     }
 
     void startDaemon() throws IOException {
@@ -110,42 +110,42 @@
                 dir.resolve("saves").toString());
     }
 
-    /** With force, as a power cut of that process would. */
+    /** Kills a process forcibly, without a chance to clean up, as in a crash. */
     void kill(String name) {
-        Process p = processByName.remove(name);
-        p.destroyForcibly();
-        p.onExit().join();
+        Process process = processByName.remove(name);
+        process.destroyForcibly();
+        process.onExit().join();
     }
 
-    /** In order, as a service manager would. */
+    /** Sends SIGTERM, as a service manager does, and returns the exit code; -1 if the process had to be killed after 60 s. */
     int terminate(String name) throws InterruptedException {
-        Process p = processByName.remove(name);
-        p.destroy();
-        if (!p.waitFor(60, TimeUnit.SECONDS)) {
-            p.destroyForcibly();
+        Process process = processByName.remove(name);
+        process.destroy();
+        if (!process.waitFor(60, TimeUnit.SECONDS)) {
+            process.destroyForcibly();
             return -1;
         }
-        return p.exitValue();
+        return process.exitValue();
     }
 
     RetryingClient newClient() {
         return new RetryingClient(server, 120);
     }
 
-    /** What went on, for a failed test. */
+    /** The last 60 log lines of each process, for the message of a failed test. */
     String logTail() throws IOException {
-        StringBuilder sb = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         for (String name : List.of("daemon", "a", "b")) {
-            Path p = dir.resolve(name + ".log");
-            if (Files.exists(p)) {
-                List<String> l = Files.readAllLines(p);
-                sb.append(name)
+            Path logFile = dir.resolve(name + ".log");
+            if (Files.exists(logFile)) {
+                List<String> lines = Files.readAllLines(logFile);
+                text.append(name)
                         .append(":\n")
-                        .append(String.join("\n", l.subList(Math.max(0, l.size() - 60), l.size())))
+                        .append(String.join("\n", lines.subList(Math.max(0, lines.size() - 60), lines.size())))
                         .append('\n');
             }
         }
-        return sb.toString();
+        return text.toString();
     }
 
     @Override
