--- a/src/test/java/birchusher/KnownRed.java
+++ b/src/test/java/birchusher/KnownRed.java
@@ -13,9 +13,9 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Tests that fail for a known fault, each a line of KNOWN-RED.txt; {@link Entry#read} says how a line reads. They run like all others.
- * Only the failure that the line quotes is printed and passed over; every other failure counts. A listed test that passes is printed too,
- * so that its line can go.
+ * Aborts the tests that fail because of a known fault instead of failing the build. KNOWN-RED.txt lists them, one per line in the format
+ * of {@link Entry#parse}. Listed tests run like all others: only the failure that a line quotes is printed and aborts the test, every
+ * other failure counts. A listed test that passes is printed too, so that its line can be removed.
  */
 public final class KnownRed implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
     private static final List<Entry> ENTRIES = loadEntries();
@@ -23,31 +23,33 @@
     /**
      * One line of the list.
      *
-     * @param test class and method
-     * @param parameters as the case's display name shows them; null for a test without
+     * @param line the whole line
+     * @param test qualified class and method
+     * @param parameters as in the display name of the test case; null for a test without parameters
      * @param failure a part of the assertion's message
      */
     record Entry(String line, String test, String parameters, String failure) {
-        private static final Pattern FORM = Pattern.compile(
+        private static final Pattern LINE_PATTERN = Pattern.compile(
                 "(?<test>[\\w.]+)(\\[(?<parameters>[^\\]]+)\\])?: mvn [^:]+: [^:\"]+: \"(?<failure>[^\"]+)\"[^\"]*: issue \\d+");
 
-        /** {@code package.Class.method[parameters]: mvn command: seed: "part of the failure" what was seen: issue N}. */
+        /** Format: {@code package.Class.method[parameters]: mvn command: seed: "part of the failure" what was seen: issue N}. */
         static Entry parse(String line) {
-            Matcher form = FORM.matcher(line);
-            if (!form.matches()) {
+            Matcher matcher = LINE_PATTERN.matcher(line);
+            if (!matcher.matches()) {
                 throw new IllegalStateException(
-                        "KNOWN-RED.txt: not test, command, seed, what was seen and issue: " + line);
+                        "KNOWN-RED.txt: expected test, command, seed, what was seen and issue in: " + line);
             }
-            return new Entry(line, form.group("test"), form.group("parameters"), form.group("failure"));
+            return new Entry(line, matcher.group("test"), matcher.group("parameters"), matcher.group("failure"));
         }
 
-        /** Whether this line is about a test's run; a case's display name begins with its number in brackets. */
+        /** Whether this entry is about a test run; the display name of a parameterized case begins with its number in brackets. */
         boolean matchesTest(String ranTest, String displayName) {
             return test.equals(ranTest)
                     && (parameters == null
                             || displayName.replaceFirst("^\\[\\d+\\] ", "").equals(parameters));
         }
 
+        /** Whether a test failed with the assertion that this entry quotes. */
         boolean matchesFailure(Throwable thrown) {
             return thrown instanceof AssertionError
                     && String.valueOf(thrown.getMessage()).contains(failure);
@@ -55,9 +57,9 @@
     }
 
     private static List<Entry> loadEntries() {
-        Path list = Path.of("KNOWN-RED.txt");
+        Path listFile = Path.of("KNOWN-RED.txt");
         try {
-            return Files.exists(list) ? parseLines(Files.readAllLines(list)) : List.of();
+            return Files.exists(listFile) ? parseLines(Files.readAllLines(listFile)) : List.of();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -67,6 +69,7 @@
         return lines.stream().filter(line -> !line.isBlank()).map(Entry::parse).toList();
     }
 
+    /** The entry of the running test, or null. */
     private static Entry findEntry(ExtensionContext context) {
         String test = context.getRequiredTestClass().getName() + "."
                 + context.getRequiredTestMethod().getName();
@@ -90,7 +93,7 @@
     public void afterTestExecution(ExtensionContext context) {
         Entry entry = findEntry(context);
         if (entry != null && context.getExecutionException().isEmpty()) {
-            System.out.println("KNOWN RED, but it passed; its line may go: " + entry.line());
+            System.out.println("KNOWN RED, but it passed; its line can be removed: " + entry.line());
         }
     }
 }
--- a/src/test/java/birchusher/KnownRedTest.java
+++ b/src/test/java/birchusher/KnownRedTest.java
@@ -27,7 +27,7 @@
                 .isTrue();
     }
 
-    /** A broken rule, or anything but the assertion that the line quotes, is another fault. */
+    /** A failure other than the quoted assertion, such as a broken safety rule, is a different fault and must count. */
     @Test
     void entryMatchesOnlyTheQuotedAssertionFailure() {
         KnownRed.Entry entry = KnownRed.Entry.parse(LINE);
@@ -53,11 +53,12 @@
         assertThatThrownBy(() -> KnownRed.parseLines(List.of(line))).hasMessageContaining("KNOWN-RED.txt");
     }
 
-    /** A line whose test is gone passes over nothing and hides that. */
+    /** A line for a test that no longer exists would stay in the list unnoticed. */
     @Test
     void eachLineNamesAnExistingTest() throws IOException, ReflectiveOperationException {
-        Path list = Path.of("KNOWN-RED.txt");
-        for (KnownRed.Entry entry : KnownRed.parseLines(Files.exists(list) ? Files.readAllLines(list) : List.of())) {
+        Path listFile = Path.of("KNOWN-RED.txt");
+        for (KnownRed.Entry entry :
+                KnownRed.parseLines(Files.exists(listFile) ? Files.readAllLines(listFile) : List.of())) {
             int dot = entry.test().lastIndexOf('.');
             assertThat(Class.forName(entry.test().substring(0, dot)).getDeclaredMethods())
                     .anyMatch(method -> method.getName().equals(entry.test().substring(dot + 1)));
