--- a/src/test/java/birchusher/sim/AnswerHistory.java
+++ b/src/test/java/birchusher/sim/AnswerHistory.java
@@ -1,17 +1,19 @@
 package birchusher.sim;
 
 /**
- * What users were told of one job by any controller, and whether an answer is older than what was told before it was asked for.
- * Questions may overlap: each is held against what was known when it was sent. Of done and cancelled only one may ever be told.
+ * The answers that users got about one job from any controller, and the check that no answer is older than one that was
+ * known when its request was sent. Requests may overlap: each is compared with what was known when it was sent. At most
+ * one of {@code done} and {@code cancelled} may ever be reported.
  */
 final class AnswerHistory {
+    /** Kinds of requests about a job. */
     enum RequestKind {
         SUBMIT,
         POLL,
         CANCEL
     }
 
-    /** What had been told when it was sent. */
+    /** A request, and what had been reported about the job when it was sent. */
     record SentRequest(RequestKind kind, boolean acceptedBefore, boolean endedBefore) {}
 
     private boolean accepted;
@@ -19,52 +21,55 @@
     private String lastStage;
     private int answerCount;
 
+    /** Records that a request is sent. */
     SentRequest requestSent(RequestKind kind) {
         return new SentRequest(kind, accepted, finalStage != null);
     }
 
-    /** Takes an answer; the rule that it breaks, or null. */
-    String checkAnswer(SentRequest q, int status, String stage) {
+    /** Records an answer. Returns the rule that it breaks, or null. */
+    String checkAnswer(SentRequest request, int status, String stage) {
         answerCount++;
         if (status == 404) {
-            return q.acceptedBefore ? "forgotten, called unknown" : null;
+            return request.acceptedBefore ? "forgotten, answered as unknown" : null;
         }
         if (status == 400 || status == 422) {
-            return q.acceptedBefore ? "forgotten, refused with " + status : "refused with " + status;
+            return request.acceptedBefore ? "forgotten, rejected with " + status : "rejected with " + status;
         }
         if (status != 200 && status != 201) {
             return status == 503 || status == 429 ? null : "answered with " + status;
         }
-        if (status == 201 && q.acceptedBefore) {
+        if (status == 201 && request.acceptedBefore) {
             return "accepted twice";
         }
         accepted = true;
-        boolean isEnd = "done".equals(stage) || "cancelled".equals(stage);
-        if (q.kind == RequestKind.CANCEL && !isEnd) {
+        boolean isFinal = "done".equals(stage) || "cancelled".equals(stage);
+        if (request.kind == RequestKind.CANCEL && !isFinal) {
             return "cancellation answered with " + stage;
         }
-        if (isEnd && finalStage != null && !finalStage.equals(stage)) {
+        if (isFinal && finalStage != null && !finalStage.equals(stage)) {
             return "went_back from " + finalStage + " to " + stage;
         }
-        if (!isEnd && q.endedBefore) {
+        if (!isFinal && request.endedBefore) {
             return "went_back from " + finalStage + " to " + stage;
         }
-        if (isEnd) {
+        if (isFinal) {
             finalStage = stage;
         }
         lastStage = finalStage != null ? finalStage : stage;
         return null;
     }
 
+    /** Returns whether a final stage was reported. */
     boolean hasEnded() {
         return finalStage != null;
     }
 
-    /** The newest that was told; null: nothing yet. */
+    /** Returns the newest stage that was reported; null: none yet. */
     String lastStage() {
         return lastStage;
     }
 
+    /** Returns the number of answers recorded. */
     int answerCount() {
         return answerCount;
     }
--- a/src/test/java/birchusher/sim/CoreTraceTest.java
+++ b/src/test/java/birchusher/sim/CoreTraceTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays the kept traces of whole cores, one world for each; the file says what each one shows. */
+/**
+ * Plays the recorded traces through controller cores, each in a world of its own; the trace file says what each one
+ * shows.
+ */
 class CoreTraceTest {
     @TestFactory
     List<DynamicTest> traces() throws IOException {
@@ -33,92 +36,94 @@
     }
 
     private static void play(String[] lines) {
-        World w = new World(9);
+        World world = new World(9);
         for (String line : Arrays.copyOfRange(lines, 1, lines.length)) {
             if (line.isBlank()) {
                 continue;
             }
-            String[] halves = line.split(" -> ");
-            String[] c = halves[0].split(" ");
-            String got =
-                    switch (c[0]) {
+            String[] commandAndAnswer = line.split(" -> ");
+            String[] words = commandAndAnswer[0].split(" ");
+            String answer =
+                    switch (words[0]) {
                         case "run" -> {
-                            w.run(Long.parseLong(c[1]));
+                            world.run(Long.parseLong(words[1]));
                             yield "";
                         }
                         case "outage" -> {
-                            w.store.setOutage(c[1].equals("on"), w.nowMs);
+                            world.store.setOutage(words[1].equals("on"), world.nowMs);
                             yield "";
                         }
                         case "crash" -> {
-                            w.crash(Integer.parseInt(c[1]), Long.parseLong(c[2]));
+                            world.crash(Integer.parseInt(words[1]), Long.parseLong(words[2]));
                             yield "";
                         }
                         case "refuse" -> {
-                            w.refusedByStore[ownerOf(w, c[1])] = true;
+                            world.refusedByStore[ownerOf(world, words[1])] = true;
                             yield "";
                         }
                         case "lonely" -> {
-                            w.setIsolated(ownerOf(w, c[1]), true);
+                            world.setIsolated(ownerOf(world, words[1]), true);
                             yield "";
                         }
-                        case "tasks" -> String.valueOf(w.unfinishedTaskCount(c[1]));
+                        case "tasks" -> String.valueOf(world.unfinishedTaskCount(words[1]));
                         case "post" -> {
-                            Map<String, Object> body = World.submission(c[2], c[3], Integer.parseInt(c[4]), c[5]);
-                            w.registerUnpolledJob(body);
-                            yield w.requestAndWait(Integer.parseInt(c[1]), "POST", "/v2/runs", body)
+                            Map<String, Object> body =
+                                    World.submission(words[2], words[3], Integer.parseInt(words[4]), words[5]);
+                            world.registerUnpolledJob(body);
+                            yield world.requestAndWait(Integer.parseInt(words[1]), "POST", "/v2/runs", body)
                                     .split(" ")[0];
                         }
-                        case "get" -> w.requestAndWait(Integer.parseInt(c[1]), "GET", "/v2/runs/" + c[2], null);
-                        case "withdraw" -> w.requestAndWait(
-                                Integer.parseInt(c[1]), "POST", "/v2/runs/" + c[2] + "/withdraw", null);
-                        case "hello" -> sendReport(w, c);
+                        case "get" -> world.requestAndWait(
+                                Integer.parseInt(words[1]), "GET", "/v2/runs/" + words[2], null);
+                        case "withdraw" -> world.requestAndWait(
+                                Integer.parseInt(words[1]), "POST", "/v2/runs/" + words[2] + "/withdraw", null);
+                        case "hello" -> sendReport(world, words);
                         default -> throw new IllegalArgumentException(line);
                     };
-            if (halves.length > 1) {
-                if (c[0].equals("hello")) {
-                    assertThat(got).as(line).isEqualTo(halves[1]);
+            if (commandAndAnswer.length > 1) {
+                if (words[0].equals("hello")) {
+                    assertThat(answer).as(line).isEqualTo(commandAndAnswer[1]);
                 } else {
-                    assertThat(got).as(line).startsWith(halves[1]);
+                    assertThat(answer).as(line).startsWith(commandAndAnswer[1]);
                 }
             }
-            assertThat(w.violations).as(line).isEmpty();
+            assertThat(world.violations).as(line).isEmpty();
         }
     }
 
-    /** The controller that owns the machine on which a job runs. */
-    private static int ownerOf(World w, String job) {
-        return w.ownerOf(w.workers.values().stream()
-                .filter(m -> m.tasks.values().stream().anyMatch(t -> t.key.startsWith(job + "/")))
+    /** Returns the controller that owns the machine on which a job runs. */
+    private static int ownerOf(World world, String job) {
+        return world.ownerOf(world.workers.values().stream()
+                .filter(worker -> worker.tasks.values().stream().anyMatch(task -> task.key.startsWith(job + "/")))
                 .findFirst()
                 .orElseThrow());
     }
 
-    /** Reports to each controller until one does not send the worker on. */
-    private static String sendReport(World w, String[] c) {
-        List<Object> pieces = new ArrayList<>();
-        for (int i = 6; i < c.length; i++) {
-            String[] p = c[i].split("[#:]");
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put("piece", p[0]);
-            m.put("try", Long.parseLong(p[1]));
-            m.put("stage", p[2]);
-            if (p.length > 3) {
-                m.put("cause", p[3]);
+    /** Reports to each controller in turn until one does not redirect the worker, and returns its answer. */
+    private static String sendReport(World world, String[] words) {
+        List<Object> taskEntries = new ArrayList<>();
+        for (int i = 6; i < words.length; i++) {
+            String[] parts = words[i].split("[#:]");
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("piece", parts[0]);
+            entry.put("try", Long.parseLong(parts[1]));
+            entry.put("stage", parts[2]);
+            if (parts.length > 3) {
+                entry.put("cause", parts[3]);
             }
-            pieces.add(m);
+            taskEntries.add(entry);
         }
-        Map<String, Object> r = FakeWorker.report(c[1], c[2], Long.parseLong(c[4]));
-        r.put("tenure", Long.parseLong(c[3]));
-        r.put("baton", Long.parseLong(c[5]));
-        r.put("pieces", pieces);
-        String got = "";
-        for (int node = 0; node < 3; node++) {
-            got = w.requestAndWait(node, "POST", "/hello", r);
-            if (!got.startsWith("421")) {
-                return got;
+        Map<String, Object> report = FakeWorker.report(words[1], words[2], Long.parseLong(words[4]));
+        report.put("tenure", Long.parseLong(words[3]));
+        report.put("baton", Long.parseLong(words[5]));
+        report.put("pieces", taskEntries);
+        String answer = "";
+        for (int controller = 0; controller < 3; controller++) {
+            answer = world.requestAndWait(controller, "POST", "/hello", report);
+            if (!answer.startsWith("421")) {
+                return answer;
             }
         }
-        return got;
+        return answer;
     }
 }
--- a/src/test/java/birchusher/sim/DelayingProxy.java
+++ b/src/test/java/birchusher/sim/DelayingProxy.java
@@ -9,7 +9,10 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Passes on the bytes of connections between two controllers on loopback; can hold them back, all of them or none, or reset all. */
+/**
+ * Forwards the connections between two controllers over loopback; it can delay all of their traffic or reset all
+ * connections.
+ */
 final class DelayingProxy implements AutoCloseable {
     private static final int BUFFER_BYTES = 16 * 1024;
 
@@ -18,17 +21,18 @@
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile long heldUntilNanos = System.nanoTime();
 
-    DelayingProxy(int port, int target) throws IOException {
-        this.targetPort = target;
+    DelayingProxy(int port, int targetPort) throws IOException {
+        this.targetPort = targetPort;
         listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         startThread(this::accept);
     }
 
-    /** What is sent from now on arrives only after so long, in order. */
+    /** Delays all traffic until {@code ms} from this call; it then arrives in order. */
     void hold(long ms) {
         heldUntilNanos = System.nanoTime() + ms * 1_000_000;
     }
 
+    /** Closes all connections. */
     void reset() {
         sockets.forEach(DelayingProxy::close);
         sockets.clear();
@@ -37,41 +41,41 @@
     private void accept() {
         while (!listener.isClosed()) {
             try {
-                Socket from = listener.accept();
-                sockets.add(from);
-                Socket to = new Socket(InetAddress.getLoopbackAddress(), targetPort);
-                sockets.add(to);
-                startThread(() -> forward(from, to));
-                startThread(() -> forward(to, from));
+                Socket source = listener.accept();
+                sockets.add(source);
+                Socket destination = new Socket(InetAddress.getLoopbackAddress(), targetPort);
+                sockets.add(destination);
+                startThread(() -> forward(source, destination));
+                startThread(() -> forward(destination, source));
             } catch (IOException e) {
-                // The listener was closed, or the controller is down: whoever connects tries again.
+                // The listener was closed, or the controller is down: the connecting controller retries.
                 continue;
             }
         }
     }
 
-    private void forward(Socket from, Socket to) {
+    private void forward(Socket source, Socket destination) {
         byte[] buffer = new byte[BUFFER_BYTES];
         try {
-            InputStream in = from.getInputStream();
-            OutputStream out = to.getOutputStream();
-            for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
-                for (long left = heldUntilNanos - System.nanoTime();
-                        left > 0;
-                        left = heldUntilNanos - System.nanoTime()) {
-                    Thread.sleep(Math.min(100, left / 1_000_000 + 1));
+            InputStream input = source.getInputStream();
+            OutputStream output = destination.getOutputStream();
+            for (int count = input.read(buffer); count >= 0; count = input.read(buffer)) {
+                for (long remainingNanos = heldUntilNanos - System.nanoTime();
+                        remainingNanos > 0;
+                        remainingNanos = heldUntilNanos - System.nanoTime()) {
+                    Thread.sleep(Math.min(100, remainingNanos / 1_000_000 + 1));
                 }
-                out.write(buffer, 0, n);
-                out.flush();
+                output.write(buffer, 0, count);
+                output.flush();
             }
         } catch (IOException | InterruptedException e) {
-            // One side has ended; so does the other.
-            close(from);
+            // One side has closed, so the other is closed as well.
+            close(source);
         }
-        close(from);
-        close(to);
-        sockets.remove(from);
-        sockets.remove(to);
+        close(source);
+        close(destination);
+        sockets.remove(source);
+        sockets.remove(destination);
     }
 
     private static void startThread(Runnable work) {
@@ -84,7 +88,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is of no more use either way.
+            // The connection is discarded in any case.
             return;
         }
     }
--- a/src/test/java/birchusher/sim/FakeStore.java
+++ b/src/test/java/birchusher/sim/FakeStore.java
@@ -8,79 +8,91 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** A stand-in for the state service, by its published protocol. Answers go to a callback; watches may wait. */
+/**
+ * In-memory stand-in for the state service that follows its published protocol. Replies go to a callback; those of
+ * watches may come later.
+ */
 final class FakeStore {
     private record Row(Object value, long revision, long lease) {}
 
     private record Event(String key, Object value, long revision) {}
 
     private record Watch(
-            String prefix, long sinceRevision, long untilMs, BiConsumer<Integer, Map<String, Object>> reply) {}
+            String prefix, long sinceRevision, long untilMs, BiConsumer<Integer, Map<String, Object>> replyHandler) {}
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private final List<Event> history = new ArrayList<>();
+    /** By lease id: time to live and time of expiry, in ms. */
     private final Map<Long, long[]> leases = new LinkedHashMap<>();
+
     private final List<Watch> watches = new ArrayList<>();
     private long revision;
     private long nextLeaseId = 1;
     private long outageSinceMs = -1;
-    /** Changes up to this revision are not kept any more. */
+    /** Changes up to this revision have been discarded. */
     private long compactedRevision;
 
-    /** The first transaction that writes a row with such a key is carried out and gets no answer; null: none, or it has come. */
+    /**
+     * The first transaction that writes a row with this key prefix is executed but gets no reply; null: none, or it has
+     * happened.
+     */
     String loseReplyForKeyPrefix;
 
-    /** Every watch from before now is too old: whoever lags has to read everything again. */
+    /** Discards all past changes: a watch from an older revision is rejected, and its client has to read all rows again. */
     void compactHistory() {
         compactedRevision = revision;
         history.clear();
     }
 
-    /** The rows as they stand, for failure messages. */
+    /** Returns all rows, one a line, for failure messages and for checks of what is stored. */
     String dump() {
-        StringBuilder sb = new StringBuilder();
-        rows.forEach((k, r) -> sb.append(k).append(" = ").append(r.value).append('\n'));
-        return sb.toString();
+        StringBuilder text = new StringBuilder();
+        rows.forEach(
+                (key, row) -> text.append(key).append(" = ").append(row.value).append('\n'));
+        return text.toString();
     }
 
-    void setOutage(boolean on, long now) {
-        if (on) {
-            outageSinceMs = now;
+    /** Begins or ends an outage. No lease expires during one; its end renews all leases. */
+    void setOutage(boolean outage, long nowMs) {
+        if (outage) {
+            outageSinceMs = nowMs;
         } else {
-            leases.values().forEach(l -> l[1] = now + l[0]);
+            leases.values().forEach(lease -> lease[1] = nowMs + lease[0]);
             outageSinceMs = -1;
         }
     }
 
+    /** Returns whether an outage is in effect. */
     boolean inOutage() {
         return outageSinceMs >= 0;
     }
 
-    void tick(long now) {
+    /** Expires leases and answers the watches that are due. */
+    void tick(long nowMs) {
         if (inOutage()) {
             return;
         }
-        leases.entrySet().removeIf(e -> {
-            if (now <= e.getValue()[1] + 50) {
+        leases.entrySet().removeIf(lease -> {
+            if (nowMs <= lease.getValue()[1] + 50) {
                 return false;
             }
             List<String> keys = new ArrayList<>();
-            rows.forEach((k, r) -> {
-                if (r.lease == e.getKey()) {
-                    keys.add(k);
+            rows.forEach((key, row) -> {
+                if (row.lease == lease.getKey()) {
+                    keys.add(key);
                 }
             });
             if (!keys.isEmpty()) {
                 revision++;
-                keys.forEach(k -> putRow(k, null, 0));
+                keys.forEach(key -> putRow(key, null, 0));
             }
             return true;
         });
-        for (Watch w : List.copyOf(watches)) {
-            List<Object> events = eventsSince(w.prefix, w.sinceRevision);
-            if (!events.isEmpty() || now >= w.untilMs) {
-                watches.remove(w);
-                w.reply.accept(200, Map.of("epoch", revision, "events", events));
+        for (Watch watch : List.copyOf(watches)) {
+            List<Object> events = eventsSince(watch.prefix, watch.sinceRevision);
+            if (!events.isEmpty() || nowMs >= watch.untilMs) {
+                watches.remove(watch);
+                watch.replyHandler.accept(200, Map.of("epoch", revision, "events", events));
             }
         }
     }
@@ -94,191 +106,205 @@
         history.add(new Event(key, value, revision));
     }
 
-    private List<Object> eventsSince(String prefix, long since) {
-        List<Object> l = new ArrayList<>();
-        for (Event e : history) {
-            if (e.revision > since && e.key.startsWith(prefix)) {
-                l.add(
-                        e.value == null
-                                ? Map.of("remove", e.key, "stamp", e.revision)
-                                : Map.of("set", e.key, "value", e.value, "stamp", e.revision));
+    private List<Object> eventsSince(String prefix, long sinceRevision) {
+        List<Object> matching = new ArrayList<>();
+        for (Event event : history) {
+            if (event.revision > sinceRevision && event.key.startsWith(prefix)) {
+                matching.add(
+                        event.value == null
+                                ? Map.of("remove", event.key, "stamp", event.revision)
+                                : Map.of("set", event.key, "value", event.value, "stamp", event.revision));
             }
         }
-        return l;
+        return matching;
     }
 
     private static Map<String, String> queryParameters(String target) {
-        Map<String, String> q = new HashMap<>();
-        int i = target.indexOf('?');
-        if (i >= 0) {
-            for (String p : target.substring(i + 1).split("&")) {
-                int eq = p.indexOf('=');
-                q.put(p.substring(0, eq), p.substring(eq + 1));
+        Map<String, String> parameters = new HashMap<>();
+        int queryStart = target.indexOf('?');
+        if (queryStart >= 0) {
+            for (String parameter : target.substring(queryStart + 1).split("&")) {
+                int equalsSign = parameter.indexOf('=');
+                parameters.put(parameter.substring(0, equalsSign), parameter.substring(equalsSign + 1));
             }
         }
-        return q;
+        return parameters;
     }
 
-    /** As in the world's settings. */
+    /** The value of {@code txn_ops} in the settings of {@link World}. */
     private static final int MAX_TRANSACTION_WRITES = 12;
 
-    /** Transactions that lack a condition the safety argument rests on; luck with timing must not hide one. */
+    /** Transactions that lack a condition on which safety rests, listed even if the timing made them harmless. */
     final List<String> unsafeTransactions = new ArrayList<>();
-    /** Reads of single rows. */
+    /** Number of reads of single rows. */
     int rowReads;
-    /** Listings that are still to be refused, as over the limit; the first page of a reading is always answered. */
+    /**
+     * Number of pages of listings still to be rejected as over the rate limit; the first page of a listing is always
+     * answered.
+     */
     int listingsToRefuse;
-    /** Listings answered, and rows of each at most. */
+    /** Number of pages of listings answered. */
     int listingsAnswered;
 
+    /** Maximum number of rows on a page of a listing. */
     int maxRowsPerListing = 1_000;
 
-    /** A row as some other version of us, or a mistake, might leave it. */
+    /** Writes a row as another version of the controller, or a fault, might leave it. */
     void injectRow(String key, Object value) {
         revision++;
         putRow(key, value, 0);
     }
 
-    /** Jobs with zone rules and several rows: of two claims for them one must fail if it does not know of the other. */
+    /**
+     * Jobs with zone rules and several claim rows: of two claims for them one must fail if it does not know of the
+     * other.
+     */
     final java.util.Set<String> jobsWithZoneRules = new java.util.HashSet<>();
 
-    /** Rows in transactions sent, applied or not. */
+    /** Number of rows written by executed transactions. */
     int rowsWritten;
 
+    /** Counts a transaction's rows and lists it if it lacks a condition on which safety rests. */
     @SuppressWarnings("unchecked")
     private void checkTransaction(Map<String, Object> body) {
         rowsWritten += ((List<Object>) body.get("writes")).size();
-        java.util.Set<String> on = new java.util.HashSet<>();
-        ((List<Object>) body.get("if")).forEach(c -> on.add((String) ((Map<String, Object>) c).get("path")));
-        for (Object o : (List<Object>) body.get("writes")) {
-            Map<String, Object> w = (Map<String, Object>) o;
-            String key = (String) (w.get("set") != null ? w.get("set") : w.get("remove"));
-            if (!on.contains(key)) {
+        java.util.Set<String> conditions = new java.util.HashSet<>();
+        ((List<Object>) body.get("if"))
+                .forEach(condition -> conditions.add((String) ((Map<String, Object>) condition).get("path")));
+        for (Object item : (List<Object>) body.get("writes")) {
+            Map<String, Object> write = (Map<String, Object>) item;
+            String key = (String) (write.get("set") != null ? write.get("set") : write.get("remove"));
+            if (!conditions.contains(key)) {
                 unsafeTransactions.add("unconditional write of " + key);
             }
-            if (!key.startsWith("b/live/place/") || w.get("set") == null) {
+            if (!key.startsWith("b/live/place/") || write.get("set") == null) {
                 continue;
             }
-            if (on.stream().noneMatch(k -> k.startsWith("b/live/shard/"))) {
-                unsafeTransactions.add("placement without an owner's term: " + key);
+            if (conditions.stream().noneMatch(path -> path.startsWith("b/live/shard/"))) {
+                unsafeTransactions.add("claim without a condition on its owner's term: " + key);
             }
-            Row old = rows.get(key);
-            long before = old == null ? 0 : (Long) ((Map<String, Object>) old.value).get("a");
-            boolean claims = (Long) ((Map<String, Object>) w.get("value")).get("a") > before;
+            Row current = rows.get(key);
+            long attemptBefore = current == null ? 0 : (Long) ((Map<String, Object>) current.value).get("a");
+            boolean isClaim = (Long) ((Map<String, Object>) write.get("value")).get("a") > attemptBefore;
             String job = key.substring("b/live/place/".length(), key.lastIndexOf('/'));
-            if (claims && jobsWithZoneRules.contains(job) && !on.contains("b/live/place/" + job + "/0")) {
+            if (isClaim && jobsWithZoneRules.contains(job) && !conditions.contains("b/live/place/" + job + "/0")) {
                 unsafeTransactions.add(
-                        "claim of a job whose zones are bound beside rows that it does not condition on: " + key);
+                        "claim of a job with zone rules without a condition on the job's first claim row: " + key);
             }
-            if (claims
-                    && !(on.contains("b/live/job/" + job) && on.stream().anyMatch(k -> k.startsWith("b/live/gate/")))) {
-                unsafeTransactions.add("claim without its job or its team's gate: " + key);
+            if (isClaim
+                    && !(conditions.contains("b/live/job/" + job)
+                            && conditions.stream().anyMatch(path -> path.startsWith("b/live/gate/")))) {
+                unsafeTransactions.add("claim without conditions on its job and on its team's gate: " + key);
             }
         }
     }
 
+    /** Handles one request; the reply may be passed on at once or, for a watch, by a later {@link #tick}. */
     @SuppressWarnings("unchecked")
     void handle(
-            long now,
+            long nowMs,
             String method,
             String target,
             Map<String, Object> body,
-            BiConsumer<Integer, Map<String, Object>> reply) {
-        Map<String, String> q = queryParameters(target);
+            BiConsumer<Integer, Map<String, Object>> replyHandler) {
+        Map<String, String> parameters = queryParameters(target);
         if (target.startsWith("/watch")) {
-            if (Long.parseLong(q.get("since")) < compactedRevision && !inOutage()) {
-                reply.accept(410, Map.of());
+            if (Long.parseLong(parameters.get("since")) < compactedRevision && !inOutage()) {
+                replyHandler.accept(410, Map.of());
                 return;
             }
             watches.add(new Watch(
-                    q.get("under"),
-                    Long.parseLong(q.get("since")),
-                    now + Long.parseLong(q.getOrDefault("wait_ms", "0")),
-                    reply));
+                    parameters.get("under"),
+                    Long.parseLong(parameters.get("since")),
+                    nowMs + Long.parseLong(parameters.getOrDefault("wait_ms", "0")),
+                    replyHandler));
             if (!inOutage()) {
-                tick(now);
+                tick(nowMs);
             }
             return;
         }
         if (inOutage()) {
-            reply.accept(503, Map.of());
+            replyHandler.accept(503, Map.of());
         } else if (target.startsWith("/store?")) {
-            if (listingsToRefuse > 0 && !q.getOrDefault("since", "").isEmpty()) {
+            if (listingsToRefuse > 0 && !parameters.getOrDefault("since", "").isEmpty()) {
                 listingsToRefuse--;
-                reply.accept(429, Map.of());
+                replyHandler.accept(429, Map.of());
                 return;
             }
-            List<Object> l = new ArrayList<>();
+            List<Object> page = new ArrayList<>();
             boolean[] more = new boolean[1];
-            rows.tailMap(q.getOrDefault("since", ""), false).forEach((k, r) -> {
-                if (k.startsWith(q.get("under"))) {
-                    more[0] |= l.size() >= maxRowsPerListing;
-                    if (l.size() < maxRowsPerListing) {
-                        l.add(Map.of("path", k, "value", r.value, "stamp", r.revision));
+            rows.tailMap(parameters.getOrDefault("since", ""), false).forEach((key, row) -> {
+                if (key.startsWith(parameters.get("under"))) {
+                    more[0] |= page.size() >= maxRowsPerListing;
+                    if (page.size() < maxRowsPerListing) {
+                        page.add(Map.of("path", key, "value", row.value, "stamp", row.revision));
                     }
                 }
             });
             listingsAnswered++;
-            reply.accept(200, Map.of("rows", l, "has_next", more[0], "epoch", revision));
+            replyHandler.accept(200, Map.of("rows", page, "has_next", more[0], "epoch", revision));
         } else if (target.startsWith("/store/")) {
             rowReads++;
-            Row r = rows.get(target.substring(7));
-            reply.accept(
-                    r == null ? 404 : 200,
-                    r == null
+            Row row = rows.get(target.substring(7));
+            replyHandler.accept(
+                    row == null ? 404 : 200,
+                    row == null
                             ? Map.of("epoch", revision)
-                            : Map.of("path", target.substring(7), "value", r.value, "stamp", r.revision));
+                            : Map.of("path", target.substring(7), "value", row.value, "stamp", row.revision));
         } else if (target.equals("/multi")
                 && (((List<Object>) body.get("writes")).size() > MAX_TRANSACTION_WRITES
                         || ((List<Object>) body.get("if")).size() > 4 * MAX_TRANSACTION_WRITES)) {
-            unsafeTransactions.add("more than a transaction may hold: " + ((List<Object>) body.get("writes")).size()
+            unsafeTransactions.add("transaction is too large: " + ((List<Object>) body.get("writes")).size()
                     + " writes, " + ((List<Object>) body.get("if")).size() + " conditions");
-            reply.accept(400, Map.of("error", "too many operations"));
+            replyHandler.accept(400, Map.of("error", "too many operations"));
         } else if (target.equals("/multi")) {
             List<String> failed = new ArrayList<>();
-            for (Object o : (List<Object>) body.get("if")) {
-                Map<String, Object> c = (Map<String, Object>) o;
-                Row r = rows.get((String) c.get("path"));
-                if ((r == null ? 0 : r.revision) != (Long) c.get("stamp")) {
-                    failed.add((String) c.get("path"));
+            for (Object item : (List<Object>) body.get("if")) {
+                Map<String, Object> condition = (Map<String, Object>) item;
+                Row row = rows.get((String) condition.get("path"));
+                if ((row == null ? 0 : row.revision) != (Long) condition.get("stamp")) {
+                    failed.add((String) condition.get("path"));
                 }
             }
             if (!failed.isEmpty()) {
-                reply.accept(409, Map.of("failed", failed, "epoch", revision));
+                replyHandler.accept(409, Map.of("failed", failed, "epoch", revision));
                 return;
             }
             checkTransaction(body);
             revision++;
-            for (Object o : (List<Object>) body.get("writes")) {
-                Map<String, Object> w = (Map<String, Object>) o;
-                if (w.get("set") != null) {
-                    putRow((String) w.get("set"), w.get("value"), w.get("hold") == null ? 0 : (Long) w.get("hold"));
+            for (Object item : (List<Object>) body.get("writes")) {
+                Map<String, Object> write = (Map<String, Object>) item;
+                if (write.get("set") != null) {
+                    putRow(
+                            (String) write.get("set"),
+                            write.get("value"),
+                            write.get("hold") == null ? 0 : (Long) write.get("hold"));
                 } else {
-                    putRow((String) w.get("remove"), null, 0);
+                    putRow((String) write.get("remove"), null, 0);
                 }
             }
-            String lost = loseReplyForKeyPrefix;
-            if (lost != null
+            String lostPrefix = loseReplyForKeyPrefix;
+            if (lostPrefix != null
                     && ((List<Object>) body.get("writes"))
                             .stream()
-                                    .anyMatch(o -> ((Map<String, Object>) o).get("set") instanceof String k
-                                            && k.startsWith(lost))) {
+                                    .anyMatch(item -> ((Map<String, Object>) item).get("set") instanceof String key
+                                            && key.startsWith(lostPrefix))) {
                 loseReplyForKeyPrefix = null;
             } else {
-                reply.accept(200, Map.of("epoch", revision));
+                replyHandler.accept(200, Map.of("epoch", revision));
             }
-            tick(now);
+            tick(nowMs);
         } else if (target.equals("/leases")) {
-            long ttl = (Long) body.get("life_ms");
-            leases.put(nextLeaseId, new long[] {ttl, now + ttl});
-            reply.accept(200, Map.of("hold", nextLeaseId++));
+            long timeToLiveMs = (Long) body.get("life_ms");
+            leases.put(nextLeaseId, new long[] {timeToLiveMs, nowMs + timeToLiveMs});
+            replyHandler.accept(200, Map.of("hold", nextLeaseId++));
         } else {
-            long id = Long.parseLong(target.split("/")[2]);
-            long[] l = leases.get(id);
-            if (l != null) {
-                l[1] = now + l[0];
+            long leaseId = Long.parseLong(target.split("/")[2]);
+            long[] lease = leases.get(leaseId);
+            if (lease != null) {
+                lease[1] = nowMs + lease[0];
             }
-            reply.accept(l == null ? 404 : 200, Map.of());
+            replyHandler.accept(lease == null ? 404 : 200, Map.of());
         }
     }
 }
--- a/src/test/java/birchusher/sim/FakeWorker.java
+++ b/src/test/java/birchusher/sim/FakeWorker.java
@@ -5,20 +5,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** A stand-in for one machine's worker, by its published protocol. */
+/** Stand-in for the worker of one machine that follows the published worker protocol. */
 final class FakeWorker {
+    /** One attempt of a task on this machine. */
     static final class Task {
+        /** Job id and index of the task, such as {@code wk-web/0}. */
         final String key;
+
         final long attempt;
         String stage = "fetching";
         String cause;
+        /** Time at which the present stage ends. */
         long phaseEndsMs;
+
         long ran;
 
-        Task(String key, long attempt, long until) {
+        Task(String key, long attempt, long phaseEndsMs) {
             this.key = key;
             this.attempt = attempt;
-            this.phaseEndsMs = until;
+            this.phaseEndsMs = phaseEndsMs;
         }
 
         boolean exited() {
@@ -29,210 +34,234 @@
     final World world;
     final String name;
     final String zone;
+    /** Whether the cloud may take the machine back at short notice. */
     final boolean spot;
+    /** Time at which it is ready and sends its first report. */
     final long readyAtMs;
-    /** Where direct commands reach it. */
+    /** Address at which it accepts direct commands. */
     String address;
 
     final Map<String, Task> tasks = new LinkedHashMap<>();
     long session = 1;
+    /** Number of the last report of this worker. */
     long reportNumber;
+
     long fencingToken;
+    /** Start of the lease in force: the sending time of the last accepted report. */
     long leaseStartMs;
+    /** Index of the controller to which it reports. */
     int controllerIndex;
+
+    /** Whether the cloud has taken the machine back. */
     boolean deleted;
-    /** Its reports arrive; answers and commands don't reach it. */
+    /** Its reports arrive, but responses and direct commands do not reach it. */
     boolean cannotReceive;
-    /** It reaches no controller; direct commands reach it. */
+    /** Its reports reach no controller, but direct commands reach it. */
     boolean cannotReport;
-    /** The cloud's notice, in seconds; -1: none. */
+    /** Seconds after which the cloud takes the machine back, as announced by it; -1: no notice. */
     double reclaimNoticeS = -1;
 
+    /** Until then the machine hangs: it neither reports nor executes commands. */
     long hungUntilMs;
-    /** By how much its reports are held up on their way; the answers, and direct commands, are not. */
+    /** Network delay of its reports; responses and direct commands are not delayed. */
     long reportDelayMs;
-    /** By how much direct commands to it are held up on their way; their answers are not. */
+    /** Network delay of direct commands to it; their replies are not delayed. */
     long commandDelayMs;
-    /** Which controllers' connections fail as soon as a report has reached them: it is carried out, the answer is lost at once. */
+    /**
+     * Controllers whose connections fail as soon as a report has reached them: the report is processed, and its response
+     * is lost at once.
+     */
     final java.util.Set<Integer> connectionsResetBy = new java.util.HashSet<>();
 
+    /** Whether a report has been sent and its response or time-out has not come. */
     boolean reportInFlight;
+
     private final java.util.Set<String> reapedAttempts = new java.util.HashSet<>();
     long nextReportMs;
+    /** Time from which a higher fencing token counts as a change again. */
     private long nextTokenChangeMs;
 
-    FakeWorker(World world, String name, String zone, boolean spot, long upAt) {
+    FakeWorker(World world, String name, String zone, boolean spot, long readyAtMs) {
         this.world = world;
         this.name = name;
         this.address = name + ":1";
         this.zone = zone;
         this.spot = spot;
-        this.readyAtMs = upAt;
-        this.nextReportMs = upAt;
-        this.leaseStartMs = upAt;
+        this.readyAtMs = readyAtMs;
+        this.nextReportMs = readyAtMs;
+        this.leaseStartMs = readyAtMs;
     }
 
+    /** Returns the next report of this worker. */
     Map<String, Object> report() {
-        List<Object> pieces = new ArrayList<>();
-        for (Task t : tasks.values()) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put("piece", t.key);
-            m.put("try", t.attempt);
-            m.put("stage", t.stage);
-            if (t.cause != null) {
-                m.put("cause", t.cause);
+        List<Object> taskEntries = new ArrayList<>();
+        for (Task task : tasks.values()) {
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("piece", task.key);
+            entry.put("try", task.attempt);
+            entry.put("stage", task.stage);
+            if (task.cause != null) {
+                entry.put("cause", task.cause);
             }
-            pieces.add(m);
+            taskEntries.add(entry);
         }
-        Map<String, Object> r = report(name, zone, ++reportNumber);
-        r.put("address", address);
-        r.put("loaners", spot);
-        r.put("tenure", session);
-        r.put("baton", fencingToken);
-        r.put("pieces", pieces);
+        Map<String, Object> report = report(name, zone, ++reportNumber);
+        report.put("address", address);
+        report.put("loaners", spot);
+        report.put("tenure", session);
+        report.put("baton", fencingToken);
+        report.put("pieces", taskEntries);
         if (reclaimNoticeS >= 0) {
-            r.put("recall_s", reclaimNoticeS);
+            report.put("recall_s", reclaimNoticeS);
         }
-        return r;
+        return report;
     }
 
-    /** Nothing reaches it or leaves it any more. */
-    void setCutOff(boolean on) {
-        cannotReceive = on;
-        cannotReport = on;
+    /** Sets whether the machine is unreachable in both directions. */
+    void setCutOff(boolean cutOff) {
+        cannotReceive = cutOff;
+        cannotReport = cutOff;
     }
 
-    /** The report of an ordinary machine in its first session, without tasks, that has seen no token. */
-    static Map<String, Object> report(String host, String zone, long tick) {
-        Map<String, Object> r = new LinkedHashMap<>();
-        r.put("host", host);
-        r.put("address", host + ":1");
-        r.put("build", "g4");
-        r.put("grove", zone);
-        r.put("loaners", false);
-        r.put("tenure", 1L);
-        r.put("tick", tick);
-        r.put("baton", 0L);
-        r.put("pieces", List.of());
-        return r;
+    /** Returns the report of an ordinary machine in its first session, without tasks, that has seen no fencing token. */
+    static Map<String, Object> report(String machine, String zone, long number) {
+        Map<String, Object> report = new LinkedHashMap<>();
+        report.put("host", machine);
+        report.put("address", machine + ":1");
+        report.put("build", "g4");
+        report.put("grove", zone);
+        report.put("loaners", false);
+        report.put("tenure", 1L);
+        report.put("tick", number);
+        report.put("baton", 0L);
+        report.put("pieces", List.of());
+        return report;
     }
 
-    /** Runs time forward; false while the machine hangs. */
-    boolean advance(long now) {
-        if (deleted || now < readyAtMs || now < hungUntilMs) {
+    /** Advances the worker to the given time. Returns false while it does not run: deleted, not yet ready, or hung. */
+    boolean advance(long nowMs) {
+        if (deleted || nowMs < readyAtMs || nowMs < hungUntilMs) {
             return false;
         }
-        if (now - leaseStartMs > world.workerLeaseMs) {
+        if (nowMs - leaseStartMs > world.workerLeaseMs) {
             tasks.clear();
             session++;
-            leaseStartMs = now;
-            reportSoon(now);
+            leaseStartMs = nowMs;
+            reportSoon(nowMs);
         }
-        for (Task t : List.copyOf(tasks.values())) {
-            if (t.stage.equals("fetching") && now >= t.phaseEndsMs) {
-                if (world.failingJobs.contains(t.key.substring(0, t.key.indexOf('/')))) {
+        for (Task task : List.copyOf(tasks.values())) {
+            if (task.stage.equals("fetching") && nowMs >= task.phaseEndsMs) {
+                if (world.failingJobs.contains(task.key.substring(0, task.key.indexOf('/')))) {
                     world.taskErrors++;
-                    t.stage = "exited";
-                    t.cause = "error";
-                    reportSoon(now);
+                    task.stage = "exited";
+                    task.cause = "error";
+                    reportSoon(nowMs);
                     continue;
                 }
-                boolean gang = world.isGang(t.key);
-                t.stage = gang ? "waiting" : "running";
-                t.phaseEndsMs = gang ? Long.MAX_VALUE : now + world.runTimeMs(t.key);
-                world.taskStarted(this, t);
-                reportSoon(now);
-            } else if (t.stage.equals("flushing") && now >= t.phaseEndsMs) {
-                t.stage = "exited";
-                t.cause = "halted";
-                reportSoon(now);
-            } else if (t.stage.equals("running") && !world.isGang(t.key) && now >= t.phaseEndsMs) {
-                t.stage = "exited";
-                t.cause = "done";
-                world.taskFinished(t.key);
-                reportSoon(now);
+                boolean gang = world.isGang(task.key);
+                task.stage = gang ? "waiting" : "running";
+                task.phaseEndsMs = gang ? Long.MAX_VALUE : nowMs + world.runTimeMs(task.key);
+                world.taskStarted(this, task);
+                reportSoon(nowMs);
+            } else if (task.stage.equals("flushing") && nowMs >= task.phaseEndsMs) {
+                task.stage = "exited";
+                task.cause = "halted";
+                reportSoon(nowMs);
+            } else if (task.stage.equals("running") && !world.isGang(task.key) && nowMs >= task.phaseEndsMs) {
+                task.stage = "exited";
+                task.cause = "done";
+                world.taskFinished(task.key);
+                reportSoon(nowMs);
             }
         }
         return true;
     }
 
-    /** A change of its tasks or its session is reported soon; without one, a worker keeps its interval. */
-    private void reportSoon(long now) {
-        nextReportMs = Math.min(nextReportMs, now + 500);
+    /** Brings the next report forward after a change of tasks or session; without one, a worker keeps its interval. */
+    private void reportSoon(long nowMs) {
+        nextReportMs = Math.min(nextReportMs, nowMs + 500);
     }
 
-    /** Within half of a lease, a higher token counts as a change at most once. */
-    void tokenChanged(long now) {
-        if (now >= nextTokenChangeMs) {
-            nextTokenChangeMs = now + world.workerLeaseMs / 2;
-            reportSoon(now);
+    /** Reports a higher fencing token soon, as a change, but at most once within half the length of a lease. */
+    void tokenChanged(long nowMs) {
+        if (nowMs >= nextTokenChangeMs) {
+            nextTokenChangeMs = nowMs + world.workerLeaseMs / 2;
+            reportSoon(nowMs);
         }
     }
 
-    /** Whether the tasks are still there: a worker whose lease is over has dropped them, hanging or not. */
-    boolean holdsLease(long now) {
-        return !deleted && now - leaseStartMs <= world.workerLeaseMs;
+    /**
+     * Returns whether its lease is in force and its tasks exist: a worker whose lease has expired has ended them,
+     * whether it hangs or not.
+     */
+    boolean holdsLease(long nowMs) {
+        return !deleted && nowMs - leaseStartMs <= world.workerLeaseMs;
     }
 
-    void exitTasksIfLeaseExpired(long now) {
-        if (!holdsLease(now)) {
-            tasks.values().forEach(t -> t.stage = "exited");
+    /** Ends the tasks of an expired lease without starting a new session. */
+    void exitTasksIfLeaseExpired(long nowMs) {
+        if (!holdsLease(nowMs)) {
+            tasks.values().forEach(task -> task.stage = "exited");
         }
     }
 
+    /** Executes the commands of a response or of a direct request. */
     @SuppressWarnings("unchecked")
-    void execute(List<Object> orders, long now) {
-        for (Object o : orders) {
-            Map<String, Object> c = (Map<String, Object>) o;
-            String key = (String) c.get("piece");
-            long attempt = ((Number) c.get("try")).longValue();
-            String id = key + "#" + attempt;
-            Task t = tasks.get(id);
-            switch ((String) c.get("verb")) {
+    void execute(List<Object> commands, long nowMs) {
+        for (Object item : commands) {
+            Map<String, Object> command = (Map<String, Object>) item;
+            String key = (String) command.get("piece");
+            long attempt = ((Number) command.get("try")).longValue();
+            String attemptKey = key + "#" + attempt;
+            Task task = tasks.get(attemptKey);
+            switch ((String) command.get("verb")) {
                 case "start" -> {
-                    if (t == null) {
-                        if (reapedAttempts.contains(session + ":" + id)) {
-                            world.violations.add("started again after its reap: " + id + " on " + name);
+                    if (task == null) {
+                        if (reapedAttempts.contains(session + ":" + attemptKey)) {
+                            world.violations.add(
+                                    "attempt started again after it was reaped: " + attemptKey + " on " + name);
                         }
-                        t = new Task(
-                                key, attempt, now + (world.imagesCached ? 100 : 1_000 + world.random.nextInt(2_000)));
-                        double cards = world.gpusNeeded(key);
+                        task = new Task(
+                                key, attempt, nowMs + (world.imagesCached ? 100 : 1_000 + world.random.nextInt(2_000)));
+                        double gpusUsed = world.gpusNeeded(key);
                         for (Task other : tasks.values()) {
                             if (other.key.equals(key) && !other.exited()) {
-                                t.stage = "exited";
-                                t.cause = "in_use";
+                                task.stage = "exited";
+                                task.cause = "in_use";
                             }
-                            cards += other.exited() ? 0 : world.gpusNeeded(other.key);
+                            gpusUsed += other.exited() ? 0 : world.gpusNeeded(other.key);
                         }
-                        if (cards > 4 && !t.exited()) {
-                            t.stage = "exited";
-                            t.cause = "full";
+                        if (gpusUsed > 4 && !task.exited()) {
+                            task.stage = "exited";
+                            task.cause = "full";
                             world.refusedStarts++;
                         }
-                        tasks.put(id, t);
+                        tasks.put(attemptKey, task);
                     }
                 }
                 case "stop" -> {
-                    double grace = c.get("wind_down_s") == null ? 0 : ((Number) c.get("wind_down_s")).doubleValue();
-                    double takes = world.checkpointSaveS(key);
-                    if (t != null && t.stage.equals("running") && takes > 0 && grace >= takes) {
-                        t.stage = "flushing";
-                        t.phaseEndsMs = now + Math.round(takes * 1000);
-                    } else if (t != null && !t.exited() && !(t.stage.equals("flushing") && grace > 0)) {
-                        t.stage = "exited";
-                        t.cause = "halted";
+                    double graceS = command.get("wind_down_s") == null
+                            ? 0
+                            : ((Number) command.get("wind_down_s")).doubleValue();
+                    double saveS = world.checkpointSaveS(key);
+                    if (task != null && task.stage.equals("running") && saveS > 0 && graceS >= saveS) {
+                        task.stage = "flushing";
+                        task.phaseEndsMs = nowMs + Math.round(saveS * 1000);
+                    } else if (task != null && !task.exited() && !(task.stage.equals("flushing") && graceS > 0)) {
+                        task.stage = "exited";
+                        task.cause = "halted";
                     }
                 }
                 default -> {
-                    if (t != null && t.exited()) {
-                        tasks.remove(id);
-                        reapedAttempts.add(session + ":" + id);
+                    if (task != null && task.exited()) {
+                        tasks.remove(attemptKey);
+                        reapedAttempts.add(session + ":" + attemptKey);
                     }
                 }
             }
         }
-        if (!orders.isEmpty()) {
-            reportSoon(now);
+        if (!commands.isEmpty()) {
+            reportSoon(nowMs);
         }
     }
 }
--- a/src/test/java/birchusher/sim/InvariantCheckersTest.java
+++ b/src/test/java/birchusher/sim/InvariantCheckersTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** The checkers of the tests' world and of the soak, each made to see its rule broken. */
+/** Tests the invariant checkers of {@link World}, which the soak uses too: each detects that its rule is broken. */
 class InvariantCheckersTest {
     @BeforeAll
     static void silenceLogging() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
-    /** Controllers whose answers to polls are replaced. */
+    /** A world in which the answers to polls are replaced by false ones. */
     private static final class FalseAnswers extends World {
         private int falseStatus;
         private String falseStage;
@@ -26,16 +26,20 @@
 
         @Override
         void sendRequest(
-                int node, String method, String path, byte[] body, BiConsumer<Integer, Map<String, Object>> reply) {
-            boolean poll = method.equals("GET") && path.startsWith("/v2/runs/");
+                int controller,
+                String method,
+                String path,
+                byte[] body,
+                BiConsumer<Integer, Map<String, Object>> replyHandler) {
+            boolean isPoll = method.equals("GET") && path.startsWith("/v2/runs/");
             super.sendRequest(
-                    node,
+                    controller,
                     method,
                     path,
                     body,
-                    (got, answer) -> reply.accept(
-                            poll && falseStatus != 0 ? falseStatus : got,
-                            poll && falseStage != null ? Map.of("stage", falseStage) : answer));
+                    (receivedStatus, answer) -> replyHandler.accept(
+                            isPoll && falseStatus != 0 ? falseStatus : receivedStatus,
+                            isPoll && falseStage != null ? Map.of("stage", falseStage) : answer));
         }
     }
 
@@ -60,21 +64,22 @@
 
     private static FakeWorker machineWithout(World world, String task, String zone) {
         return world.workers.values().stream()
-                .filter(w -> w.readyAtMs < world.nowMs
-                        && (zone == null || w.zone.equals(zone))
-                        && w.tasks.values().stream().noneMatch(t -> t.key.equals(task)))
+                .filter(worker -> worker.readyAtMs < world.nowMs
+                        && (zone == null || worker.zone.equals(zone))
+                        && worker.tasks.values().stream().noneMatch(held -> held.key.equals(task)))
                 .findFirst()
                 .orElseThrow();
     }
 
     private static FakeWorker machineRunning(World world, String task) {
         return world.workers.values().stream()
-                .filter(w -> w.tasks.values().stream().anyMatch(t -> t.key.equals(task) && !t.exited()))
+                .filter(worker ->
+                        worker.tasks.values().stream().anyMatch(held -> held.key.equals(task) && !held.exited()))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Room for one more task. */
+    /** Removes the tasks of a worker, so that it has capacity for one more. */
     private static FakeWorker withoutTasks(FakeWorker worker) {
         worker.tasks.clear();
         return worker;
@@ -84,7 +89,7 @@
     void detectsTaskRunningTwice() {
         World world = worldWithJobs();
         startTask(withoutTasks(machineWithout(world, "wk-web/0", null)), "wk-web/0", world);
-        assertThat(world.violations).anyMatch(b -> b.startsWith("ran_twice: wk-web/0"));
+        assertThat(world.violations).anyMatch(violation -> violation.startsWith("ran_twice: wk-web/0"));
     }
 
     @Test
@@ -95,7 +100,7 @@
                 withoutTasks(machineWithout(world, "wk-near/0", near.zone.equals("east") ? "west" : "east")),
                 "wk-near/0",
                 world);
-        assertThat(world.violations).anyMatch(b -> b.startsWith("wrong_place: wk-near"));
+        assertThat(world.violations).anyMatch(violation -> violation.startsWith("wrong_place: wk-near"));
         World full = worldWithJobs();
         full.submit("wk-more", "sweep", 12, "low", false, false);
         int next = 0;
@@ -107,7 +112,7 @@
             }
         }
         full.run(200);
-        assertThat(full.violations).anyMatch(b -> b.startsWith("quota"));
+        assertThat(full.violations).anyMatch(violation -> violation.startsWith("quota"));
     }
 
     @Test
@@ -117,7 +122,7 @@
         world.run(World.CANCEL_DEADLINE_MS + 1_000);
         assertThat(world.violations).isEmpty();
         startTask(withoutTasks(machineWithout(world, "wk-near/0", null)), "wk-near/0", world);
-        assertThat(world.violations).anyMatch(b -> b.startsWith("ran_cancelled: wk-near/0"));
+        assertThat(world.violations).anyMatch(violation -> violation.startsWith("ran_cancelled: wk-near/0"));
     }
 
     @Test
@@ -126,16 +131,19 @@
         done.falseStatus = 200;
         done.falseStage = "done";
         done.run(1_500);
-        assertThat(done.violations).anyMatch(b -> b.startsWith("not_done")).anyMatch(b -> b.startsWith("invented"));
+        assertThat(done.violations)
+                .anyMatch(violation -> violation.startsWith("not_done"))
+                .anyMatch(violation -> violation.startsWith("invented"));
         done.violations.clear();
         done.falseStage = "running";
         done.run(1_500);
-        assertThat(done.violations).anyMatch(b -> b.startsWith("went_back from done to running"));
+        assertThat(done.violations).anyMatch(violation -> violation.startsWith("went_back from done to running"));
         FalseAnswers cancelled = worldWithJobs();
         cancelled.falseStatus = 200;
         cancelled.falseStage = "cancelled";
         cancelled.run(1_500);
-        assertThat(cancelled.violations).anyMatch(b -> b.contains("cancelled by nobody"));
+        assertThat(cancelled.violations)
+                .anyMatch(violation -> violation.contains("reported as cancelled without a request"));
     }
 
     @Test
@@ -143,7 +151,7 @@
         FalseAnswers world = worldWithJobs();
         world.falseStatus = 404;
         world.run(1_500);
-        assertThat(world.violations).anyMatch(b -> b.startsWith("forgotten"));
+        assertThat(world.violations).anyMatch(violation -> violation.startsWith("forgotten"));
     }
 
     @Test
@@ -156,6 +164,6 @@
                 Map.of("if", List.of(), "writes", List.of(Map.of("set", "b/live/job/wk-x", "value", Map.of()))),
                 (status, body) -> {});
         world.run(200);
-        assertThat(world.violations).anyMatch(b -> b.startsWith("unconditional write"));
+        assertThat(world.violations).anyMatch(violation -> violation.startsWith("unconditional write"));
     }
 }
--- a/src/test/java/birchusher/sim/ProcessWorld.java
+++ b/src/test/java/birchusher/sim/ProcessWorld.java
@@ -22,18 +22,20 @@
 import java.util.function.BiConsumer;
 
 /**
- * The same stand-ins and checkers with controllers that are processes of their own, over loopback and in real time. All stand-ins run on one
- * thread, and the rules are checked from their records alone.
+ * A {@link World} whose controllers are processes of their own, reached over loopback in real time. All stand-ins run on
+ * one thread, and the rules are checked from their records alone.
  */
 final class ProcessWorld extends World implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int REPORT_TIMEOUT_MS = 4_000;
     private static final int POLL_TIMEOUT_MS = 2_000;
     private static final int SUBMIT_TIMEOUT_MS = 5_000;
+    /** Simulated time at the start of a run. */
     private static final long INITIAL_TIME_MS = 1_000;
+
     private static final int FIRST_PORT = 10_000;
     private static final int PORT_COUNT = 20_000;
-    /** Given out in this process; no two worlds share one. */
+    /** Ports given out in this process, so that no two worlds share one. */
     private static final Set<Integer> RESERVED_PORTS = new HashSet<>();
 
     private final Path dir;
@@ -48,8 +50,9 @@
     private final int[][] proxyPorts;
     private final List<DelayingProxy> proxies = new ArrayList<>();
     private final long startedAtMs = EventLoop.nowMs();
+    /** Whether scheduled actions are being carried out, so that a nested call does not carry them out again. */
     private boolean advancing;
-    /** Controllers started, kills included. */
+    /** Number of controller starts, those after kills included. */
     int controllerStarts;
 
     ProcessWorld(long seed, int controllers, int teamLimit, Path dir) throws IOException {
@@ -65,21 +68,21 @@
             proxyPorts[i] = reservePorts(controllers);
         }
         for (int i = 0; i < controllers; i++) {
-            int node = i;
+            int controller = i;
             startServer(
                     cloudPorts[i],
-                    (method, path, body, back) ->
-                            forwardRequest(node, Effect.Destination.CLOUD, "cloud:1", method, path, body, back));
+                    (method, path, body, replyHandler) -> forwardRequest(
+                            controller, Effect.Destination.CLOUD, "cloud:1", method, path, body, replyHandler));
             startServer(
                     storePorts[i],
-                    (method, path, body, back) -> forwardRequest(
-                            node,
+                    (method, path, body, replyHandler) -> forwardRequest(
+                            controller,
                             path.startsWith("/watch") ? Effect.Destination.WATCH : Effect.Destination.STORE,
                             "state:1",
                             method,
                             path,
                             body,
-                            back));
+                            replyHandler));
             for (int k = 0; k < controllers; k++) {
                 if (k != i) {
                     proxies.add(new DelayingProxy(proxyPorts[i][k], peerPorts[k]));
@@ -92,58 +95,65 @@
         }
     }
 
+    /** Answers the requests that arrive at one port. */
     private interface RequestHandler {
         void handle(
-                String method, String path, Map<String, Object> body, BiConsumer<Integer, Map<String, Object>> back);
+                String method,
+                String path,
+                Map<String, Object> body,
+                BiConsumer<Integer, Map<String, Object>> replyHandler);
     }
 
-    private static synchronized int[] reservePorts(int n) {
+    /** Returns free ports on loopback that no other world of this process uses. */
+    private static synchronized int[] reservePorts(int count) {
         Random random = new Random();
-        int[] ports = new int[n];
-        for (int i = 0; i < n; ) {
+        int[] ports = new int[count];
+        for (int i = 0; i < count; ) {
             int port = FIRST_PORT + random.nextInt(PORT_COUNT);
             try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 if (RESERVED_PORTS.add(port)) {
                     ports[i++] = probe.getLocalPort();
                 }
             } catch (IOException e) {
-                // Another process has it.
+                // Another process uses this port.
                 continue;
             }
         }
         return ports;
     }
 
-    private void startServer(int port, RequestHandler service) throws IOException {
+    private void startServer(int port, RequestHandler handler) throws IOException {
         HttpServer[] server = new HttpServer[1];
         server[0] = new HttpServer(events, "127.0.0.1", port, 200, MAX_BODY_BYTES, (exchange, method, target, body) -> {
             advanceToRealTime();
-            Map<String, Object> map = body.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(body), "body");
-            service.handle(
+            Map<String, Object> fields =
+                    body.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(body), "body");
+            handler.handle(
                     method,
                     target,
-                    map,
+                    fields,
                     (status, answer) -> server[0].answer(exchange, status, MessagePackCodec.encode(answer), 0));
         });
         server[0].open();
         servers.add(server[0]);
     }
 
+    /** Carries a request of a controller, or of one that is not known (-1), through the faults in effect to its stand-in. */
     private void forwardRequest(
-            int node,
-            Effect.Destination target,
+            int controller,
+            Effect.Destination destination,
             String address,
             String method,
             String path,
             Map<String, Object> body,
-            BiConsumer<Integer, Map<String, Object>> back) {
-        Effect.Call call = new Effect.Call(0, target, address, method, path, null, 0);
-        long sentAt = nowMs;
-        transport(node, call, body, (status, answer) -> {
-            if (node >= 0) {
-                recordMemberLease(node, call, status, sentAt);
+            BiConsumer<Integer, Map<String, Object>> replyHandler) {
+        Effect.Call call = new Effect.Call(0, destination, address, method, path, null, 0);
+        long sentAtMs = nowMs;
+        transport(controller, call, body, (status, answer) -> {
+            if (controller >= 0) {
+                recordMemberLease(controller, call, status, sentAtMs);
             }
-            back.accept(status, answer);
+            replyHandler.accept(status, answer);
         });
     }
 
@@ -152,7 +162,7 @@
     @Override
     void startControllers() {}
 
-    private void startProcess(int i) {
+    private void startProcess(int controller) {
         List<String> command = List.of(
                 ProcessHandle.current().info().command().orElse("java"),
                 "-Xmx110m",
@@ -164,35 +174,35 @@
                 "birchusher.cli.Main",
                 "serve",
                 "--config",
-                dir.resolve("perch-" + i + ".json").toString());
+                dir.resolve("perch-" + controller + ".json").toString());
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(
-                        dir.resolve("perch-" + i + ".log").toFile()));
+                        dir.resolve("perch-" + controller + ".log").toFile()));
         builder.environment().put("LOG_LEVEL", "info");
         try {
-            processes[i] = builder.start();
+            processes[controller] = builder.start();
             controllerStarts++;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Ends a controller without a word; it is started again after so long. */
+    /** Kills a controller; it is started again after {@code ms}. */
     @Override
-    void crash(int i, long ms) {
-        processes[i].destroyForcibly();
+    void crash(int controller, long ms) {
+        processes[controller].destroyForcibly();
         schedule(nowMs + ms, () -> {
-            if (!processes[i].isAlive()) {
-                startProcess(i);
+            if (!processes[controller].isAlive()) {
+                startProcess(controller);
             }
         });
     }
 
-    /** A controller stands still for so long while its clocks run on. */
+    /** Stops a controller's process for {@code ms} while its clocks go on. */
     @Override
-    void pause(int i, long ms) {
-        Process process = processes[i];
+    void pause(int controller, long ms) {
+        Process process = processes[controller];
         sendSignal(process, "-STOP");
         schedule(nowMs + ms, () -> sendSignal(process, "-CONT"));
     }
@@ -205,7 +215,10 @@
         }
     }
 
-    /** What controllers say to each other is held back for so long, on one connection in two by the seed, or on all. */
+    /**
+     * Delays the traffic between controllers for {@code ms}, on all connections or on every second one as drawn by the
+     * seed.
+     */
     void holdPeerConnections(boolean all, long ms) {
         proxies.forEach(proxy -> {
             if (all || random.nextBoolean()) {
@@ -214,46 +227,47 @@
         });
     }
 
+    /** Closes all connections between controllers. */
     void resetPeerConnections() {
         proxies.forEach(DelayingProxy::reset);
     }
 
     @Override
-    String listenAddress(int i) {
-        return "127.0.0.1:" + listenPorts[i];
+    String listenAddress(int controller) {
+        return "127.0.0.1:" + listenPorts[controller];
     }
 
     @Override
-    String meshAddress(int i) {
-        return "127.0.0.1:" + peerPorts[i];
+    String meshAddress(int controller) {
+        return "127.0.0.1:" + peerPorts[controller];
     }
 
     @Override
-    String peerAddress(int i, int k) {
-        return "127.0.0.1:" + proxyPorts[i][k];
+    String peerAddress(int controller, int peer) {
+        return "127.0.0.1:" + proxyPorts[controller][peer];
     }
 
     @Override
-    String cloudAddress(int i) {
-        return "127.0.0.1:" + cloudPorts[i];
+    String cloudAddress(int controller) {
+        return "127.0.0.1:" + cloudPorts[controller];
     }
 
     @Override
-    String storeAddress(int i) {
-        return "127.0.0.1:" + storePorts[i];
+    String storeAddress(int controller) {
+        return "127.0.0.1:" + storePorts[controller];
     }
 
     // ---- workers and users
 
     @Override
-    void machineRented(FakeWorker worker) {
+    void onMachineRented(FakeWorker worker) {
         int port = reservePorts(1)[0];
         worker.address = "127.0.0.1:" + port;
         try {
             startServer(
                     port,
-                    (method, path, body, back) -> forwardRequest(
-                            -1, Effect.Destination.WORKER, worker.name + ":1", method, path, body, back));
+                    (method, path, body, replyHandler) -> forwardRequest(
+                            -1, Effect.Destination.WORKER, worker.name + ":1", method, path, body, replyHandler));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -261,13 +275,17 @@
 
     @Override
     void sendRequest(
-            int node, String method, String path, byte[] body, BiConsumer<Integer, Map<String, Object>> reply) {
+            int controller,
+            String method,
+            String path,
+            byte[] body,
+            BiConsumer<Integer, Map<String, Object>> replyHandler) {
         int timeoutMs =
                 path.equals("/hello") ? REPORT_TIMEOUT_MS : method.equals("GET") ? POLL_TIMEOUT_MS : SUBMIT_TIMEOUT_MS;
-        client.call(listenAddress(node), method, path, body, timeoutMs, (status, answer) -> {
+        client.call(listenAddress(controller), method, path, body, timeoutMs, (status, answer) -> {
             advanceToRealTime();
             if (status != 0) {
-                reply.accept(
+                replyHandler.accept(
                         status, answer.length == 0 ? Map.of() : Fields.map(MessagePackCodec.decode(answer), "answer"));
             }
         });
@@ -275,23 +293,24 @@
 
     // ---- time
 
+    /** Carries out everything that is scheduled up to the present real time. */
     private void advanceToRealTime() {
-        long real = EventLoop.nowMs() - startedAtMs + INITIAL_TIME_MS;
-        if (!advancing && real > nowMs) {
+        long realTimeMs = EventLoop.nowMs() - startedAtMs + INITIAL_TIME_MS;
+        if (!advancing && realTimeMs > nowMs) {
             advancing = true;
             try {
-                run(real - nowMs);
+                run(realTimeMs - nowMs);
             } finally {
                 advancing = false;
             }
         }
     }
 
-    /** Runs in real time until so many ms after the start. */
+    /** Runs in real time until {@code endMs} after the start. */
     void runInRealTime(long endMs) throws InterruptedException {
         Throwable[] failure = new Throwable[1];
         schedule(INITIAL_TIME_MS + endMs, events::stop);
-        events.run(late -> {
+        events.run(lateMs -> {
             try {
                 advanceToRealTime();
                 client.tick();
@@ -306,7 +325,7 @@
         }
     }
 
-    /** Lines of the controllers' logs that hold this text. */
+    /** Returns the lines of the controllers' logs that contain a text, each after the name of its controller. */
     List<String> logLines(String text) throws IOException {
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < controllerCount; i++) {
--- a/src/test/java/birchusher/sim/ScriptedWorker.java
+++ b/src/test/java/birchusher/sim/ScriptedWorker.java
@@ -5,27 +5,29 @@
 import java.util.List;
 import java.util.Map;
 
-/** A machine in the hands of a test: reports as one, says nothing to direct commands. */
+/** A worker that a test controls: it sends reports when told to and does not answer direct commands. */
 final class ScriptedWorker {
     final World world;
     final String name;
+    /** Index of the controller that owns the shard of the machine. */
     int owner;
+
     long reportNumber;
     long fencingToken;
 
-    ScriptedWorker(World w, String name) {
-        this.world = w;
+    ScriptedWorker(World world, String name) {
+        this.world = world;
         this.name = name;
         findOwner();
     }
 
-    /** Asks for its owner and that one's term, as its next answers would tell them. */
+    /** Looks up the owner and its term, which the next responses would contain. */
     void findOwner() {
         owner = world.ownerOf(new FakeWorker(world, name, "east", false, world.nowMs));
         fencingToken = Long.parseLong(world.store
                 .dump()
                 .lines()
-                .filter(l -> l.startsWith("b/live/shard/east/") && l.contains("m=perch-" + owner + ","))
+                .filter(line -> line.startsWith("b/live/shard/east/") && line.contains("m=perch-" + owner + ","))
                 .findFirst()
                 .orElseThrow()
                 .replaceAll(".*, t=(\\d+),.*", "$1"));
@@ -35,28 +37,30 @@
         return report(Map.of());
     }
 
-    String report(Map<String, Object> more) {
-        return world.requestAndWait(owner, "POST", "/hello", nextReport(more));
+    /** Sends the next report to the owner and returns the answer, as {@link World#requestAndWait} does. */
+    String report(Map<String, Object> fields) {
+        return world.requestAndWait(owner, "POST", "/hello", nextReport(fields));
     }
 
-    /** The next report as it is sent. */
-    Map<String, Object> nextReport(Map<String, Object> more) {
-        Map<String, Object> r = FakeWorker.report(name, "east", ++reportNumber);
-        r.put("baton", fencingToken);
-        r.putAll(more);
-        return r;
+    /** Returns the next report, with additional or replaced fields, as it is sent. */
+    Map<String, Object> nextReport(Map<String, Object> fields) {
+        Map<String, Object> report = FakeWorker.report(name, "east", ++reportNumber);
+        report.put("baton", fencingToken);
+        report.putAll(fields);
+        return report;
     }
 
-    /** What a report says of one task. */
-    static Map<String, Object> taskReport(String task, long attempt, String stage, String why) {
-        Map<String, Object> p = new java.util.LinkedHashMap<>(Map.of("piece", task, "try", attempt, "stage", stage));
-        if (why != null) {
-            p.put("cause", why);
+    /** Returns the part of a report that describes one task. */
+    static Map<String, Object> taskReport(String task, long attempt, String stage, String cause) {
+        Map<String, Object> entry =
+                new java.util.LinkedHashMap<>(Map.of("piece", task, "try", attempt, "stage", stage));
+        if (cause != null) {
+            entry.put("cause", cause);
         }
-        return Map.of("pieces", List.of(p));
+        return Map.of("pieces", List.of(entry));
     }
 
-    /** Submits a job and reports until its task has its place here. */
+    /** Submits a job and reports until its task is claimed on this machine. */
     void submitAndAwaitClaim(String job, String shape) {
         Map<String, Object> body = World.submission(job, shape, 1, "red");
         world.registerUnpolledJob(body);
@@ -70,10 +74,11 @@
         assertThat(holdsClaim(job)).isTrue();
     }
 
+    /** Returns whether the first task of a job is claimed on this machine. */
     boolean holdsClaim(String job) {
         return world.store
                 .dump()
                 .lines()
-                .anyMatch(l -> l.startsWith("b/live/place/" + job + "/0") && l.contains(":" + name + ":"));
+                .anyMatch(line -> line.startsWith("b/live/place/" + job + "/0") && line.contains(":" + name + ":"));
     }
 }
--- a/src/test/java/birchusher/sim/Soak.java
+++ b/src/test/java/birchusher/sim/Soak.java
@@ -6,11 +6,14 @@
 import java.util.List;
 import java.util.Random;
 
-/** A spell of troubles on real processes, drawn by a seed: kills, pauses, cuts, delays, lost, doubled and late messages, two or three at once. */
+/**
+ * A soak run on real processes under faults drawn by a seed: kills, pauses, network partitions, delays, and lost,
+ * duplicated and late messages, up to three at once.
+ */
 final class Soak {
-    /** Before this the controllers start and the first machines come up. */
+    /** Time of the first fault. Before it the controllers start and the first machines become ready. */
     private static final long FIRST_FAULT_MS = 14_000;
-    /** For so long before the end no trouble begins, and all have ended. */
+    /** Length of the last part of a run, in which no fault begins and all have ended. */
     static final long FAULT_FREE_END_MS = 15_000;
 
     private static final int GPUS_PER_MACHINE = 4;
@@ -22,7 +25,7 @@
     private final List<String> faultSchedule = new ArrayList<>();
     private int nextJobNumber;
 
-    /** What came of one seed. */
+    /** Result of the run of one seed. */
     record Result(
             long seed,
             List<String> violations,
@@ -30,6 +33,7 @@
             int taskStarts,
             int machinesRented,
             int controllerStarts) {
+        /** Returns the result in one line. */
         String summary() {
             return "seed " + seed + ": " + (violations.isEmpty() ? "no rule broken" : "BROKEN " + violations) + ", "
                     + taskStarts + " starts, " + machinesRented + " machines, " + controllerStarts
@@ -44,16 +48,25 @@
         random = new Random(seed * 31 + 7);
     }
 
-    /** @param workers about how many machines the jobs of the beginning need */
+    /**
+     * Runs one seed.
+     *
+     * @param workers about how many machines the first jobs need
+     */
     static Result run(long seed, int workers, int seconds, Path dir) throws IOException, InterruptedException {
         try (ProcessWorld world = new ProcessWorld(seed, 3, workers * GPUS_PER_MACHINE, dir)) {
             Soak soak = new Soak(seed, world, seconds * 1000L);
             soak.scheduleJobsAndFaults(workers);
             world.runInRealTime(soak.endMs);
-            List<String> broken = new ArrayList<>(world.violations);
-            broken.addAll(world.logLines("safety rule broken"));
+            List<String> violations = new ArrayList<>(world.violations);
+            violations.addAll(world.logLines("safety rule broken"));
             return new Result(
-                    seed, broken, soak.faultSchedule, world.taskStarts, world.machineRented, world.controllerStarts);
+                    seed,
+                    violations,
+                    soak.faultSchedule,
+                    world.taskStarts,
+                    world.machineRented,
+                    world.controllerStarts);
         }
     }
 
@@ -62,141 +75,161 @@
         world.fastBoot = workers > 50;
         world.submit("wk-web", "standing", 3, "production", true, false);
         world.submit("wk-gang", "gang", 3, "standard", false, true);
-        int places = workers * GPUS_PER_MACHINE * 2 / 3;
-        for (int i = 0; places > 0; i++, places -= 12) {
+        int remainingTasks = workers * GPUS_PER_MACHINE * 2 / 3;
+        for (int i = 0; remainingTasks > 0; i++, remainingTasks -= 12) {
             world.submit(
                     "wk-arr" + i,
                     i % 3 == 0 ? "standing" : "sweep",
-                    Math.min(12, places),
+                    Math.min(12, remainingTasks),
                     i % 3 == 0 ? "production" : "standard",
                     false,
                     false);
         }
-        long at = FIRST_FAULT_MS;
-        while (at < endMs - FAULT_FREE_END_MS) {
-            int together = 1 + random.nextInt(3);
-            for (int i = 0; i < together; i++) {
-                scheduleRandomFault(at + random.nextInt(2_500), Math.min(12_000, endMs - FAULT_FREE_END_MS - at));
+        long atMs = FIRST_FAULT_MS;
+        while (atMs < endMs - FAULT_FREE_END_MS) {
+            int count = 1 + random.nextInt(3);
+            for (int i = 0; i < count; i++) {
+                scheduleRandomFault(atMs + random.nextInt(2_500), Math.min(12_000, endMs - FAULT_FREE_END_MS - atMs));
             }
-            at += 3_000 + random.nextInt(6_000);
+            atMs += 3_000 + random.nextInt(6_000);
         }
-        for (long t = 6_000; t < endMs - FAULT_FREE_END_MS; t += 2_500 + random.nextInt(3_000)) {
-            scheduleUserJob(t);
+        for (long submitMs = 6_000; submitMs < endMs - FAULT_FREE_END_MS; submitMs += 2_500 + random.nextInt(3_000)) {
+            scheduleUserJob(submitMs);
         }
         world.schedule(endMs - FAULT_FREE_END_MS, this::endAllFaults);
     }
 
-    private void scheduleUserJob(long at) {
+    /** Schedules the submission of a drawn job, and for half of the jobs their cancellation. */
+    private void scheduleUserJob(long atMs) {
         String id = "wk-s" + nextJobNumber++;
         String shape = List.of("standing", "sweep", "gang").get(random.nextInt(3));
         int tasks = 1 + random.nextInt(4);
-        String rank = List.of("production", "urgent", "standard").get(random.nextInt(3));
-        long cancelAfter = random.nextBoolean() ? 500 + random.nextInt(12_000) : -1;
-        world.schedule(at, () -> world.submit(id, shape, tasks, rank, false, false));
-        if (cancelAfter >= 0) {
-            world.schedule(at + cancelAfter, () -> world.requestCancellation(id));
+        String priority = List.of("production", "urgent", "standard").get(random.nextInt(3));
+        long cancelAfterMs = random.nextBoolean() ? 500 + random.nextInt(12_000) : -1;
+        world.schedule(atMs, () -> world.submit(id, shape, tasks, priority, false, false));
+        if (cancelAfterMs >= 0) {
+            world.schedule(atMs + cancelAfterMs, () -> world.requestCancellation(id));
         }
     }
 
-    private void scheduleFault(long at, String what, Runnable action) {
-        faultSchedule.add(String.format("%.1f s: %s", at / 1000.0, what));
-        world.schedule(at, action);
+    /** Schedules a fault and adds it to the list that is printed for a failed seed. */
+    private void scheduleFault(long atMs, String description, Runnable action) {
+        faultSchedule.add(String.format("%.1f s: %s", atMs / 1000.0, description));
+        world.schedule(atMs, action);
     }
 
-    private void scheduleFaultPeriod(long at, long ms, String what, Runnable begin, Runnable end) {
-        scheduleFault(at, what + " for " + ms + " ms", begin);
-        world.schedule(at + ms, end);
+    /** Schedules the beginning and the end of a fault. */
+    private void scheduleFaultPeriod(
+            long atMs, long durationMs, String description, Runnable beginAction, Runnable endAction) {
+        scheduleFault(atMs, description + " for " + durationMs + " ms", beginAction);
+        world.schedule(atMs + durationMs, endAction);
     }
 
-    /** A machine by a number drawn now, among those there then. */
-    private void withMachine(int drawn, java.util.function.Consumer<FakeWorker> then) {
-        List<FakeWorker> all = new ArrayList<>(world.workers.values());
-        if (!all.isEmpty()) {
-            then.accept(all.get(drawn % all.size()));
+    /** Passes on the machine that a number drawn earlier selects among the present ones; none if there are none. */
+    private void withMachine(int number, java.util.function.Consumer<FakeWorker> action) {
+        List<FakeWorker> machines = new ArrayList<>(world.workers.values());
+        if (!machines.isEmpty()) {
+            action.accept(machines.get(number % machines.size()));
         }
     }
 
+    /** Schedules a fault of one to four machines, chosen when it begins. */
     private void scheduleMachineFault(
-            long at, long ms, String what, java.util.function.BiConsumer<FakeWorker, Boolean> turn) {
+            long atMs,
+            long durationMs,
+            String description,
+            java.util.function.BiConsumer<FakeWorker, Boolean> setFault) {
         int first = random.nextInt(1_000);
         int count = 1 + random.nextInt(4);
-        List<FakeWorker> hit = new ArrayList<>();
+        List<FakeWorker> affected = new ArrayList<>();
         scheduleFaultPeriod(
-                at,
-                ms,
-                count + " machines " + what,
+                atMs,
+                durationMs,
+                count + " machines " + description,
                 () -> {
                     for (int i = 0; i < count; i++) {
                         withMachine(first + i, worker -> {
-                            hit.add(worker);
-                            turn.accept(worker, true);
+                            affected.add(worker);
+                            setFault.accept(worker, true);
                         });
                     }
                 },
-                () -> hit.forEach(worker -> turn.accept(worker, false)));
+                () -> affected.forEach(worker -> setFault.accept(worker, false)));
     }
 
-    private void scheduleRandomFault(long at, long most) {
-        int node = random.nextInt(world.controllerCount);
-        long ms = 500 + random.nextInt((int) Math.max(1_000, most - 500));
+    /** Schedules a fault drawn by the seed, for a time of at most about {@code maxMs}. */
+    private void scheduleRandomFault(long atMs, long maxMs) {
+        int controller = random.nextInt(world.controllerCount);
+        long durationMs = 500 + random.nextInt((int) Math.max(1_000, maxMs - 500));
         switch (random.nextInt(14)) {
             case 0 -> scheduleFault(
-                    at,
-                    "perch-" + node + " killed, back after " + Math.min(ms, 4_000),
-                    () -> world.crash(node, Math.min(ms, 4_000)));
+                    atMs,
+                    "perch-" + controller + " killed, restart delay in ms: " + Math.min(durationMs, 4_000),
+                    () -> world.crash(controller, Math.min(durationMs, 4_000)));
             case 1 -> {
                 for (int i = 0; i < world.controllerCount; i++) {
-                    int each = i;
-                    long back = 100 + random.nextInt(3_000);
+                    int other = i;
+                    long restartMs = 100 + random.nextInt(3_000);
                     scheduleFault(
-                            at + random.nextInt(300),
-                            "perch-" + each + " killed with all, back after " + back,
-                            () -> world.crash(each, back));
+                            atMs + random.nextInt(300),
+                            "perch-" + other + " killed with all others, restart delay in ms: " + restartMs,
+                            () -> world.crash(other, restartMs));
                 }
             }
             case 2 -> {
                 for (int i = 0; i < 4; i++) {
-                    int each = (node + i) % world.controllerCount;
+                    int other = (controller + i) % world.controllerCount;
                     scheduleFault(
-                            at + i * 1_500L, "perch-" + each + " killed in a series", () -> world.crash(each, 200));
+                            atMs + i * 1_500L,
+                            "perch-" + other + " killed in a series of four",
+                            () -> world.crash(other, 200));
                 }
             }
-            case 3 -> scheduleFault(at, "perch-" + node + " paused for " + ms + " ms", () -> world.pause(node, ms));
+            case 3 -> scheduleFault(
+                    atMs,
+                    "perch-" + controller + " paused for " + durationMs + " ms",
+                    () -> world.pause(controller, durationMs));
             case 4 -> scheduleFaultPeriod(
-                    at,
-                    ms,
-                    "state service out",
+                    atMs,
+                    durationMs,
+                    "state service outage",
                     () -> world.store.setOutage(true, world.nowMs),
                     () -> world.store.setOutage(false, world.nowMs));
             case 5 -> scheduleFaultPeriod(
-                    at,
-                    ms,
-                    "state service refuses perch-" + node,
-                    () -> world.refusedByStore[node] = true,
-                    () -> world.refusedByStore[node] = false);
+                    atMs,
+                    durationMs,
+                    "state service refuses requests of perch-" + controller,
+                    () -> world.refusedByStore[controller] = true,
+                    () -> world.refusedByStore[controller] = false);
             case 6 -> scheduleFault(
-                    at,
-                    "peers' connections held for " + ms + " ms",
-                    () -> world.holdPeerConnections(random.nextBoolean(), ms));
-            case 7 -> scheduleFault(at, "peers' connections reset", world::resetPeerConnections);
-            case 8 -> scheduleMachineFault(at, ms, "cut off", FakeWorker::setCutOff);
-            case 9 -> scheduleMachineFault(at, ms, "deaf", (worker, on) -> worker.cannotReceive = on);
-            case 10 -> scheduleMachineFault(at, ms, "mute", (worker, on) -> worker.cannotReport = on);
+                    atMs,
+                    "peer connections delayed for " + durationMs + " ms",
+                    () -> world.holdPeerConnections(random.nextBoolean(), durationMs));
+            case 7 -> scheduleFault(atMs, "peer connections reset", world::resetPeerConnections);
+            case 8 -> scheduleMachineFault(atMs, durationMs, "cut off", FakeWorker::setCutOff);
+            case 9 -> scheduleMachineFault(atMs, durationMs, "deaf", (worker, active) -> worker.cannotReceive = active);
+            case 10 -> scheduleMachineFault(atMs, durationMs, "mute", (worker, active) -> worker.cannotReport = active);
             case 11 -> scheduleMachineFault(
-                    at, ms, "hang", (worker, on) -> worker.hungUntilMs = on ? world.nowMs + ms : 0);
+                    atMs,
+                    durationMs,
+                    "hang",
+                    (worker, active) -> worker.hungUntilMs = active ? world.nowMs + durationMs : 0);
             case 12 -> {
-                long reports = random.nextInt(3_800);
-                long commands = random.nextInt(3_800);
+                long reportDelayMs = random.nextInt(3_800);
+                long commandDelayMs = random.nextInt(3_800);
                 scheduleMachineFault(
-                        at, ms, "with reports held " + reports + " ms, commands " + commands + " ms", (worker, on) -> {
-                            worker.reportDelayMs = on ? reports : 0;
-                            worker.commandDelayMs = on ? commands : 0;
+                        atMs,
+                        durationMs,
+                        "with reports delayed by " + reportDelayMs + " ms, commands " + commandDelayMs + " ms",
+                        (worker, active) -> {
+                            worker.reportDelayMs = active ? reportDelayMs : 0;
+                            worker.commandDelayMs = active ? commandDelayMs : 0;
                         });
             }
             default -> scheduleFaultPeriod(
-                    at,
-                    ms,
-                    "messages lost, doubled and late, writes late, answers lost",
+                    atMs,
+                    durationMs,
+                    "messages lost and duplicated, transactions late, their replies lost",
                     () -> {
                         world.messageLossRate = 0.02;
                         world.duplicateReportRate = 0.2;
@@ -214,7 +247,7 @@
         world.lostTransactionReplyRate = 0;
     }
 
-    /** Whatever still goes on ends. */
+    /** Ends all faults that are still in effect. */
     private void endAllFaults() {
         endMessageFaults();
         if (world.store.inOutage()) {
--- a/src/test/java/birchusher/sim/SoakTest.java
+++ b/src/test/java/birchusher/sim/SoakTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Controllers as real processes over loopback under drawn troubles. Rules only: nothing here fails for being slow. */
+/**
+ * Soak runs with controllers as real processes over loopback under drawn faults. Only the safety rules are checked:
+ * slowness fails no test.
+ */
 class SoakTest {
     private static final int SHORT_RUN_S = 45;
 
@@ -30,36 +33,38 @@
     }
 
     /**
-     * The long run, by hand: {@code mvn -B test -Dtest=SoakTest#byHand -Dsoak.from=1000 -Dsoak.seeds=50 -Dsoak.at-once=3}. Each fifth seed has
-     * {@code soak.workers} machines (300), the others ten; each takes {@code soak.seconds} (75).
+     * A long run, started by hand:
+     * {@code mvn -B test -Dtest=SoakTest#byHand -Dsoak.from=1000 -Dsoak.seeds=50 -Dsoak.at-once=3}.
+     * Every fifth seed has {@code soak.workers} machines (default 300), the others ten; each seed takes
+     * {@code soak.seconds} (default 75).
      */
     @Test
     void byHand() throws Exception {
         long from = Long.getLong("soak.from", 0);
         int seeds = Integer.getInteger("soak.seeds", 0);
         ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, Integer.getInteger("soak.at-once", 1)));
-        List<Future<Soak.Result>> all = new ArrayList<>();
+        List<Future<Soak.Result>> results = new ArrayList<>();
         for (long seed = from; seed < from + seeds; seed++) {
-            long each = seed;
+            long runSeed = seed;
             int workers = seed % 5 == 0 ? Integer.getInteger("soak.workers", 300) : 10;
-            all.add(pool.submit(() -> {
-                Soak.Result result =
-                        Soak.run(each, workers, Integer.getInteger("soak.seconds", 75), dir.resolve("seed-" + each));
+            results.add(pool.submit(() -> {
+                Soak.Result result = Soak.run(
+                        runSeed, workers, Integer.getInteger("soak.seconds", 75), dir.resolve("seed-" + runSeed));
                 System.out.println("SOAK " + result.summary());
                 if (!result.violations().isEmpty()) {
-                    System.out.println("SOAK schedule " + each + ": " + result.faultSchedule());
+                    System.out.println("SOAK schedule " + runSeed + ": " + result.faultSchedule());
                 }
                 return result;
             }));
         }
         pool.shutdown();
-        List<String> broken = new ArrayList<>();
-        for (Future<Soak.Result> each : all) {
-            Soak.Result result = each.get();
+        List<String> failures = new ArrayList<>();
+        for (Future<Soak.Result> future : results) {
+            Soak.Result result = future.get();
             if (!result.violations().isEmpty()) {
-                broken.add(result.summary());
+                failures.add(result.summary());
             }
         }
-        assertThat(broken).isEmpty();
+        assertThat(failures).isEmpty();
     }
 }
--- a/src/test/java/birchusher/sim/World.java
+++ b/src/test/java/birchusher/sim/World.java
@@ -19,24 +19,35 @@
 import java.util.Random;
 
 /**
- * Three or more whole cores with stand-ins for everything around them, in simulated time. Messages get lost or arrive late,
- * controllers crash, machines hang and the state service fails, all from one seed; the rules are checked at every step.
+ * A simulated cluster: three or more controller cores with stand-ins for the state service, the cloud, workers and
+ * users, in simulated time on one thread. Messages get lost or arrive late, controllers crash, machines hang and the
+ * state service fails, as tests demand; all random draws come from one seed. The safety rules are checked at every step,
+ * and {@link #violations} collects what breaks them.
  */
 class World {
+    /** Default length of a worker lease. */
     static final long WORKER_LEASE_MS = 10_000;
+    /** Default time within which the tasks of a cancelled job must have ended. */
     static final long CANCEL_DEADLINE_MS = 30_000;
+
     final long workerLeaseMs;
     final long cancelDeadlineMs;
-    /** The default of seats.lease-s. */
+    /** The default of the setting {@code seats.lease-s}. */
     private static final long MEMBER_LEASE_MS = 45_000;
 
     private static final String[] ZONES = {"east", "west"};
 
+    /**
+     * An action and the time at which it is due. Actions due at the same time run in the order in which they were
+     * scheduled.
+     */
     private record ScheduledAction(long atMs, long sequence, Runnable action) {}
 
+    /** A controller whose core runs in this process. */
     private static final class SimulatedController {
+        /** Null while the controller is down. */
         Core core;
-        /** What its time of day is off by; may change with a restart. */
+        /** Offset of its time of day from the simulated time; may change with a restart. */
         long wallClockOffsetMs;
 
         long pausedUntilMs;
@@ -44,136 +55,157 @@
         long downUntilMs;
     }
 
+    /** A job, the answers that its user got, and what the user does next. */
     private static final class TrackedJob {
         String id;
         Map<String, Object> body;
         boolean accepted;
         final AnswerHistory history = new AnswerHistory();
         boolean cancelRequested;
+        /** Time of the first confirmation of its cancellation; -1: none. */
         long cancelledAtMs = -1;
+
         long nextRequestMs;
         int taskCount;
     }
 
     final Random random;
+    /** Descriptions of broken rules; empty if no rule was broken. */
     final List<String> violations = new ArrayList<>();
+
     final FakeStore store = new FakeStore();
     final Map<String, FakeWorker> workers = new LinkedHashMap<>();
     private final Map<String, TrackedJob> jobs = new LinkedHashMap<>();
-    private final Map<String, Integer> taskFinished = new HashMap<>();
+    private final Map<String, Integer> finishedTaskCounts = new HashMap<>();
     private final Map<String, List<Object>> machinesByRentalRequest = new HashMap<>();
-    private final PriorityQueue<ScheduledAction> scheduledActions = new PriorityQueue<>(
-            (a, b) -> a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.sequence, b.sequence));
+    private final PriorityQueue<ScheduledAction> scheduledActions =
+            new PriorityQueue<>((left, right) -> left.atMs != right.atMs
+                    ? Long.compare(left.atMs, right.atMs)
+                    : Long.compare(left.sequence, right.sequence));
     private final SimulatedController[] simulatedControllers;
     final int controllerCount;
     private final int teamGpuLimit;
     private final Map<Long, java.util.function.BiConsumer<Integer, Map<String, Object>>> replyHandlers =
             new HashMap<>();
+    /** By sender and receiver: peer records are lost. */
     private final boolean[][] peerLinkDown;
+
     private final long[] peerRecordsHeldUntilMs;
+    /** By controller: the time from which it certainly holds its member lease. */
     private final long[] memberLeaseSinceMs;
-    /** A controller and the workers that report to it, cut off from everybody else; -1: none. */
+    /** Index of the controller that is isolated together with the workers that report to it; -1: none. */
     private int isolatedController = -1;
 
     private final java.util.Set<String> isolatedWorkers = new java.util.HashSet<>();
-    /** Controllers that the state service alone refuses; their open watches are not answered either. */
+    /** By controller: the state service alone refuses its requests and leaves its open watches unanswered. */
     final boolean[] refusedByStore;
-    /** Answers to watches and to reads for a fresh view are held back, for everybody; transactions go on. */
+    /**
+     * Replies to watches and to reads that bring a view up to date are held back for all controllers; transactions
+     * continue.
+     */
     boolean storeReadsHeld;
-    /** The same for single controllers. */
+    /** By controller: the same as {@link #storeReadsHeld}, for it alone. */
     final boolean[] viewLagging;
-    /** The share of transactions that are carried out at once and get no answer. */
+    /** Share of transactions that are executed at once but get no reply. */
     double lostTransactionReplyRate;
-    /** Users ask at all controllers within milliseconds, and submit and cancel again, whenever something new was told. */
+    /**
+     * Whenever an answer shows a new state of a job, its user polls, submits and cancels again at all controllers within
+     * milliseconds.
+     */
     boolean recheckAtAllControllers;
-    /** The share of finite jobs that are called off in the moment in which their last task ends. */
+    /** Share of finite jobs that their users cancel within 1.5 s of the end of the last task. */
     double cancelAtCompletionRate;
-    /** Controllers that no worker reaches, nor they any worker. */
+    /** By controller: no message passes between it and any worker. */
     final boolean[] cutOffFromWorkers;
 
+    /** Share of messages that are lost. */
     double messageLossRate;
+    /** Share of messages that arrive 2 to 42 s late. */
     double longDelayRate;
-    /** The share of reports of which a copy comes again, up to a minute later, at the controller it went to. */
+    /** Share of worker reports of which a duplicate reaches the same controller, up to a minute later. */
     double duplicateReportRate;
-    /** The share of records between controllers of which a copy comes up to 20 s later, whoever lives there by then. */
+    /** Share of peer records of which a duplicate arrives up to 20 s later, also if the receiver was restarted meanwhile. */
     double duplicatePeerRecordRate;
-    /** The share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones of the same controller. */
+    /** Share of transactions that get no reply and are executed 2 to 12 s later, after newer ones of the same controller. */
     double lateTransactionRate;
-    /** By how much longer the state service takes for each answer at most. */
+    /** Upper bound of the additional delay of each request to the state service. */
     int maxExtraStoreDelayMs;
-    /** How long tasks run, where a test says so; the others are drawn. */
+    /** Run times by task, as set by a test; those of other tasks are drawn. */
     final Map<String, Long> fixedRunTimesMs = new HashMap<>();
-    /** Starts of tasks that had been done before. */
+    /** Number of starts of tasks that had already finished. */
     int rerunsOfFinishedTasks;
-    /** The share of answers to reports that come late, though within the time that a worker waits for one. */
+    /** Share of responses to reports that are late, though within the time for which a worker waits for one. */
     double lateResponseRate;
-    /** For how long commands sent straight to workers are held back; they are executed all the same. */
+    /** Delay of commands sent directly to workers; they are executed all the same. */
     long directCommandDelayMs;
 
     long nowMs = 1_000;
     private long nextSequence;
     private long nextExchangeId = 1;
     private int nextMachineNumber;
+    /** Number of task starts. */
     int taskStarts;
+    /** Number of machines rented. */
     int machineRented;
-    /** Starts that a worker refused for want of room. */
+    /** Number of starts that a worker refused for lack of capacity. */
     int refusedStarts;
-    /** Hears which images an owner tells others that a machine has. */
+    /** Receives the name and the images of each machine that an owner publishes to its peers; null: nothing is passed on. */
     java.util.function.BiConsumer<String, List<String>> onPublishedImages;
-    /** Jobs submitted with a mistake: their tasks fail on every machine. */
+    /** Ids of faulty jobs: their tasks fail on every machine. */
     final java.util.Set<String> failingJobs = new java.util.HashSet<>();
-    /** Errors that such jobs made. */
+    /** Number of failed tasks of {@link #failingJobs}. */
     int taskErrors;
-    /** The share of rented machines that never come up, and by how much longer the others take. */
+    /** Share of rented machines that never become ready. */
     double neverReadyRate;
 
+    /** Factor on the boot times of the other rented machines. */
     double bootTimeFactor = 1;
-    /** The cloud answers no deletion: silent and idle machines stay. */
+    /** The cloud rejects every deletion, so silent and idle machines stay. */
     boolean cloudRefusesDeletions;
-    /** Machines that were returned while something was on them. */
+    /** Number of machines that were returned while they had unfinished tasks. */
     int machinesReturnedWithTasks;
-    /** Rented machines are up within two seconds. */
+    /** Rented machines are ready within two seconds. */
     boolean fastBoot;
-    /** The cloud takes up to so much longer for its answer; what it was asked for is done at once. */
+    /** Upper bound of the additional delay of the cloud's replies; the request itself is carried out at once. */
     int maxCloudReplyDelayMs;
-    /** Every machine has every image. */
+    /** Every machine has every image in its cache. */
     boolean imagesCached;
-    /** Reports kept of every worker, so that copies of them can come to everybody at once. */
+    /** Whether reports of the workers are kept for {@link #replayKeptReportsToAll}. */
     boolean keepReports;
 
     private final List<byte[]> keptReports = new ArrayList<>();
-    /** What the cloud has at most; 0: as many as the team may use. */
+    /** Number of machines that the cloud has; 0: as many as the team may use GPUs, and at least 40. */
     int maxMachines;
 
     World(long seed) {
         this(seed, 3, 10);
     }
 
-    World(long seed, int controllers, int teamLimit) {
-        this(seed, controllers, teamLimit, WORKER_LEASE_MS, CANCEL_DEADLINE_MS);
+    World(long seed, int controllerCount, int teamGpuLimit) {
+        this(seed, controllerCount, teamGpuLimit, WORKER_LEASE_MS, CANCEL_DEADLINE_MS);
     }
 
-    World(long seed, int controllers, int teamLimit, long leaseMs, long cancelMs) {
-        this.workerLeaseMs = leaseMs;
-        this.cancelDeadlineMs = cancelMs;
-        this.teamGpuLimit = teamLimit;
+    World(long seed, int controllerCount, int teamGpuLimit, long workerLeaseMs, long cancelDeadlineMs) {
+        this.workerLeaseMs = workerLeaseMs;
+        this.cancelDeadlineMs = cancelDeadlineMs;
+        this.teamGpuLimit = teamGpuLimit;
         random = new Random(seed);
-        this.controllerCount = controllers;
-        simulatedControllers = new SimulatedController[controllers];
-        peerLinkDown = new boolean[controllers][controllers];
-        peerRecordsHeldUntilMs = new long[controllers];
-        memberLeaseSinceMs = new long[controllers];
-        refusedByStore = new boolean[controllers];
-        viewLagging = new boolean[controllers];
-        cutOffFromWorkers = new boolean[controllers];
-        for (int i = 0; i < controllers; i++) {
+        this.controllerCount = controllerCount;
+        simulatedControllers = new SimulatedController[controllerCount];
+        peerLinkDown = new boolean[controllerCount][controllerCount];
+        peerRecordsHeldUntilMs = new long[controllerCount];
+        memberLeaseSinceMs = new long[controllerCount];
+        refusedByStore = new boolean[controllerCount];
+        viewLagging = new boolean[controllerCount];
+        cutOffFromWorkers = new boolean[controllerCount];
+        for (int i = 0; i < controllerCount; i++) {
             simulatedControllers[i] = new SimulatedController();
         }
         startControllers();
         schedule(nowMs, this::stepStandIns);
     }
 
-    /** The controllers are cores in this process; {@link ProcessWorld} starts its own later. */
+    /** Starts the controllers as cores in this process; {@link ProcessWorld} starts processes of its own later. */
     void startControllers() {
         for (int i = 0; i < simulatedControllers.length; i++) {
             startCore(i);
@@ -181,101 +213,112 @@
         }
     }
 
-    // ---- what happens to it
+    // ---- faults, and requests of tests
 
-    void crash(int i, long ms) {
-        simulatedControllers[i].core = null;
-        simulatedControllers[i].incarnation++;
-        simulatedControllers[i].downUntilMs = nowMs + ms;
+    /** Crashes a controller, which loses all its memory and is started again after {@code ms}. */
+    void crash(int controller, long ms) {
+        simulatedControllers[controller].core = null;
+        simulatedControllers[controller].incarnation++;
+        simulatedControllers[controller].downUntilMs = nowMs + ms;
         schedule(nowMs + ms, () -> {
-            if (simulatedControllers[i].core == null && nowMs >= simulatedControllers[i].downUntilMs) {
-                startCore(i);
+            if (simulatedControllers[controller].core == null
+                    && nowMs >= simulatedControllers[controller].downUntilMs) {
+                startCore(controller);
             }
         });
     }
 
-    /** Cuts a controller off, together with the workers that report to it now. */
-    void isolateWithWorkers(int node) {
-        isolatedController = node;
-        refusedByStore[node] = true;
-        workers.values().stream().filter(m -> m.controllerIndex == node).forEach(m -> isolatedWorkers.add(m.name));
+    /** Isolates a controller, together with the workers that report to it at this moment, from everything else. */
+    void isolateWithWorkers(int controller) {
+        isolatedController = controller;
+        refusedByStore[controller] = true;
+        workers.values().stream()
+                .filter(worker -> worker.controllerIndex == controller)
+                .forEach(worker -> isolatedWorkers.add(worker.name));
         for (int i = 0; i < simulatedControllers.length; i++) {
-            if (i != node) {
-                setPeerLinkDown(node, i, true);
+            if (i != controller) {
+                setPeerLinkDown(controller, i, true);
             }
         }
     }
 
-    /** The end of that. */
+    /** Ends the effect of {@link #isolateWithWorkers}. */
     void endIsolation() {
         setIsolated(isolatedController, false);
         isolatedController = -1;
         isolatedWorkers.clear();
     }
 
-    void setPeerLinkDown(int a, int b, boolean on) {
-        peerLinkDown[a][b] = on;
-        peerLinkDown[b][a] = on;
+    /** Sets whether peer records between two controllers are lost, in both directions. */
+    void setPeerLinkDown(int first, int second, boolean down) {
+        peerLinkDown[first][second] = down;
+        peerLinkDown[second][first] = down;
     }
 
-    /** One direction only: what a sends does not reach b. */
-    void setOneWayPeerLinkDown(int a, int b, boolean on) {
-        peerLinkDown[a][b] = on;
+    /** Sets whether peer records are lost in one direction only. */
+    void setOneWayPeerLinkDown(int sender, int receiver, boolean down) {
+        peerLinkDown[sender][receiver] = down;
     }
 
-    /** What a controller says to the others from now on is held back for so long, and arrives all the same. */
-    void holdPeerRecords(int node, long ms) {
-        peerRecordsHeldUntilMs[node] = nowMs + ms;
+    /** Delays all peer records of a controller until {@code ms} from this call; none is lost. */
+    void holdPeerRecords(int controller, long ms) {
+        peerRecordsHeldUntilMs[controller] = nowMs + ms;
     }
 
-    /** A controller loses the state service and all other controllers, but not its workers and users. */
-    void setIsolated(int node, boolean on) {
-        refusedByStore[node] = on;
+    /** Sets whether a controller is cut off from the state service and all peers; its workers and users still reach it. */
+    void setIsolated(int controller, boolean isolated) {
+        refusedByStore[controller] = isolated;
         for (int i = 0; i < simulatedControllers.length; i++) {
-            if (i != node) {
-                setPeerLinkDown(node, i, on);
+            if (i != controller) {
+                setPeerLinkDown(controller, i, isolated);
             }
         }
     }
 
-    /** A controller stands still while its clocks run on: all that comes to it is held back until it goes on. */
-    void pause(int node, long ms) {
-        simulatedControllers[node].pausedUntilMs = nowMs + ms;
+    /**
+     * Pauses a controller while its clocks go on: requests and peer records wait until the pause ends, replies that
+     * arrive during it are lost.
+     */
+    void pause(int controller, long ms) {
+        simulatedControllers[controller].pausedUntilMs = nowMs + ms;
     }
 
-    private void afterPause(int node, Runnable r) {
-        if (nowMs < simulatedControllers[node].pausedUntilMs) {
-            schedule(simulatedControllers[node].pausedUntilMs, r);
+    private void afterPause(int controller, Runnable action) {
+        if (nowMs < simulatedControllers[controller].pausedUntilMs) {
+            schedule(simulatedControllers[controller].pausedUntilMs, action);
         } else {
-            r.run();
+            action.run();
         }
     }
 
-    /** From its next start on. */
-    void setClockOffset(int node, long offMs) {
-        simulatedControllers[node].wallClockOffsetMs = offMs;
+    /**
+     * Sets by how much a controller's time of day is off. Tests restart the controller right after this call, so that it
+     * starts with the new offset.
+     */
+    void setClockOffset(int controller, long offsetMs) {
+        simulatedControllers[controller].wallClockOffsetMs = offsetMs;
     }
 
-    /** Sends a message of a worker's once more, as a copy that was long on its way; nobody waits for its answer. */
-    void sendDuplicateReport(int node, Map<String, Object> report) {
-        sendRequest(node, "POST", "/hello", MessagePackCodec.encode(report), (s, m) -> {});
+    /** Sends a worker's report once more, as a duplicate that the network delayed; the response is discarded. */
+    void sendDuplicateReport(int controller, Map<String, Object> report) {
+        sendRequest(controller, "POST", "/hello", MessagePackCodec.encode(report), (status, response) -> {});
     }
 
-    /** Copies of all kept reports come to every controller, the oldest first. */
+    /** Sends duplicates of all kept reports to every controller, the oldest first. */
     void replayKeptReportsToAll() {
-        List<byte[]> all = List.copyOf(keptReports);
+        List<byte[]> reports = List.copyOf(keptReports);
         for (int i = 0; i < simulatedControllers.length; i++) {
-            for (byte[] r : all) {
-                sendRequest(i, "POST", "/hello", r, (s, m) -> {});
+            for (byte[] report : reports) {
+                sendRequest(i, "POST", "/hello", report, (status, response) -> {});
             }
         }
     }
 
-    /** The controller that a machine's shard names as its owner. */
-    int ownerOf(FakeWorker w) {
+    /** Returns the controller that owns a machine's shard: the one that accepts a report of the machine; -1: none. */
+    int ownerOf(FakeWorker worker) {
         for (int i = 0; i < simulatedControllers.length; i++) {
             if (simulatedControllers[i].core != null
-                    && requestAndWait(i, "POST", "/hello", FakeWorker.report(w.name, w.zone, 0))
+                    && requestAndWait(i, "POST", "/hello", FakeWorker.report(worker.name, worker.zone, 0))
                             .startsWith("200")) {
                 return i;
             }
@@ -284,30 +327,31 @@
     }
 
     /**
-     * Asks every controller that says it is ready about every accepted job, each again for so long; what got no 200 by then is
-     * forgotten, whoever else is answered.
+     * Polls every controller that is ready about every accepted job, repeatedly until it answers 200 or the time is
+     * over. Returns the pairs of controller and job without an answer: such a job counts as forgotten, also if other
+     * controllers answer.
      */
-    List<String> unansweredJobs(long patienceMs) {
+    List<String> unansweredJobs(long timeoutMs) {
         List<String> open = new ArrayList<>();
         for (int i = 0; i < simulatedControllers.length; i++) {
             if (simulatedControllers[i].core != null
                     && requestAndWait(i, "GET", "/ready", null).startsWith("200")) {
-                for (TrackedJob j : jobs.values()) {
-                    if (j.accepted) {
-                        open.add(i + " " + j.id);
+                for (TrackedJob job : jobs.values()) {
+                    if (job.accepted) {
+                        open.add(i + " " + job.id);
                     }
                 }
             }
         }
-        long end = nowMs + patienceMs;
-        while (!open.isEmpty() && nowMs < end) {
+        long endMs = nowMs + timeoutMs;
+        while (!open.isEmpty() && nowMs < endMs) {
             List<String> answered = new ArrayList<>();
-            for (String x : open) {
-                String id = x.substring(x.indexOf(' ') + 1);
-                int node = Integer.parseInt(x.substring(0, x.indexOf(' ')));
-                sendCheckedRequest(node, AnswerHistory.RequestKind.POLL, jobs.get(id), status -> {
+            for (String pair : open) {
+                String id = pair.substring(pair.indexOf(' ') + 1);
+                int controller = Integer.parseInt(pair.substring(0, pair.indexOf(' ')));
+                sendCheckedRequest(controller, AnswerHistory.RequestKind.POLL, jobs.get(id), status -> {
                     if (status == 200) {
-                        answered.add(x);
+                        answered.add(pair);
                     }
                 });
             }
@@ -317,153 +361,170 @@
         return open;
     }
 
-    /** The description may be changed until time goes on. */
-    Map<String, Object> submit(String id, String shape, int tasks, String rank, boolean spread, boolean oneZone) {
-        TrackedJob j = new TrackedJob();
-        j.id = id;
-        j.taskCount = tasks;
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("name_id", id);
-        m.put("lane", "l-" + shape);
-        m.put("crew", "red");
-        m.put("shape", shape);
-        m.put("rank", rank);
-        m.put("pieces", tasks);
-        m.put("cores", 1.0);
-        m.put("cards", 1.0);
-        m.put("memory_gb", 1.0);
-        m.put("bundle", "img");
-        m.put("size_gb", 1.0);
-        m.put("builds", List.of("g4"));
-        m.put("one_zone", oneZone);
-        m.put("scatter", spread);
-        m.put("loaners", true);
-        m.put("expect_s", shape.equals("standing") ? 0.0 : 8.0);
-        m.put("mark_every_s", 0.0);
-        m.put("mark_take_s", 0.0);
-        j.body = m;
-        j.nextRequestMs = nowMs;
-        jobs.put(id, j);
-        return m;
-    }
-
-    /** A submission as a user would write it. */
+    /** Registers a job whose user submits it when time advances. The returned submission may be changed until then. */
+    Map<String, Object> submit(String id, String shape, int tasks, String priority, boolean spread, boolean oneZone) {
+        TrackedJob job = new TrackedJob();
+        job.id = id;
+        job.taskCount = tasks;
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("name_id", id);
+        body.put("lane", "l-" + shape);
+        body.put("crew", "red");
+        body.put("shape", shape);
+        body.put("rank", priority);
+        body.put("pieces", tasks);
+        body.put("cores", 1.0);
+        body.put("cards", 1.0);
+        body.put("memory_gb", 1.0);
+        body.put("bundle", "img");
+        body.put("size_gb", 1.0);
+        body.put("builds", List.of("g4"));
+        body.put("one_zone", oneZone);
+        body.put("scatter", spread);
+        body.put("loaners", true);
+        body.put("expect_s", shape.equals("standing") ? 0.0 : 8.0);
+        body.put("mark_every_s", 0.0);
+        body.put("mark_take_s", 0.0);
+        job.body = body;
+        job.nextRequestMs = nowMs;
+        jobs.put(id, job);
+        return body;
+    }
+
+    /** Returns a submission as a user would write it. */
     static Map<String, Object> submission(String id, String shape, int tasks, String team) {
-        Map<String, Object> m = birchusher.TestJobs.job();
-        m.put("name_id", id);
-        m.put("shape", shape);
-        m.put("pieces", tasks);
-        m.put("crew", team);
-        return m;
+        Map<String, Object> body = birchusher.TestJobs.job();
+        body.put("name_id", id);
+        body.put("shape", shape);
+        body.put("pieces", tasks);
+        body.put("crew", team);
+        return body;
     }
 
-    /** A job that somebody else submits: its tasks may run, and nobody here polls for it. */
+    /** Registers a job that the test submits by itself: its tasks may run, and no simulated user polls it. */
     void registerUnpolledJob(Map<String, Object> body) {
-        TrackedJob j = new TrackedJob();
-        j.id = (String) body.get("name_id");
-        j.taskCount = ((Number) body.get("pieces")).intValue();
-        j.body = body;
-        j.accepted = true;
-        j.nextRequestMs = Long.MAX_VALUE;
-        jobs.putIfAbsent(j.id, j);
-    }
-
-    /** Sends one request and waits for its answer: the status, then the stage or the orders. */
-    String requestAndWait(int node, String method, String path, Map<String, Object> body) {
-        String[] got = new String[1];
-        sendRequest(node, method, path, body == null ? new byte[0] : MessagePackCodec.encode(body), (status, m) -> {
-            StringBuilder sb = new StringBuilder().append(status);
-            if (m.get("stage") != null) {
-                sb.append(' ').append(m.get("stage"));
-            }
-            if (status == 400 || status == 422) {
-                sb.append(' ').append(m.get("error"));
-            }
-            if (m.get("orders") != null) {
-                for (Object o : asList(m.get("orders"))) {
-                    Map<String, Object> x = Fields.map(o, "order");
-                    sb.append(' ').append(x.get("verb")).append(' ').append(x.get("piece"));
-                }
-            }
-            got[0] = sb.toString();
-        });
-        for (int i = 0; i < 100 && got[0] == null; i++) {
+        TrackedJob job = new TrackedJob();
+        job.id = (String) body.get("name_id");
+        job.taskCount = ((Number) body.get("pieces")).intValue();
+        job.body = body;
+        job.accepted = true;
+        job.nextRequestMs = Long.MAX_VALUE;
+        jobs.putIfAbsent(job.id, job);
+    }
+
+    /**
+     * Sends one request and waits for the answer for up to 5 s. Returns the status, followed by the stage, the error or
+     * the commands; null if there was no answer.
+     */
+    String requestAndWait(int controller, String method, String path, Map<String, Object> body) {
+        String[] answer = new String[1];
+        sendRequest(
+                controller,
+                method,
+                path,
+                body == null ? new byte[0] : MessagePackCodec.encode(body),
+                (status, fields) -> {
+                    StringBuilder text = new StringBuilder().append(status);
+                    if (fields.get("stage") != null) {
+                        text.append(' ').append(fields.get("stage"));
+                    }
+                    if (status == 400 || status == 422) {
+                        text.append(' ').append(fields.get("error"));
+                    }
+                    if (fields.get("orders") != null) {
+                        for (Object item : asList(fields.get("orders"))) {
+                            Map<String, Object> command = Fields.map(item, "order");
+                            text.append(' ')
+                                    .append(command.get("verb"))
+                                    .append(' ')
+                                    .append(command.get("piece"));
+                        }
+                    }
+                    answer[0] = text.toString();
+                });
+        for (int i = 0; i < 100 && answer[0] == null; i++) {
             run(50);
         }
-        return got[0];
+        return answer[0];
     }
 
+    /** Makes the user of a job cancel it with the next request. */
     void requestCancellation(String id) {
         jobs.get(id).cancelRequested = true;
     }
 
-    /** Cancels through one controller; whether it confirmed. */
-    boolean cancelAndWait(int node, String id) {
-        TrackedJob j = jobs.get(id);
-        j.cancelRequested = true;
-        int before = j.history.answerCount();
-        sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, j);
-        for (int i = 0; i < 100 && j.history.answerCount() == before; i++) {
+    /** Cancels through one controller and waits for the answer. Returns whether the cancellation was confirmed. */
+    boolean cancelAndWait(int controller, String id) {
+        TrackedJob job = jobs.get(id);
+        job.cancelRequested = true;
+        int answersBefore = job.history.answerCount();
+        sendCheckedRequest(controller, AnswerHistory.RequestKind.CANCEL, job);
+        for (int i = 0; i < 100 && job.history.answerCount() == answersBefore; i++) {
             run(50);
         }
-        return j.cancelledAtMs >= 0;
+        return job.cancelledAtMs >= 0;
     }
 
+    /** Returns the newest stage of a job that any controller reported to its user, or null. */
     String reportedState(String id) {
         return jobs.get(id).history.lastStage();
     }
 
+    /** Returns whether a controller has confirmed the cancellation of a job. */
     boolean isCancelled(String id) {
         return jobs.get(id).cancelledAtMs >= 0;
     }
 
-    /** The last term given to an owner of workers. */
+    /** Returns the stored row of the last term given to an owner of a shard. */
     String latestTermRow() {
         return store.dump()
                 .lines()
-                .filter(l -> l.startsWith("b/live/term"))
+                .filter(line -> line.startsWith("b/live/term"))
                 .findFirst()
                 .orElseThrow();
     }
 
+    /** Carries out everything that is scheduled for the next {@code ms} of simulated time. */
     void run(long ms) {
-        long end = nowMs + ms;
-        while (!scheduledActions.isEmpty() && scheduledActions.peek().atMs <= end) {
-            ScheduledAction t = scheduledActions.poll();
-            nowMs = Math.max(nowMs, t.atMs);
-            t.action.run();
+        long endMs = nowMs + ms;
+        while (!scheduledActions.isEmpty() && scheduledActions.peek().atMs <= endMs) {
+            ScheduledAction next = scheduledActions.poll();
+            nowMs = Math.max(nowMs, next.atMs);
+            next.action.run();
         }
-        nowMs = end;
+        nowMs = endMs;
     }
 
     // ---- time
 
-    void schedule(long when, Runnable r) {
-        scheduledActions.add(new ScheduledAction(when, nextSequence++, r));
+    /** Schedules an action at a time; actions at the same time run in the order of their scheduling. */
+    void schedule(long atMs, Runnable action) {
+        scheduledActions.add(new ScheduledAction(atMs, nextSequence++, action));
     }
 
-    private void startCore(int i) {
-        Settings s = SettingsReader.read(settingsJson(i).getBytes(StandardCharsets.UTF_8));
-        simulatedControllers[i].core = new Core(s, new Tuning(), nowMs, wallClockMs(i));
-        simulatedControllers[i].incarnation++;
+    private void startCore(int controller) {
+        Settings settings = SettingsReader.read(settingsJson(controller).getBytes(StandardCharsets.UTF_8));
+        simulatedControllers[controller].core = new Core(settings, new Tuning(), nowMs, wallClockMs(controller));
+        simulatedControllers[controller].incarnation++;
     }
 
-    private long wallClockMs(int i) {
-        return 1_700_000_000_000L + nowMs + simulatedControllers[i].wallClockOffsetMs;
+    private long wallClockMs(int controller) {
+        return 1_700_000_000_000L + nowMs + simulatedControllers[controller].wallClockOffsetMs;
     }
 
-    private void tickController(int i) {
-        if (simulatedControllers[i].core != null && nowMs >= simulatedControllers[i].pausedUntilMs) {
-            applyEffects(i, simulatedControllers[i].core.tick(nowMs, wallClockMs(i)));
+    private void tickController(int controller) {
+        if (simulatedControllers[controller].core != null && nowMs >= simulatedControllers[controller].pausedUntilMs) {
+            applyEffects(controller, simulatedControllers[controller].core.tick(nowMs, wallClockMs(controller)));
         }
-        schedule(nowMs + 50, () -> tickController(i));
+        schedule(nowMs + 50, () -> tickController(controller));
     }
 
+    /** Advances the state service, the workers, the gangs and the users every 100 ms, and checks the rules. */
     private void stepStandIns() {
         store.tick(nowMs);
-        for (FakeWorker w : List.copyOf(workers.values())) {
-            if (w.advance(nowMs) && !w.reportInFlight && nowMs >= w.nextReportMs) {
-                sendReport(w);
+        for (FakeWorker worker : List.copyOf(workers.values())) {
+            if (worker.advance(nowMs) && !worker.reportInFlight && nowMs >= worker.nextReportMs) {
+                sendReport(worker);
             }
         }
         jobs.values().forEach(this::stepGang);
@@ -476,168 +537,192 @@
         return random.nextDouble() < messageLossRate;
     }
 
-    /** Mostly a few ms; now and then a message is held back for long and still arrives. */
+    /** Draws the delay of a message: mostly a few ms, for some messages long; they still arrive. */
     private long drawDelayMs() {
         return random.nextDouble() < longDelayRate ? 2_000 + random.nextInt(40_000) : 1 + random.nextInt(8);
     }
 
     // ---- the cores' effects
 
-    private void applyEffects(int i, List<Effect> effects) {
-        int life = simulatedControllers[i].incarnation;
-        for (Effect e : effects) {
-            if (e instanceof Effect.Answer a) {
-                var x = replyHandlers.remove(a.exchange());
-                if (x != null) {
-                    schedule(nowMs + 2, () -> x.accept(a.status(), encodedCopy(a.body())));
+    private void applyEffects(int controller, List<Effect> effects) {
+        int incarnation = simulatedControllers[controller].incarnation;
+        for (Effect effect : effects) {
+            if (effect instanceof Effect.Answer answer) {
+                var handler = replyHandlers.remove(answer.exchange());
+                if (handler != null) {
+                    schedule(nowMs + 2, () -> handler.accept(answer.status(), encodedCopy(answer.body())));
                 }
-            } else if (e instanceof Effect.Send s) {
-                int to = controllerIndex(i, s.peer());
+            } else if (effect instanceof Effect.Send send) {
+                int receiver = controllerIndex(controller, send.peer());
                 if (onPublishedImages != null
-                        && PeerCodec.decode(s.record()).record() instanceof PeerRecord.Heartbeat h) {
-                    h.machines().forEach(m -> onPublishedImages.accept(m.name(), m.cachedImages()));
+                        && PeerCodec.decode(send.record()).record() instanceof PeerRecord.Heartbeat heartbeat) {
+                    heartbeat
+                            .machines()
+                            .forEach(machine -> onPublishedImages.accept(machine.name(), machine.cachedImages()));
                 }
                 if (duplicatePeerRecordRate > 0 && random.nextDouble() < duplicatePeerRecordRate) {
-                    schedule(nowMs + random.nextInt(20_000), () -> deliverPeerRecord(to, s.record()));
+                    schedule(nowMs + random.nextInt(20_000), () -> deliverPeerRecord(receiver, send.record()));
                 }
-                if (!peerLinkDown[i][to] && !drawLoss()) {
+                if (!peerLinkDown[controller][receiver] && !drawLoss()) {
                     schedule(
-                            Math.max(nowMs, peerRecordsHeldUntilMs[i]) + 1 + random.nextInt(3),
-                            () -> afterPause(to, () -> deliverPeerRecord(to, s.record())));
+                            Math.max(nowMs, peerRecordsHeldUntilMs[controller]) + 1 + random.nextInt(3),
+                            () -> afterPause(receiver, () -> deliverPeerRecord(receiver, send.record())));
                 }
-            } else if (e instanceof Effect.Call c) {
-                performCall(i, life, c);
+            } else if (effect instanceof Effect.Call call) {
+                performCall(controller, incarnation, call);
             }
         }
     }
 
-    private void deliverPeerRecord(int to, byte[] record) {
-        if (simulatedControllers[to].core != null) {
-            applyEffects(to, simulatedControllers[to].core.handlePeerRecord(nowMs, wallClockMs(to), record));
+    private void deliverPeerRecord(int receiver, byte[] record) {
+        if (simulatedControllers[receiver].core != null) {
+            applyEffects(
+                    receiver,
+                    simulatedControllers[receiver].core.handlePeerRecord(nowMs, wallClockMs(receiver), record));
         }
     }
 
+    /**
+     * Returns the index of the controller that another one knows as the given peer; peers are numbered from 1 and leave
+     * out the controller itself.
+     */
     private static int controllerIndex(int self, int peer) {
         return peer <= self ? peer - 1 : peer;
     }
 
+    /** Returns a body as its receiver decodes it. */
     @SuppressWarnings("unchecked")
     private static Map<String, Object> encodedCopy(Object body) {
         return body == null ? Map.of() : (Map<String, Object>) MessagePackCodec.decode(MessagePackCodec.encode(body));
     }
 
-    private void performCall(int i, int life, Effect.Call c) {
-        Map<String, Object> body = c.body() == null ? Map.of() : encodedCopy(c.body());
+    /**
+     * Sends a request of a controller; its core gets the reply, or status 0 after the time-out, unless it was restarted
+     * meanwhile.
+     */
+    private void performCall(int controller, int incarnation, Effect.Call call) {
+        Map<String, Object> body = call.body() == null ? Map.of() : encodedCopy(call.body());
         boolean[] answered = new boolean[1];
-        long sentAt = nowMs;
-        java.util.function.BiConsumer<Integer, Map<String, Object>> back = (status, m) -> {
-            if (nowMs < simulatedControllers[i].pausedUntilMs) {
+        long sentAtMs = nowMs;
+        java.util.function.BiConsumer<Integer, Map<String, Object>> replyHandler = (status, reply) -> {
+            if (nowMs < simulatedControllers[controller].pausedUntilMs) {
                 return;
             }
-            if (!answered[0] && simulatedControllers[i].incarnation == life && simulatedControllers[i].core != null) {
+            if (!answered[0]
+                    && simulatedControllers[controller].incarnation == incarnation
+                    && simulatedControllers[controller].core != null) {
                 answered[0] = true;
-                recordMemberLease(i, c, status, sentAt);
+                recordMemberLease(controller, call, status, sentAtMs);
                 applyEffects(
-                        i,
-                        simulatedControllers[i].core.handleReply(
+                        controller,
+                        simulatedControllers[controller].core.handleReply(
                                 nowMs,
-                                wallClockMs(i),
-                                c.id(),
+                                wallClockMs(controller),
+                                call.id(),
                                 status,
-                                m.isEmpty() ? new byte[0] : MessagePackCodec.encode(m)));
+                                reply.isEmpty() ? new byte[0] : MessagePackCodec.encode(reply)));
             }
         };
-        schedule(nowMs + c.timeoutMs(), () -> afterPause(i, () -> back.accept(0, Map.of())));
-        transport(i, c, body, back);
+        schedule(nowMs + call.timeoutMs(), () -> afterPause(controller, () -> replyHandler.accept(0, Map.of())));
+        transport(controller, call, body, replyHandler);
     }
 
-    /** Since when a controller's seat stands for sure, by the lease request that was answered last. */
-    final void recordMemberLease(int i, Effect.Call c, int status, long sentAt) {
-        if (status == 200 && c.path().startsWith("/leases")) {
-            memberLeaseSinceMs[i] = Math.max(memberLeaseSinceMs[i], sentAt);
+    /** Records from when a controller certainly holds its member lease, by the last lease request that succeeded. */
+    final void recordMemberLease(int controller, Effect.Call call, int status, long sentAtMs) {
+        if (status == 200 && call.path().startsWith("/leases")) {
+            memberLeaseSinceMs[controller] = Math.max(memberLeaseSinceMs[controller], sentAtMs);
         }
     }
 
     /**
-     * Takes a controller's request to whom it is for and the answer back, or loses, holds and refuses them as the troubles say.
-     * Whose request to a worker it is need not be known: -1.
+     * Carries a controller's request to its destination and the reply back, or loses, delays or rejects them according
+     * to the faults in effect. For requests to a worker, the index of the controller may be unknown: -1.
      */
     final void transport(
-            int i,
-            Effect.Call c,
+            int controller,
+            Effect.Call call,
             Map<String, Object> body,
-            java.util.function.BiConsumer<Integer, Map<String, Object>> back) {
+            java.util.function.BiConsumer<Integer, Map<String, Object>> replyHandler) {
         if (drawLoss()) {
             return;
         }
-        if (c.destination() == Effect.Destination.WORKER && i >= 0 && cutOffFromWorkers[i]) {
+        if (call.destination() == Effect.Destination.WORKER && controller >= 0 && cutOffFromWorkers[controller]) {
             return;
         }
-        if (c.destination() == Effect.Destination.WORKER
-                && i != isolatedController
-                && isolatedWorkers.contains(c.address().split(":")[0])) {
+        if (call.destination() == Effect.Destination.WORKER
+                && controller != isolatedController
+                && isolatedWorkers.contains(call.address().split(":")[0])) {
             return;
         }
-        boolean store = c.destination() == Effect.Destination.STORE || c.destination() == Effect.Destination.WATCH;
-        if (store && refusedByStore[i]) {
-            schedule(nowMs + 2, () -> back.accept(503, Map.of()));
+        boolean toStore =
+                call.destination() == Effect.Destination.STORE || call.destination() == Effect.Destination.WATCH;
+        if (toStore && refusedByStore[controller]) {
+            schedule(nowMs + 2, () -> replyHandler.accept(503, Map.of()));
             return;
         }
-        if (lateTransactionRate > 0 && c.path().equals("/multi") && random.nextDouble() < lateTransactionRate) {
-            schedule(nowMs + 2_000 + random.nextInt(10_000), () -> dispatchCall(c, body, (status, m) -> {}));
+        if (lateTransactionRate > 0 && call.path().equals("/multi") && random.nextDouble() < lateTransactionRate) {
+            schedule(nowMs + 2_000 + random.nextInt(10_000), () -> dispatchCall(call, body, (status, reply) -> {}));
             return;
         }
         if (lostTransactionReplyRate > 0
-                && c.path().equals("/multi")
+                && call.path().equals("/multi")
                 && random.nextDouble() < lostTransactionReplyRate) {
-            schedule(nowMs + 1, () -> dispatchCall(c, body, (status, m) -> {}));
+            schedule(nowMs + 1, () -> dispatchCall(call, body, (status, reply) -> {}));
             return;
         }
-        long held =
-                c.destination() == Effect.Destination.WORKER ? directCommandDelayMs + commandDelayMs(c.address()) : 0;
-        held += store && maxExtraStoreDelayMs > 0 ? random.nextInt(maxExtraStoreDelayMs) : 0;
-        int answerMs = c.destination() == Effect.Destination.CLOUD && maxCloudReplyDelayMs > 0
+        long delayMs = call.destination() == Effect.Destination.WORKER
+                ? directCommandDelayMs + commandDelayMs(call.address())
+                : 0;
+        delayMs += toStore && maxExtraStoreDelayMs > 0 ? random.nextInt(maxExtraStoreDelayMs) : 0;
+        int replyDelayMs = call.destination() == Effect.Destination.CLOUD && maxCloudReplyDelayMs > 0
                 ? random.nextInt(maxCloudReplyDelayMs)
                 : 0;
         schedule(
-                nowMs + drawDelayMs() + held,
-                () -> dispatchCall(c, body, (status, m) -> {
-                    if (!drawLoss() && (c.destination() == Effect.Destination.WATCH || !(store && refusedByStore[i]))) {
-                        Map<String, Object> copy = encodedCopy(m);
-                        boolean watch = c.path().startsWith("/watch");
+                nowMs + drawDelayMs() + delayMs,
+                () -> dispatchCall(call, body, (status, reply) -> {
+                    if (!drawLoss()
+                            && (call.destination() == Effect.Destination.WATCH
+                                    || !(toStore && refusedByStore[controller]))) {
+                        Map<String, Object> replyCopy = encodedCopy(reply);
+                        boolean isWatch = call.path().startsWith("/watch");
                         schedule(
-                                nowMs + answerMs + 1 + random.nextInt(5),
-                                watch
-                                        ? () -> answerWatch(i, () -> back.accept(status, copy))
-                                        : () -> back.accept(status, copy));
+                                nowMs + replyDelayMs + 1 + random.nextInt(5),
+                                isWatch
+                                        ? () -> answerWatch(controller, () -> replyHandler.accept(status, replyCopy))
+                                        : () -> replyHandler.accept(status, replyCopy));
                     }
                 }));
     }
 
-    /** An open watch of a controller that is refused stays open, and then tells at once what it would have told by then. */
-    private void answerWatch(int i, Runnable answer) {
-        if (refusedByStore[i] || storeReadsHeld || viewLagging[i]) {
-            schedule(nowMs + 100, () -> answerWatch(i, answer));
+    /**
+     * Answers a watch. While the requests of its controller are refused or its reads are held back the watch stays
+     * open; afterwards it is answered at once with what it would have been answered before.
+     */
+    private void answerWatch(int controller, Runnable answer) {
+        if (refusedByStore[controller] || storeReadsHeld || viewLagging[controller]) {
+            schedule(nowMs + 100, () -> answerWatch(controller, answer));
         } else {
             answer.run();
         }
     }
 
     private void dispatchCall(
-            Effect.Call c,
+            Effect.Call call,
             Map<String, Object> body,
-            java.util.function.BiConsumer<Integer, Map<String, Object>> reply) {
-        switch (c.destination()) {
-            case STORE, WATCH -> store.handle(nowMs, c.method(), c.path(), body, reply);
-            case CLOUD -> handleCloudRequest(c.path(), body, reply);
-            default -> handleDirectCommand(c.address(), c.path(), body, reply);
+            java.util.function.BiConsumer<Integer, Map<String, Object>> replyHandler) {
+        switch (call.destination()) {
+            case STORE, WATCH -> store.handle(nowMs, call.method(), call.path(), body, replyHandler);
+            case CLOUD -> handleCloudRequest(call.path(), body, replyHandler);
+            default -> handleDirectCommand(call.address(), call.path(), body, replyHandler);
         }
     }
 
     private void handleCloudRequest(
-            String path, Map<String, Object> body, java.util.function.BiConsumer<Integer, Map<String, Object>> reply) {
+            String path,
+            Map<String, Object> body,
+            java.util.function.BiConsumer<Integer, Map<String, Object>> replyHandler) {
         if (path.equals("/machine_types")) {
-            reply.accept(
+            replyHandler.accept(
                     200,
                     Map.of(
                             "builds",
@@ -661,20 +746,20 @@
                                             "ready_s",
                                             10.0))
                                     .stream()
-                                    .map(m -> {
-                                        Map<String, Object> x = new HashMap<>(m);
-                                        x.put("groves", List.of(ZONES));
-                                        return (Object) x;
+                                    .map(machineType -> {
+                                        Map<String, Object> fields = new HashMap<>(machineType);
+                                        fields.put("groves", List.of(ZONES));
+                                        return (Object) fields;
                                     })
                                     .toList()));
         } else if (path.equals("/rentals")) {
-            List<Object> hosts = machinesByRentalRequest.computeIfAbsent((String) body.get("ask"), k -> {
-                List<Object> l = new ArrayList<>();
-                for (long n = (Long) body.get("how_many");
-                        n > 0 && workers.size() < (maxMachines > 0 ? maxMachines : Math.max(40, teamGpuLimit));
-                        n--) {
+            List<Object> hosts = machinesByRentalRequest.computeIfAbsent((String) body.get("ask"), request -> {
+                List<Object> names = new ArrayList<>();
+                for (long remaining = (Long) body.get("how_many");
+                        remaining > 0 && workers.size() < (maxMachines > 0 ? maxMachines : Math.max(40, teamGpuLimit));
+                        remaining--) {
                     String name = String.format("n-%06d", nextMachineNumber++);
-                    l.add(name);
+                    names.add(name);
                     workers.put(
                             name,
                             new FakeWorker(
@@ -690,409 +775,441 @@
                                                             : Math.round(bootTimeFactor
                                                                     * (4_000 + random.nextInt(9_000))))));
                     machineRented++;
-                    machineRented(workers.get(name));
+                    onMachineRented(workers.get(name));
                 }
-                return l;
+                return names;
             });
-            reply.accept(200, Map.of("hosts", hosts));
+            replyHandler.accept(200, Map.of("hosts", hosts));
         } else if (path.equals("/rentals/delete") && cloudRefusesDeletions) {
-            reply.accept(503, Map.of("error", "trouble"));
+            replyHandler.accept(503, Map.of("error", "trouble"));
         } else if (path.equals("/rentals/delete")) {
-            Fields.list(body, "hosts").forEach(h -> {
-                FakeWorker w = workers.remove(h);
-                if (w != null) {
-                    w.deleted = true;
-                    machinesReturnedWithTasks += nowMs >= w.hungUntilMs
-                                    && w.holdsLease(nowMs)
-                                    && w.tasks.values().stream().anyMatch(t -> !t.exited())
+            Fields.list(body, "hosts").forEach(host -> {
+                FakeWorker worker = workers.remove(host);
+                if (worker != null) {
+                    worker.deleted = true;
+                    machinesReturnedWithTasks += nowMs >= worker.hungUntilMs
+                                    && worker.holdsLease(nowMs)
+                                    && worker.tasks.values().stream().anyMatch(task -> !task.exited())
                             ? 1
                             : 0;
                 }
             });
-            reply.accept(200, Map.of());
+            replyHandler.accept(200, Map.of());
         } else {
-            reply.accept(200, Map.of("hosts", List.of(), "has_next", false));
+            replyHandler.accept(200, Map.of("hosts", List.of(), "has_next", false));
         }
     }
 
     private long commandDelayMs(String address) {
-        FakeWorker w = workers.get(address.substring(0, address.indexOf(':')));
-        return w == null ? 0 : w.commandDelayMs;
+        FakeWorker worker = workers.get(address.substring(0, address.indexOf(':')));
+        return worker == null ? 0 : worker.commandDelayMs;
     }
 
-    /** A machine was rented. */
-    void machineRented(FakeWorker worker) {}
+    /** Called for each machine that is rented. */
+    void onMachineRented(FakeWorker worker) {}
 
-    /** A command sent straight to a worker; one that hangs carries it out when it goes on. */
+    /** Handles a command sent directly to a worker; a hung worker executes it when it resumes. */
     private void handleDirectCommand(
             String address,
             String path,
             Map<String, Object> body,
-            java.util.function.BiConsumer<Integer, Map<String, Object>> reply) {
-        FakeWorker w = workers.get(address.substring(0, address.indexOf(':')));
-        if (w == null || w.cannotReceive) {
+            java.util.function.BiConsumer<Integer, Map<String, Object>> replyHandler) {
+        FakeWorker worker = workers.get(address.substring(0, address.indexOf(':')));
+        if (worker == null || worker.cannotReceive) {
             return;
         }
-        if (!w.advance(nowMs)) {
-            if (!w.deleted) {
-                schedule(Math.max(nowMs + 100, w.hungUntilMs), () -> handleDirectCommand(address, path, body, reply));
+        if (!worker.advance(nowMs)) {
+            if (!worker.deleted) {
+                schedule(
+                        Math.max(nowMs + 100, worker.hungUntilMs),
+                        () -> handleDirectCommand(address, path, body, replyHandler));
             }
             return;
         }
         if (path.equals("/show")) {
-            reply.accept(200, w.report());
+            replyHandler.accept(200, worker.report());
             return;
         }
-        long token = (Long) body.get("baton");
-        if (token < w.fencingToken || (Long) body.get("tenure") != w.session) {
-            reply.accept(409, w.report());
+        long fencingToken = (Long) body.get("baton");
+        if (fencingToken < worker.fencingToken || (Long) body.get("tenure") != worker.session) {
+            replyHandler.accept(409, worker.report());
             return;
         }
-        w.fencingToken = token;
-        w.execute(asList(body.get("orders")), nowMs);
-        reply.accept(200, w.report());
+        worker.fencingToken = fencingToken;
+        worker.execute(asList(body.get("orders")), nowMs);
+        replyHandler.accept(200, worker.report());
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Object> asList(Object o) {
-        return (List<Object>) o;
+    private static List<Object> asList(Object value) {
+        return (List<Object>) value;
     }
 
     // ---- workers
 
-    private void sendReport(FakeWorker w) {
-        w.reportInFlight = true;
-        w.nextReportMs = nowMs + 3_000;
-        long sent = nowMs;
-        long session = w.session;
-        byte[] report = MessagePackCodec.encode(w.report());
-        int to = w.controllerIndex;
+    /** Sends a report of a worker, under the faults in effect, and lets the worker process the response. */
+    private void sendReport(FakeWorker worker) {
+        worker.reportInFlight = true;
+        worker.nextReportMs = nowMs + 3_000;
+        long sentAtMs = nowMs;
+        long session = worker.session;
+        byte[] report = MessagePackCodec.encode(worker.report());
+        int controller = worker.controllerIndex;
         if (keepReports && keptReports.size() < 600) {
             keptReports.add(report);
         }
-        boolean[] over = new boolean[1];
-        long[] answeredAt = {nowMs};
-        java.util.function.BiConsumer<Integer, Map<String, Object>> back = (status, m) -> {
-            if (over[0]) {
+        boolean[] completed = new boolean[1];
+        long[] answeredAtMs = {nowMs};
+        java.util.function.BiConsumer<Integer, Map<String, Object>> responseHandler = (status, response) -> {
+            if (completed[0]) {
                 return;
             }
-            over[0] = true;
-            w.reportInFlight = false;
-            if (!w.advance(nowMs) || w.session != session) {
+            completed[0] = true;
+            worker.reportInFlight = false;
+            if (!worker.advance(nowMs) || worker.session != session) {
                 return;
             }
-            if (status == 200 && answeredAt[0] - memberLeaseSinceMs[to] > MEMBER_LEASE_MS) {
-                violations.add("answered a worker without a seat: perch-" + to);
+            if (status == 200 && answeredAtMs[0] - memberLeaseSinceMs[controller] > MEMBER_LEASE_MS) {
+                violations.add("controller answered a worker without holding its member lease: perch-" + controller);
             }
             if (status == 200) {
-                long token = m.get("baton") == null ? -1 : (Long) m.get("baton");
-                if (token >= w.fencingToken) {
-                    if (token > w.fencingToken) {
-                        w.tokenChanged(nowMs);
+                long fencingToken = response.get("baton") == null ? -1 : (Long) response.get("baton");
+                if (fencingToken >= worker.fencingToken) {
+                    if (fencingToken > worker.fencingToken) {
+                        worker.tokenChanged(nowMs);
                     }
-                    w.fencingToken = token;
-                    w.leaseStartMs = sent;
-                    w.execute(asList(m.get("orders")), nowMs);
-                    w.nextReportMs = Math.max(w.nextReportMs, sent + 500);
+                    worker.fencingToken = fencingToken;
+                    worker.leaseStartMs = sentAtMs;
+                    worker.execute(asList(response.get("orders")), nowMs);
+                    worker.nextReportMs = Math.max(worker.nextReportMs, sentAtMs + 500);
                 }
-            } else if (status == 421 && m.get("usher") != null) {
-                w.controllerIndex = Integer.parseInt(((String) m.get("usher")).substring(6));
-                w.nextReportMs = nowMs + 200;
+            } else if (status == 421 && response.get("usher") != null) {
+                worker.controllerIndex = Integer.parseInt(((String) response.get("usher")).substring(6));
+                worker.nextReportMs = nowMs + 200;
             } else {
-                w.controllerIndex = (w.controllerIndex + 1) % simulatedControllers.length;
-                w.nextReportMs = nowMs + 1_000;
+                worker.controllerIndex = (worker.controllerIndex + 1) % simulatedControllers.length;
+                worker.nextReportMs = nowMs + 1_000;
             }
         };
-        schedule(nowMs + 4_000, () -> back.accept(0, Map.of()));
+        schedule(nowMs + 4_000, () -> responseHandler.accept(0, Map.of()));
         if (duplicateReportRate > 0 && random.nextDouble() < duplicateReportRate) {
             schedule(
                     nowMs + 1_000 + random.nextInt(60_000),
-                    () -> sendRequest(to, "POST", "/hello", report, (s, m) -> {}));
+                    () -> sendRequest(controller, "POST", "/hello", report, (status, response) -> {}));
         }
         if (!drawLoss()
-                && !w.cannotReport
-                && !cutOffFromWorkers[to]
-                && (to == isolatedController || !isolatedWorkers.contains(w.name))) {
+                && !worker.cannotReport
+                && !cutOffFromWorkers[controller]
+                && (controller == isolatedController || !isolatedWorkers.contains(worker.name))) {
             schedule(
-                    nowMs + w.reportDelayMs + drawDelayMs(),
-                    () -> sendRequest(to, "POST", "/hello", report, (s, m) -> {
-                        answeredAt[0] = nowMs;
-                        if (w.connectionsResetBy.contains(to)) {
-                            back.accept(0, Map.of());
-                        } else if (!drawLoss() && !w.cannotReceive) {
+                    nowMs + worker.reportDelayMs + drawDelayMs(),
+                    () -> sendRequest(controller, "POST", "/hello", report, (status, response) -> {
+                        answeredAtMs[0] = nowMs;
+                        if (worker.connectionsResetBy.contains(controller)) {
+                            responseHandler.accept(0, Map.of());
+                        } else if (!drawLoss() && !worker.cannotReceive) {
                             schedule(
                                     nowMs
                                             + 2
                                             + (lateResponseRate > 0 && random.nextDouble() < lateResponseRate
                                                     ? random.nextInt(3_900)
                                                     : 0),
-                                    () -> back.accept(s, m));
+                                    () -> responseHandler.accept(status, response));
                         }
                     }));
         }
     }
 
+    /**
+     * Sends a request to a controller. While the controller is paused the request waits; while it is down there is no
+     * answer.
+     */
     void sendRequest(
-            int node,
+            int controller,
             String method,
             String path,
             byte[] body,
-            java.util.function.BiConsumer<Integer, Map<String, Object>> reply) {
-        if (nowMs < simulatedControllers[node].pausedUntilMs) {
-            schedule(simulatedControllers[node].pausedUntilMs, () -> sendRequest(node, method, path, body, reply));
-        } else if (simulatedControllers[node].core != null) {
-            long x = nextExchangeId++;
-            replyHandlers.put(x, reply);
+            java.util.function.BiConsumer<Integer, Map<String, Object>> replyHandler) {
+        if (nowMs < simulatedControllers[controller].pausedUntilMs) {
+            schedule(
+                    simulatedControllers[controller].pausedUntilMs,
+                    () -> sendRequest(controller, method, path, body, replyHandler));
+        } else if (simulatedControllers[controller].core != null) {
+            long id = nextExchangeId++;
+            replyHandlers.put(id, replyHandler);
             applyEffects(
-                    node,
-                    simulatedControllers[node].core.handleRequest(nowMs, wallClockMs(node), x, method, path, body));
+                    controller,
+                    simulatedControllers[controller].core.handleRequest(
+                            nowMs, wallClockMs(controller), id, method, path, body));
         }
     }
 
     // ---- users
 
-    private void sendNextUserRequest(TrackedJob j) {
-        if (nowMs < j.nextRequestMs) {
+    /** Sends the next request of a job's user to a drawn controller: submit, cancel or poll. */
+    private void sendNextUserRequest(TrackedJob job) {
+        if (nowMs < job.nextRequestMs) {
             return;
         }
-        j.nextRequestMs = nowMs + 1_500;
-        int node = random.nextInt(simulatedControllers.length);
-        if (!j.accepted) {
-            sendCheckedRequest(node, AnswerHistory.RequestKind.SUBMIT, j);
-        } else if (j.cancelRequested && j.cancelledAtMs < 0) {
-            sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, j);
+        job.nextRequestMs = nowMs + 1_500;
+        int controller = random.nextInt(simulatedControllers.length);
+        if (!job.accepted) {
+            sendCheckedRequest(controller, AnswerHistory.RequestKind.SUBMIT, job);
+        } else if (job.cancelRequested && job.cancelledAtMs < 0) {
+            sendCheckedRequest(controller, AnswerHistory.RequestKind.CANCEL, job);
         } else {
-            sendCheckedRequest(node, AnswerHistory.RequestKind.POLL, j);
-            sendRequest(node, "GET", "/v2/runs/wk-nobody", new byte[0], (s, m) -> {
-                if (s == 200) {
+            sendCheckedRequest(controller, AnswerHistory.RequestKind.POLL, job);
+            sendRequest(controller, "GET", "/v2/runs/wk-nobody", new byte[0], (status, answer) -> {
+                if (status == 200) {
                     violations.add("invented");
                 }
             });
         }
     }
 
-    /** One request of a user's about a job, its answer held against all that was told before it was sent. */
-    private void sendCheckedRequest(int node, AnswerHistory.RequestKind kind, TrackedJob j) {
-        sendCheckedRequest(node, kind, j, status -> {});
+    /** Sends a user's request about a job and checks the answer against all that was reported before it was sent. */
+    private void sendCheckedRequest(int controller, AnswerHistory.RequestKind kind, TrackedJob job) {
+        sendCheckedRequest(controller, kind, job, status -> {});
     }
 
     private void sendCheckedRequest(
-            int node, AnswerHistory.RequestKind kind, TrackedJob j, java.util.function.IntConsumer then) {
-        AnswerHistory.SentRequest q = j.history.requestSent(kind);
+            int controller,
+            AnswerHistory.RequestKind kind,
+            TrackedJob job,
+            java.util.function.IntConsumer statusHandler) {
+        AnswerHistory.SentRequest request = job.history.requestSent(kind);
         String path = "/v2/runs"
                 + (kind == AnswerHistory.RequestKind.SUBMIT
                         ? ""
-                        : "/" + j.id + (kind == AnswerHistory.RequestKind.CANCEL ? "/withdraw" : ""));
-        byte[] body = kind == AnswerHistory.RequestKind.SUBMIT ? MessagePackCodec.encode(j.body) : new byte[0];
-        sendRequest(node, kind == AnswerHistory.RequestKind.POLL ? "GET" : "POST", path, body, (s, m) -> {
-            String before = j.history.lastStage();
-            String wrong = j.history.checkAnswer(q, s, (String) m.get("stage"));
-            if (wrong != null) {
-                violations.add(wrong + ": " + j.id + " by perch-" + node);
-            }
-            if (s == 200 || s == 201) {
-                j.accepted = true;
-                checkReportedStage(j, (String) m.get("stage"));
-            }
-            boolean news = before == null
-                    ? j.history.lastStage() != null
-                    : j.history.hasEnded() && !before.equals(j.history.lastStage());
-            if (recheckAtAllControllers && news) {
-                requestAtAllControllers(j);
-            }
-            then.accept(s);
-        });
+                        : "/" + job.id + (kind == AnswerHistory.RequestKind.CANCEL ? "/withdraw" : ""));
+        byte[] body = kind == AnswerHistory.RequestKind.SUBMIT ? MessagePackCodec.encode(job.body) : new byte[0];
+        sendRequest(
+                controller, kind == AnswerHistory.RequestKind.POLL ? "GET" : "POST", path, body, (status, answer) -> {
+                    String stageBefore = job.history.lastStage();
+                    String violation = job.history.checkAnswer(request, status, (String) answer.get("stage"));
+                    if (violation != null) {
+                        violations.add(violation + ": " + job.id + " by perch-" + controller);
+                    }
+                    if (status == 200 || status == 201) {
+                        job.accepted = true;
+                        checkReportedStage(job, (String) answer.get("stage"));
+                    }
+                    boolean changed = stageBefore == null
+                            ? job.history.lastStage() != null
+                            : job.history.hasEnded() && !stageBefore.equals(job.history.lastStage());
+                    if (recheckAtAllControllers && changed) {
+                        requestAtAllControllers(job);
+                    }
+                    statusHandler.accept(status);
+                });
     }
 
-    /** Asks all controllers about a job, each three times within 20 ms. */
+    /** Polls all controllers about a job, each three times within 20 ms, and submits it again. */
     void recheckEverywhere(String id) {
         requestAtAllControllers(jobs.get(id));
     }
 
     /** Cancels through one controller without waiting for the answer. */
-    void sendCancellation(int node, String id) {
+    void sendCancellation(int controller, String id) {
         jobs.get(id).cancelRequested = true;
-        sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, jobs.get(id));
+        sendCheckedRequest(controller, AnswerHistory.RequestKind.CANCEL, jobs.get(id));
     }
 
-    /** Ends a job's running tasks now; the machine that had the last of them, or null if none runs. */
+    /** Ends a job's running tasks at once. Returns the machine of the last of them, or null if none was running. */
     FakeWorker endRunningTasks(String id) {
         FakeWorker last = null;
-        for (FakeWorker w : workers.values()) {
-            for (FakeWorker.Task t : w.tasks.values()) {
-                if (t.key.startsWith(id + "/") && t.stage.equals("running")) {
-                    t.phaseEndsMs = nowMs;
-                    last = w;
+        for (FakeWorker worker : workers.values()) {
+            for (FakeWorker.Task task : worker.tasks.values()) {
+                if (task.key.startsWith(id + "/") && task.stage.equals("running")) {
+                    task.phaseEndsMs = nowMs;
+                    last = worker;
                 }
             }
         }
         return last;
     }
 
-    private void requestAtAllControllers(TrackedJob j) {
+    private void requestAtAllControllers(TrackedJob job) {
         for (int i = 0; i < simulatedControllers.length; i++) {
-            int node = i;
-            for (int ms : new int[] {0, 1 + random.nextInt(4), 20}) {
-                schedule(nowMs + ms, () -> sendCheckedRequest(node, AnswerHistory.RequestKind.POLL, j));
+            int controller = i;
+            for (int delayMs : new int[] {0, 1 + random.nextInt(4), 20}) {
+                schedule(nowMs + delayMs, () -> sendCheckedRequest(controller, AnswerHistory.RequestKind.POLL, job));
             }
-            schedule(nowMs + random.nextInt(6), () -> sendCheckedRequest(node, AnswerHistory.RequestKind.SUBMIT, j));
-            if (j.cancelRequested) {
+            schedule(
+                    nowMs + random.nextInt(6),
+                    () -> sendCheckedRequest(controller, AnswerHistory.RequestKind.SUBMIT, job));
+            if (job.cancelRequested) {
                 schedule(
-                        nowMs + random.nextInt(6), () -> sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, j));
+                        nowMs + random.nextInt(6),
+                        () -> sendCheckedRequest(controller, AnswerHistory.RequestKind.CANCEL, job));
             }
         }
     }
 
-    private void checkReportedStage(TrackedJob j, String stage) {
+    /** Checks a reported final stage against what the user asked for and what the tasks did. */
+    private void checkReportedStage(TrackedJob job, String stage) {
         if ("cancelled".equals(stage)) {
-            if (!j.cancelRequested) {
-                violations.add("went_back: " + j.id + " cancelled by nobody");
+            if (!job.cancelRequested) {
+                violations.add("went_back: " + job.id + " reported as cancelled without a request");
             }
-            j.cancelledAtMs = j.cancelledAtMs < 0 ? nowMs : j.cancelledAtMs;
+            job.cancelledAtMs = job.cancelledAtMs < 0 ? nowMs : job.cancelledAtMs;
         }
-        if ("done".equals(stage) && taskFinished.getOrDefault(j.id, 0) < j.taskCount) {
-            violations.add("not_done: " + j.id);
+        if ("done".equals(stage) && finishedTaskCounts.getOrDefault(job.id, 0) < job.taskCount) {
+            violations.add("not_done: " + job.id);
         }
     }
 
-    /** How long a task takes to save when it is stopped; 0: it can't. */
+    /** Returns how many seconds a task takes to save a checkpoint when it is stopped; 0: it saves none. */
     double checkpointSaveS(String key) {
         Map<String, Object> body = jobs.get(key.substring(0, key.indexOf('/'))).body;
         return (Double) body.get("mark_every_s") > 0 ? (Double) body.get("mark_take_s") : 0;
     }
 
-    /** Tasks of a job on machines, whatever they do there. */
+    /** Returns the number of tasks of a job that are on machines and have not exited, whatever their stage. */
     long unfinishedTaskCount(String id) {
         return workers.values().stream()
-                .filter(w -> w.holdsLease(nowMs))
-                .flatMap(w -> w.tasks.values().stream())
-                .filter(t -> t.key.startsWith(id + "/") && !t.exited())
+                .filter(worker -> worker.holdsLease(nowMs))
+                .flatMap(worker -> worker.tasks.values().stream())
+                .filter(task -> task.key.startsWith(id + "/") && !task.exited())
                 .count();
     }
 
+    /** Returns the number of GPUs that a task needs. */
     double gpusNeeded(String key) {
         return (Double) jobs.get(key.substring(0, key.indexOf('/'))).body.get("cards");
     }
 
     // ---- gangs
 
+    /** Returns whether a task belongs to a gang. */
     boolean isGang(String key) {
         return "gang".equals(jobs.get(key.substring(0, key.indexOf('/'))).body.get("shape"));
     }
 
-    /** Tasks of one attempt start together, end together, and give up when one of them is gone. */
-    private void stepGang(TrackedJob j) {
-        if (!"gang".equals(j.body.get("shape"))) {
+    /** Advances a gang: the tasks of one attempt start together, end together, and all exit when one of them is missing. */
+    private void stepGang(TrackedJob job) {
+        if (!"gang".equals(job.body.get("shape"))) {
             return;
         }
-        Map<Long, List<FakeWorker.Task>> attempts = new HashMap<>();
-        for (FakeWorker w : workers.values()) {
-            for (FakeWorker.Task t : w.tasks.values()) {
-                if (w.holdsLease(nowMs)
-                        && nowMs >= w.hungUntilMs
-                        && t.key.startsWith(j.id + "/")
-                        && (t.stage.equals("waiting") || t.stage.equals("running"))) {
-                    attempts.computeIfAbsent(t.attempt, k -> new ArrayList<>()).add(t);
+        Map<Long, List<FakeWorker.Task>> tasksByAttempt = new HashMap<>();
+        for (FakeWorker worker : workers.values()) {
+            for (FakeWorker.Task task : worker.tasks.values()) {
+                if (worker.holdsLease(nowMs)
+                        && nowMs >= worker.hungUntilMs
+                        && task.key.startsWith(job.id + "/")
+                        && (task.stage.equals("waiting") || task.stage.equals("running"))) {
+                    tasksByAttempt
+                            .computeIfAbsent(task.attempt, attempt -> new ArrayList<>())
+                            .add(task);
                 }
             }
         }
-        attempts.values().forEach(l -> {
-            boolean running = l.stream().anyMatch(t -> t.stage.equals("running"));
-            if (running && l.size() < j.taskCount) {
-                exitAll(l, "mates_gone");
-            } else if (running && nowMs >= l.get(0).phaseEndsMs
-                    || !running && l.size() == j.taskCount && finishedTasks.contains(l.get(0).key)) {
-                l.forEach(t -> taskFinished(t.key));
-                exitAll(l, "done");
-            } else if (!running && l.size() == j.taskCount) {
-                long until = nowMs + 8_000;
-                l.forEach(t -> {
-                    t.stage = "running";
-                    t.phaseEndsMs = until;
+        tasksByAttempt.values().forEach(tasks -> {
+            boolean running = tasks.stream().anyMatch(task -> task.stage.equals("running"));
+            if (running && tasks.size() < job.taskCount) {
+                exitAll(tasks, "mates_gone");
+            } else if (running && nowMs >= tasks.get(0).phaseEndsMs
+                    || !running && tasks.size() == job.taskCount && finishedTasks.contains(tasks.get(0).key)) {
+                tasks.forEach(task -> taskFinished(task.key));
+                exitAll(tasks, "done");
+            } else if (!running && tasks.size() == job.taskCount) {
+                long endMs = nowMs + 8_000;
+                tasks.forEach(task -> {
+                    task.stage = "running";
+                    task.phaseEndsMs = endMs;
                 });
             }
         });
     }
 
-    private static void exitAll(List<FakeWorker.Task> tasks, String why) {
-        tasks.forEach(t -> {
-            t.stage = "exited";
-            t.cause = why;
+    private static void exitAll(List<FakeWorker.Task> tasks, String cause) {
+        tasks.forEach(task -> {
+            task.stage = "exited";
+            task.cause = cause;
         });
     }
 
-    // ---- the rules
+    // ---- safety rules
 
     private final java.util.Set<String> finishedTasks = new java.util.HashSet<>();
 
+    /** Records that a task has finished; the end of a job's last task may make its user cancel the job. */
     void taskFinished(String key) {
         if (finishedTasks.add(key)) {
-            TrackedJob j = jobs.get(key.substring(0, key.indexOf('/')));
-            int n = taskFinished.merge(j.id, 1, Integer::sum);
-            if (cancelAtCompletionRate > 0 && n == j.taskCount && random.nextDouble() < cancelAtCompletionRate) {
-                j.cancelRequested = true;
-                int node = random.nextInt(simulatedControllers.length);
+            TrackedJob job = jobs.get(key.substring(0, key.indexOf('/')));
+            int finishedCount = finishedTaskCounts.merge(job.id, 1, Integer::sum);
+            if (cancelAtCompletionRate > 0
+                    && finishedCount == job.taskCount
+                    && random.nextDouble() < cancelAtCompletionRate) {
+                job.cancelRequested = true;
+                int controller = random.nextInt(simulatedControllers.length);
                 schedule(
                         nowMs + random.nextInt(1_500),
-                        () -> sendCheckedRequest(node, AnswerHistory.RequestKind.CANCEL, j));
+                        () -> sendCheckedRequest(controller, AnswerHistory.RequestKind.CANCEL, job));
             }
         }
     }
 
+    /**
+     * Returns the run time of a task: as set by a test, endless for a service, 1 ms for a task that had finished before,
+     * otherwise drawn.
+     */
     long runTimeMs(String key) {
-        TrackedJob j = jobs.get(key.substring(0, key.indexOf('/')));
+        TrackedJob job = jobs.get(key.substring(0, key.indexOf('/')));
         if (fixedRunTimesMs.containsKey(key) && !finishedTasks.contains(key)) {
             return fixedRunTimesMs.get(key);
         }
-        return "standing".equals(j.body.get("shape"))
+        return "standing".equals(job.body.get("shape"))
                 ? Long.MAX_VALUE / 4
                 : finishedTasks.contains(key) ? 1 : 4_000 + random.nextInt(8_000);
     }
 
-    void taskStarted(FakeWorker w, FakeWorker.Task t) {
+    /** Records the start of a task, and checks that it runs once, in the right zone and not long after a cancellation. */
+    void taskStarted(FakeWorker worker, FakeWorker.Task task) {
         taskStarts++;
-        rerunsOfFinishedTasks += finishedTasks.contains(t.key) ? 1 : 0;
-        String id = t.key.substring(0, t.key.indexOf('/'));
-        TrackedJob j = jobs.get(id);
+        rerunsOfFinishedTasks += finishedTasks.contains(task.key) ? 1 : 0;
+        String id = task.key.substring(0, task.key.indexOf('/'));
+        TrackedJob job = jobs.get(id);
         Map<String, Integer> zones = new HashMap<>();
-        for (FakeWorker o : workers.values()) {
-            o.exitTasksIfLeaseExpired(nowMs);
-            for (FakeWorker.Task x : o.tasks.values()) {
-                if (!x.exited() && !x.stage.equals("fetching") && x.key.startsWith(id + "/")) {
-                    if (x != t && x.key.equals(t.key)) {
-                        violations.add("ran_twice: " + t.key + " on " + w.name + " and " + o.name);
+        for (FakeWorker other : workers.values()) {
+            other.exitTasksIfLeaseExpired(nowMs);
+            for (FakeWorker.Task otherTask : other.tasks.values()) {
+                if (!otherTask.exited() && !otherTask.stage.equals("fetching") && otherTask.key.startsWith(id + "/")) {
+                    if (otherTask != task && otherTask.key.equals(task.key)) {
+                        violations.add("ran_twice: " + task.key + " on " + worker.name + " and " + other.name);
                     }
-                    zones.merge(o.zone, 1, Integer::sum);
+                    zones.merge(other.zone, 1, Integer::sum);
                 }
             }
         }
-        if (Boolean.TRUE.equals(j.body.get("scatter")) && zones.get(w.zone) > (j.taskCount + 1) / 2) {
-            violations.add("wrong_place: too many of " + id + " in " + w.zone);
+        if (Boolean.TRUE.equals(job.body.get("scatter")) && zones.get(worker.zone) > (job.taskCount + 1) / 2) {
+            violations.add("wrong_place: too many of " + id + " in " + worker.zone);
         }
-        if (Boolean.TRUE.equals(j.body.get("one_zone")) && zones.size() > 1) {
+        if (Boolean.TRUE.equals(job.body.get("one_zone")) && zones.size() > 1) {
             violations.add("wrong_place: " + id + " in two zones");
         }
-        if (j.cancelledAtMs >= 0 && nowMs - j.cancelledAtMs > cancelDeadlineMs) {
-            violations.add("ran_cancelled: " + t.key + " started");
+        if (job.cancelledAtMs >= 0 && nowMs - job.cancelledAtMs > cancelDeadlineMs) {
+            violations.add("ran_cancelled: " + task.key + " started");
         }
     }
 
+    /** Checks the rules that hold at every step; gives up after more than 20 violations. */
     private void checkInvariants() {
-        double use = 0;
-        for (FakeWorker w : workers.values()) {
-            for (FakeWorker.Task t : w.tasks.values()) {
-                if (t.exited() || t.stage.equals("fetching") || !w.holdsLease(nowMs)) {
+        double runningTasks = 0;
+        for (FakeWorker worker : workers.values()) {
+            for (FakeWorker.Task task : worker.tasks.values()) {
+                if (task.exited() || task.stage.equals("fetching") || !worker.holdsLease(nowMs)) {
                     continue;
                 }
-                use++;
-                TrackedJob j = jobs.get(t.key.substring(0, t.key.indexOf('/')));
-                if (j.cancelledAtMs >= 0 && nowMs - j.cancelledAtMs > cancelDeadlineMs) {
-                    violations.add("ran_cancelled: " + t.key + " still on " + w.name);
+                runningTasks++;
+                TrackedJob job = jobs.get(task.key.substring(0, task.key.indexOf('/')));
+                if (job.cancelledAtMs >= 0 && nowMs - job.cancelledAtMs > cancelDeadlineMs) {
+                    violations.add("ran_cancelled: " + task.key + " still on " + worker.name);
                 }
             }
         }
-        if (use > teamGpuLimit) {
-            violations.add("quota: " + use);
+        if (runningTasks > teamGpuLimit) {
+            violations.add("quota: " + runningTasks);
         }
         violations.addAll(store.unsafeTransactions);
         store.unsafeTransactions.clear();
@@ -1101,45 +1218,50 @@
         }
     }
 
-    /** Where a controller serves users and workers, other controllers, and where it finds others; {@code HOST:PORT}. */
-    String listenAddress(int i) {
-        return "10.0.0." + i + ":2";
+    /** Returns the {@code HOST:PORT} at which a controller serves users and workers. */
+    String listenAddress(int controller) {
+        return "10.0.0." + controller + ":2";
     }
 
-    String meshAddress(int i) {
-        return "10.0.0." + i + ":1";
+    /** Returns the {@code HOST:PORT} at which a controller accepts peer connections. */
+    String meshAddress(int controller) {
+        return "10.0.0." + controller + ":1";
     }
 
-    /** Where controller i reaches controller k. */
-    String peerAddress(int i, int k) {
-        return meshAddress(k);
+    /** Returns the {@code HOST:PORT} at which a controller reaches a peer. */
+    String peerAddress(int controller, int peer) {
+        return meshAddress(peer);
     }
 
-    String cloudAddress(int i) {
+    /** Returns the {@code HOST:PORT} at which a controller reaches the cloud. */
+    String cloudAddress(int controller) {
         return "10.1.0.1:1";
     }
 
-    String storeAddress(int i) {
+    /** Returns the {@code HOST:PORT} at which a controller reaches the state service. */
+    String storeAddress(int controller) {
         return "10.1.0.2:1";
     }
 
-    final String settingsJson(int i) {
+    /** Returns the settings of a controller. */
+    final String settingsJson(int controller) {
         StringBuilder peers = new StringBuilder();
-        for (int k = 0; k < simulatedControllers.length; k++) {
-            if (k != i) {
+        for (int peer = 0; peer < simulatedControllers.length; peer++) {
+            if (peer != controller) {
                 peers.append(peers.isEmpty() ? "" : ",")
                         .append("{\"member\":\"perch-")
-                        .append(k)
+                        .append(peer)
                         .append("\",\"area\":\"")
-                        .append(ZONES[k % 2])
+                        .append(ZONES[peer % 2])
                         .append("\",\"peer_addr\":\"")
-                        .append(peerAddress(i, k))
+                        .append(peerAddress(controller, peer))
                         .append("\"}");
             }
         }
-        return "{\"member\":\"perch-" + i + "\",\"area\":\"" + ZONES[i % 2] + "\",\"listen\":\"" + listenAddress(i)
-                + "\",\"mesh_addr\":\"" + meshAddress(i) + "\",\"seeds\":[" + peers + "],"
-                + "\"external\":{\"cloud\":\"" + cloudAddress(i) + "\",\"state\":\"" + storeAddress(i)
+        return "{\"member\":\"perch-" + controller + "\",\"area\":\"" + ZONES[controller % 2] + "\",\"listen\":\""
+                + listenAddress(controller)
+                + "\",\"mesh_addr\":\"" + meshAddress(controller) + "\",\"seeds\":[" + peers + "],"
+                + "\"external\":{\"cloud\":\"" + cloudAddress(controller) + "\",\"state\":\"" + storeAddress(controller)
                 + "\"},\"deployment\":{\"zones\":[\"east\",\"west\"],"
                 + "\"teams\":[{\"name\":\"guests\"},{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0,\"gpus\":6,\"gpus_max\":"
                 + teamGpuLimit + "}],"
