--- a/src/test/java/birchusher/sim/CancelledMeansGoneTest.java
+++ b/src/test/java/birchusher/sim/CancelledMeansGoneTest.java
@@ -15,19 +15,19 @@
  */
 class CancelledMeansGoneTest {
     private static final long OUTAGE_MS = World.CANCEL_DEADLINE_MS + 12_000;
-    private static final int SERVICES = 4;
+    private static final int SERVICE_COUNT = 4;
 
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
     private static World world(long seed, int controllers) {
-        return started(new World(seed, controllers, 24));
+        return startServices(new World(seed, controllers, 24));
     }
 
-    private static World started(World w) {
-        for (int i = 0; i < SERVICES; i++) {
+    private static World startServices(World w) {
+        for (int i = 0; i < SERVICE_COUNT; i++) {
             w.submit("wk-one" + i, "standing", 2, "production", true, false);
             w.submit("wk-two" + i, "standing", 2, "production", false, false);
         }
@@ -37,7 +37,7 @@
     }
 
     /** The controller that owns machines on which the jobs of a round run. */
-    private static int owner(World w, String round) {
+    private static int ownerOfMachinesRunning(World w, String round) {
         FakeWorker m = w.workers.values().stream()
                 .filter(x -> x.tasks.values().stream().anyMatch(t -> t.key.startsWith(round) && !t.exited()))
                 .findFirst()
@@ -46,20 +46,20 @@
     }
 
     private static void cancelAll(World w, int through, String round) {
-        for (int i = 0; i < SERVICES; i++) {
+        for (int i = 0; i < SERVICE_COUNT; i++) {
             assertThat(w.cancelAndWait(through, round + i)).as("confirmed").isTrue();
         }
     }
 
     /** Lets the time that a cancellation has pass in an outage, and ends it. */
-    private static void outLasts(World w) {
+    private static void runThroughOutageAndEndIt(World w) {
         w.run(OUTAGE_MS);
         assertThat(w.violations).isEmpty();
         w.store.setOutage(false, w.nowMs);
         java.util.Arrays.fill(w.refusedByStore, false);
     }
 
-    private static void endsWell(World w) {
+    private static void runAndAssertHealthy(World w) {
         w.run(60_000);
         assertThat(w.violations).isEmpty();
         assertThat(w.unansweredJobs(10_000)).isEmpty();
@@ -84,10 +84,11 @@
         "13, 3, -4",
         "14, 7, -4"
     })
-    void whatOthersConfirmedWhileTheOwnerAloneWasRefusedIsGoneInTheOutage(long seed, int controllers, long refusedFor) {
+    void cancellationsConfirmedByOthersTakeEffectDuringOutageAlthoughOwnerWasRefused(
+            long seed, int controllers, long refusedFor) {
         World w = world(seed, controllers);
         for (String round : new String[] {"wk-one", "wk-two"}) {
-            int owner = owner(w, round);
+            int owner = ownerOfMachinesRunning(w, round);
             w.refusedByStore[owner] = true;
             w.run(1_000);
             cancelAll(w, (owner + 1) % controllers, round);
@@ -106,22 +107,22 @@
             w.refusedByStore[owner] = false;
             w.run(34_000);
         }
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /** With its peers lost as well nothing tells it: only the bound on what it knows ends its answers. */
     @ParameterizedTest
     @CsvSource({"21, 3", "22, 3", "23, 7", "24, 7"})
-    void anOwnerThatNobodyTellsLeavesItsWorkersInTime(long seed, int controllers) {
+    void isolatedOwnerStopsRenewingWorkerLeasesInTime(long seed, int controllers) {
         World w = world(seed, controllers);
-        int owner = owner(w, "wk-one");
+        int owner = ownerOfMachinesRunning(w, "wk-one");
         w.setIsolated(owner, true);
         w.run(800);
         cancelAll(w, (owner + 1) % controllers, "wk-one");
         w.store.setOutage(true, w.nowMs);
-        outLasts(w);
+        runThroughOutageAndEndIt(w);
         w.setIsolated(owner, false);
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /** The one that confirmed is back within a second, in the outage, and knows nothing; or all but the old owner are. */
@@ -136,9 +137,9 @@
         "37, 7, true",
         "38, 7, true"
     })
-    void aControllerThatConfirmedAndCrashedGivesNoWord(long seed, int controllers, boolean allOthers) {
+    void crashOfConfirmingControllerDoesNotDelayCancellation(long seed, int controllers, boolean allOthers) {
         World w = world(seed, controllers);
-        int owner = owner(w, "wk-one");
+        int owner = ownerOfMachinesRunning(w, "wk-one");
         int other = (owner + 1) % controllers;
         w.refusedByStore[owner] = true;
         w.run(700);
@@ -152,16 +153,16 @@
                 w.crash(i, 600);
             }
         }
-        outLasts(w);
-        endsWell(w);
+        runThroughOutageAndEndIt(w);
+        runAndAssertHealthy(w);
     }
 
     /** What it said before is on its way and arrives in the outage, as fresh as any by its arrival. */
     @ParameterizedTest
     @CsvSource({"41, 3, 9000", "42, 3, 25000", "43, 7, 9000", "44, 7, 25000"})
-    void heldUpRecordsAreNoWord(long seed, int controllers, long heldFor) {
+    void delayedPeerRecordsDoNotCountAsCurrent(long seed, int controllers, long heldFor) {
         World w = world(seed, controllers);
-        int owner = owner(w, "wk-one");
+        int owner = ownerOfMachinesRunning(w, "wk-one");
         int other = (owner + 1) % controllers;
         w.refusedByStore[owner] = true;
         w.run(500);
@@ -169,16 +170,16 @@
         w.run(1_200);
         cancelAll(w, other, "wk-one");
         w.store.setOutage(true, w.nowMs);
-        outLasts(w);
-        endsWell(w);
+        runThroughOutageAndEndIt(w);
+        runAndAssertHealthy(w);
     }
 
     /** The shard moves just before the outage; its new owner's view lags behind that, and so it commands nothing that could be wrong. */
     @ParameterizedTest
     @CsvSource({"51, 3", "52, 3", "53, 7", "54, 7", "55, 3", "56, 7"})
-    void aShardThatMovedJustBeforeIsNoExcuse(long seed, int controllers) {
+    void takeoverJustBeforeOutageDoesNotDelayCancellation(long seed, int controllers) {
         World w = world(seed, controllers);
-        int owner = owner(w, "wk-one");
+        int owner = ownerOfMachinesRunning(w, "wk-one");
         String term = w.latestTermRow();
         w.refusedByStore[owner] = true;
         w.run(1_500);
@@ -187,8 +188,8 @@
             w.run(10);
         }
         w.store.setOutage(true, w.nowMs);
-        outLasts(w);
-        endsWell(w);
+        runThroughOutageAndEndIt(w);
+        runAndAssertHealthy(w);
     }
 
     /**
@@ -199,7 +200,7 @@
     @CsvSource({"81, 3", "82, 3", "83, 3", "84, 3", "85, 3", "305, 7", "312, 7"})
     void aNewOwnerWhoseViewIsOlderThanItsTakeoverStopsWhatIsCancelled(long seed, int controllers) {
         World w = world(seed, controllers);
-        int owner = owner(w, "wk-one");
+        int owner = ownerOfMachinesRunning(w, "wk-one");
         List<FakeWorker> orphans = w.workers.values().stream()
                 .filter(m -> m.controllerIndex == owner
                         && m.tasks.values().stream().anyMatch(t -> t.key.startsWith("wk-one")))
@@ -228,15 +229,15 @@
             }
         }
         assertThat(stopped).as("machines of the shard that moved").isPositive();
-        outLasts(w);
+        runThroughOutageAndEndIt(w);
         w.storeReadsHeld = false;
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /** A save that takes longer than a cancellation has: begun for a notice, it ends with the cancellation. */
     @ParameterizedTest
     @CsvSource({"91, 3, false", "92, 3, true", "93, 7, true"})
-    void aSaveOfACancelledTaskIsCutShort(long seed, int controllers, boolean outage) {
+    void checkpointOfCancelledTaskIsAborted(long seed, int controllers, boolean outage) {
         World w = new World(seed, controllers, 24);
         for (int i = 0; i < 3; i++) {
             Map<String, Object> job = w.submit("wk-save" + i, "standing", 2, "production", false, false);
@@ -260,9 +261,9 @@
     /** Tasks that fetch, wait for their gang, or whose start is on its way to a machine that hangs, in the same meeting. */
     @ParameterizedTest
     @CsvSource({"94, 3, 400", "95, 3, 1500", "96, 7, 900", "97, 7, 2500", "98, 3, 6000"})
-    void whatHasNotBegunYetIsGoneToo(long seed, int controllers, long after) {
+    void cancelledTasksThatHaveNotStartedAreDropped(long seed, int controllers, long after) {
         World w = world(seed, controllers);
-        int owner = owner(w, "wk-one");
+        int owner = ownerOfMachinesRunning(w, "wk-one");
         w.submit("wk-gang", "gang", 3, "urgent", false, false);
         w.submit("wk-late", "sweep", 6, "urgent", false, false);
         w.run(after);
@@ -277,18 +278,18 @@
         w.cancelAndWait(other, "wk-late");
         cancelAll(w, other, "wk-one");
         w.store.setOutage(true, w.nowMs);
-        outLasts(w);
-        endsWell(w);
+        runThroughOutageAndEndIt(w);
+        runAndAssertHealthy(w);
     }
 
     /** Everybody's from its start, in the middle of work: views differ by what was under way, and no worker loses its lease. */
     @ParameterizedTest
     @CsvSource({"61, 3", "62, 3", "63, 3", "64, 7", "65, 7", "66, 7"})
-    void anOutageOfEverybodysCostsNoLease(long seed, int controllers) {
+    void outageForAllControllersExpiresNoWorkerLease(long seed, int controllers) {
         World w = world(seed, controllers);
         w.submit("wk-busy", "sweep", 20, "standard", false, false);
         w.run(9_000 + seed * 7);
-        for (int i = 0; i < SERVICES; i++) {
+        for (int i = 0; i < SERVICE_COUNT; i++) {
             w.cancelAndWait(i % controllers, "wk-one" + i);
         }
         w.store.setOutage(true, w.nowMs);
@@ -298,51 +299,51 @@
                 .allSatisfy(m -> assertThat(m.session).as(m.name).isEqualTo(1));
         assertThat(w.violations).isEmpty();
         w.store.setOutage(false, w.nowMs);
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /** Leases longer than a cancellation has, or nearly so: it is told only when the tasks are gone. */
     @ParameterizedTest
     @CsvSource({"71, 3, 12000", "72, 3, 9000", "73, 7, 14000", "74, 7, 5000"})
-    void whereLeasesAreTooLongACancellationIsToldWhenItsTasksAreGone(long seed, int controllers, long cancelMs) {
-        World w = started(new World(seed, controllers, 24, World.WORKER_LEASE_MS, cancelMs));
-        int owner = owner(w, "wk-one");
+    void cancellationWithLongLeasesIsConfirmedOnlyOnceItsTasksAreGone(long seed, int controllers, long cancelMs) {
+        World w = startServices(new World(seed, controllers, 24, World.WORKER_LEASE_MS, cancelMs));
+        int owner = ownerOfMachinesRunning(w, "wk-one");
         w.setIsolated(owner, true);
         w.run(700);
-        for (int i = 0; i < SERVICES; i++) {
+        for (int i = 0; i < SERVICE_COUNT; i++) {
             w.requestCancellation("wk-one" + i);
         }
         w.run(2_500);
         w.store.setOutage(true, w.nowMs);
-        outLasts(w);
+        runThroughOutageAndEndIt(w);
         w.setIsolated(owner, false);
         w.run(60_000);
-        for (int i = 0; i < SERVICES; i++) {
+        for (int i = 0; i < SERVICE_COUNT; i++) {
             assertThat(w.isCancelled("wk-one" + i)).as("told in the end").isTrue();
         }
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /** Drawn: which is refused, when the outage comes and goes, who crashes, whose words are held up, which machines hang or are deaf. */
     @ParameterizedTest
     @ValueSource(longs = {101, 102, 103, 104, 105, 106, 107, 108, 109, 110, 111, 112})
-    void drawnMeetings(long seed) {
-        drawn(seed);
+    void randomFaultCombinationsBreakNoRule(long seed) {
+        runRandomFaults(seed);
     }
 
     /** For searches by hand: {@code -Dgone.from=1000 -Dgone.seeds=500}. */
     @org.junit.jupiter.api.Test
-    void aSearchOverSeedsByHand() {
-        SeedSearch.forEachSeed("gone", CancelledMeansGoneTest::drawn);
+    void seedSearch() {
+        SeedSearch.forEachSeed("gone", CancelledMeansGoneTest::runRandomFaults);
     }
 
-    private static void drawn(long seed) {
+    private static void runRandomFaults(long seed) {
         int controllers = seed % 3 == 0 ? 7 : 3;
         World w = world(seed, controllers);
         java.util.Random r = new java.util.Random(seed * 17);
         w.messageLossRate = r.nextBoolean() ? 0 : 0.01;
         for (String round : new String[] {"wk-one", "wk-two"}) {
-            int owner = owner(w, round);
+            int owner = ownerOfMachinesRunning(w, round);
             int other = (owner + 1 + r.nextInt(controllers - 1)) % controllers;
             w.refusedByStore[owner] = true;
             if (r.nextInt(3) == 0) {
@@ -352,7 +353,7 @@
             if (r.nextInt(3) == 0) {
                 w.holdPeerRecords(other, r.nextInt(40_000));
             }
-            for (int i = 0; i < SERVICES; i++) {
+            for (int i = 0; i < SERVICE_COUNT; i++) {
                 w.cancelAndWait(other, round + i);
             }
             w.workers.values().stream().filter(m -> r.nextInt(6) == 0).forEach(m -> {
@@ -378,6 +379,6 @@
             w.run(40_000);
         }
         w.messageLossRate = 0;
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 }
--- a/src/test/java/birchusher/sim/MeetingsTest.java
+++ b/src/test/java/birchusher/sim/FaultCombinationsTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Two troubles at once, one test for each meeting; docs/meetings.md says which guard each one shows. */
-class MeetingsTest {
+class FaultCombinationsTest {
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
-    private static World world(long seed, int controllers) {
+    private static World worldWithJobs(long seed, int controllers) {
         World w = new World(seed, controllers, 16);
         w.submit("wk-web", "standing", 3, "production", true, false);
         w.submit("wk-arr", "sweep", 12, "standard", false, false);
@@ -26,7 +26,7 @@
     }
 
     /** Nothing is broken, all that was accepted is answered by everybody who is ready, and runs or is done. */
-    private static void endsWell(World w, String... finite) {
+    private static void runAndAssertHealthy(World w, String... finite) {
         w.run(90_000);
         assertThat(w.unansweredJobs(10_000)).isEmpty();
         assertThat(w.violations).isEmpty();
@@ -39,8 +39,8 @@
     /** Meeting 1: transactions that get no answer and come after newer ones, with crashes and cancellations between. */
     @ParameterizedTest
     @CsvSource({"1, 3", "2, 3", "3, 3", "4, 7", "5, 7", "6, 3"})
-    void transactionsCarriedOutLateHarmNothing(long seed, int controllers) {
-        World w = world(seed, controllers);
+    void transactionsAppliedLateBreakNoRule(long seed, int controllers) {
+        World w = worldWithJobs(seed, controllers);
         w.run(20_000);
         w.lateTransactionRate = 0.15;
         for (int i = 0; i < 8; i++) {
@@ -58,14 +58,14 @@
         for (int i = 0; i < 8; i++) {
             assertThat(w.isCancelled("wk-c" + i)).isTrue();
         }
-        endsWell(w, "wk-arr", "wk-gang", "wk-s0", "wk-s1", "wk-s6", "wk-s7");
+        runAndAssertHealthy(w, "wk-arr", "wk-gang", "wk-s0", "wk-s1", "wk-s6", "wk-s7");
     }
 
     /** Carried out at once, only the answer lost: whoever wrote it must find it done, and do, tell and count nothing twice or never. */
     @ParameterizedTest
     @CsvSource({"81, 3, false", "82, 7, false", "83, 3, true", "84, 7, true", "85, 3, true"})
-    void transactionsWhoseAnswersAreLostAreNotDoneTwice(long seed, int controllers, boolean crashes) {
-        World w = world(seed, controllers);
+    void transactionsWithLostRepliesAreNotAppliedTwice(long seed, int controllers, boolean crashes) {
+        World w = worldWithJobs(seed, controllers);
         w.recheckAtAllControllers = true;
         w.cancelAtCompletionRate = 0.3;
         w.lostTransactionReplyRate = 0.2;
@@ -88,13 +88,13 @@
             assertThat(w.reportedState("wk-s" + i)).isIn("done", "cancelled");
         }
         w.recheckAtAllControllers = false;
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /** The names of rentals were reserved, the answer was lost, and all was reserved and rented once more. */
     @ParameterizedTest
     @CsvSource({"91", "92", "93", "94"})
-    void aReservationWhoseAnswerIsLostIsNotMadeAgain(long seed) {
+    void rentalRequestWithLostReplyIsNotRepeated(long seed) {
         int[] rented = new int[2];
         for (int lost = 0; lost < 2; lost++) {
             World w = new World(seed, 3, 40);
@@ -115,7 +115,7 @@
     /** Meeting 1: of several rows of a job whose tasks must share a zone, two could be claimed in different zones, each knowing nothing of the other. */
     @ParameterizedTest
     @CsvSource({"11, 3", "12, 7"})
-    void claimsOfAJobWithZoneRulesAndSeveralRowsExcludeEachOther(long seed, int controllers) {
+    void claimsOfJobWithZoneRuleAndSeveralRowsConflict(long seed, int controllers) {
         World w = new World(seed, controllers, 60);
         w.submit("wk-wide", "sweep", 240, "standard", false, true);
         w.submit("wk-even", "sweep", 240, "standard", true, false);
@@ -133,7 +133,7 @@
     /** Seen on a day of late writes: lost tasks of an array in many rows, on machines of all shards, in one claim. */
     @ParameterizedTest
     @CsvSource({"15, 7", "16, 7"})
-    void noTransactionHoldsMoreThanItMay(long seed, int controllers) {
+    void transactionsStayWithinTheirSizeLimit(long seed, int controllers) {
         World w = new World(seed, controllers, 400);
         w.submit("wk-huge", "sweep", 4_000, "standard", false, false);
         for (int i = 0; i < 4; i++) {
@@ -153,8 +153,8 @@
     /** Meeting 3: the reply to a direct command overtakes an answer that starts a task, and does not show it. */
     @ParameterizedTest
     @CsvSource({"21, 3", "22, 3", "23, 3", "24, 3", "25, 7", "26, 7", "27, 3", "28, 3"})
-    void anAnswerHeldUpStartsNothingThatRunsElsewhere(long seed, int controllers) {
-        World w = world(seed, controllers);
+    void delayedResponseStartsNoTaskThatRunsElsewhere(long seed, int controllers) {
+        World w = worldWithJobs(seed, controllers);
         Random r = new Random(seed);
         w.lateResponseRate = 0.5;
         w.run(15_000);
@@ -175,12 +175,12 @@
         w.workers.values().forEach(m -> m.reclaimNoticeS = -1);
         w.lateResponseRate = 0;
         w.run(60_000);
-        endsWell(w, "wk-arr", "wk-gang", "wk-g13", "wk-s13");
+        runAndAssertHealthy(w, "wk-arr", "wk-gang", "wk-g13", "wk-s13");
     }
 
     /** Meeting 3, message by message: an answer with a start is on its way, and a newer message without the task comes. */
     @Test
-    void aStartInAnAnswerThatMayStillBeCarriedOutKeepsItsClaim() {
+    void claimIsKeptWhileAStartCommandMayStillArrive() {
         World w = new World(31, 3, 16);
         w.neverReadyRate = 1;
         w.run(6_000);
@@ -210,7 +210,7 @@
 
     /** Meeting 2: what a copy told of a notice counts from its arrival; the machine itself knows better. */
     @Test
-    void aNoticeEndsWhenTheLaterReportSays() {
+    void laterReportShortensReclaimNotice() {
         World w = new World(32, 3, 16);
         w.neverReadyRate = 1;
         w.run(6_000);
@@ -233,8 +233,8 @@
     /** Meetings 2 and 7: reports of an earlier session and attempt come to whoever owns their machine by then, whose tasks go on. */
     @ParameterizedTest
     @CsvSource({"41, 3", "42, 3", "43, 7"})
-    void oldReportsAfterATakeoverEndNothing(long seed, int controllers) {
-        World w = world(seed, controllers);
+    void staleReportsAfterTakeoverEndNoTask(long seed, int controllers) {
+        World w = worldWithJobs(seed, controllers);
         w.fixedRunTimesMs.put("wk-long/0", 120_000L);
         w.fixedRunTimesMs.put("wk-long/1", 110_000L);
         w.submit("wk-long", "sweep", 2, "urgent", false, false);
@@ -256,14 +256,14 @@
         }
         w.run(60_000);
         assertThat(w.rerunsOfFinishedTasks).isEqualTo(starts);
-        endsWell(w, "wk-long", "wk-arr", "wk-gang");
+        runAndAssertHealthy(w, "wk-long", "wk-arr", "wk-gang");
     }
 
     /** Meeting 5: every answer of the state service takes up to a second and a half, one controller is refused, one ends. */
     @ParameterizedTest
     @CsvSource({"51, 3", "52, 3", "53, 7", "54, 7"})
-    void aSlowStateServiceThatRefusesOneForgetsNoJob(long seed, int controllers) {
-        World w = world(seed, controllers);
+    void slowStateServiceThatRefusesOneControllerLosesNoJob(long seed, int controllers) {
+        World w = worldWithJobs(seed, controllers);
         w.run(30_000);
         w.maxExtraStoreDelayMs = 1_500;
         w.run(8_000);
@@ -280,14 +280,14 @@
         w.maxExtraStoreDelayMs = 0;
         w.run(10_000);
         assertThat(w.isCancelled("wk-gone")).isTrue();
-        endsWell(w, "wk-more", "wk-arr", "wk-gang");
+        runAndAssertHealthy(w, "wk-more", "wk-arr", "wk-gang");
     }
 
     /** Meeting 6: the first of two or three tasks ends long before the last, with a change of owners and drivers between. */
     @ParameterizedTest
     @CsvSource({"61, 3, 200", "62, 3, 4000", "63, 3, 9000", "64, 7, 200", "65, 7, 5000"})
-    void tasksThatEndFarApartAreEachDoneOnce(long seed, int controllers, long downMs) {
-        World w = world(seed, controllers);
+    void tasksThatFinishFarApartEachCompleteOnce(long seed, int controllers, long downMs) {
+        World w = worldWithJobs(seed, controllers);
         for (int k = 0; k < 4; k++) {
             int n = 2 + k % 2;
             for (int t = 0; t < n; t++) {
@@ -317,14 +317,14 @@
                     .as("what was done does not run again")
                     .isZero();
         }
-        endsWell(w, "wk-far0", "wk-far1", "wk-far2", "wk-far3", "wk-arr", "wk-gang");
+        runAndAssertHealthy(w, "wk-far0", "wk-far1", "wk-far2", "wk-far3", "wk-arr", "wk-gang");
     }
 
     /** Meeting 7: the owner ends while its machines hang or don't hear the next one; long tasks run once, and what is proven gone begins anew. */
     @ParameterizedTest
     @CsvSource({"71, 3, true", "72, 3, false", "73, 7, true", "74, 7, false"})
-    void longTasksOnMachinesThatCantBeReachedAsTheirOwnerEnds(long seed, int controllers, boolean deaf) {
-        World w = world(seed, controllers);
+    void longTasksOnUnreachableMachinesFinishAfterOwnerCrash(long seed, int controllers, boolean deaf) {
+        World w = worldWithJobs(seed, controllers);
         w.fixedRunTimesMs.put("wk-long/0", 60_000L);
         w.fixedRunTimesMs.put("wk-long/1", 60_000L);
         w.fixedRunTimesMs.put("wk-long/2", 60_000L);
@@ -344,25 +344,25 @@
         w.run(20_000);
         w.workers.values().forEach(x -> x.cannotReceive = false);
         w.run(100_000);
-        endsWell(w, "wk-long", "wk-arr", "wk-gang");
+        runAndAssertHealthy(w, "wk-long", "wk-arr", "wk-gang");
     }
 
     /** Pairs and more of all meetings, drawn by the seed. */
     @ParameterizedTest
     @CsvSource({"201", "202", "203", "204", "205", "206"})
-    void drawnMeetingsBreakNothing(long seed) {
-        drawn(seed);
+    void randomFaultCombinationsBreakNoRule(long seed) {
+        runRandomFaults(seed);
     }
 
     /** For searches by hand: {@code -Dmeet.from=1000 -Dmeet.seeds=500}. */
     @Test
-    void aSearchOverSeedsByHand() {
-        SeedSearch.forEachSeed("meet", MeetingsTest::drawn);
+    void seedSearch() {
+        SeedSearch.forEachSeed("meet", FaultCombinationsTest::runRandomFaults);
     }
 
-    private static void drawn(long seed) {
+    private static void runRandomFaults(long seed) {
         int controllers = seed % 3 == 0 ? 7 : 3;
-        World w = world(seed, controllers);
+        World w = worldWithJobs(seed, controllers);
         Random r = new Random(seed * 29);
         for (int k = 0; k < 3; k++) {
             w.fixedRunTimesMs.put("wk-far" + k + "/1", 60_000L + r.nextInt(60_000));
@@ -391,14 +391,14 @@
                 case 2 -> {
                     w.setIsolated(node, true);
                     w.run(r.nextInt(6_000));
-                    cancelOne(w, "wk-c" + step, r);
+                    submitAndCancel(w, "wk-c" + step, r);
                     w.run(r.nextInt(25_000));
                     w.setIsolated(node, false);
                 }
                 case 3, 4 -> {
                     w.refusedByStore[node] = true;
                     w.run(r.nextInt(3_500));
-                    cancelOne(w, "wk-c" + step, r);
+                    submitAndCancel(w, "wk-c" + step, r);
                     w.run(r.nextInt(2_500));
                     w.store.setOutage(true, w.nowMs);
                     w.run(r.nextInt(10_000));
@@ -432,7 +432,7 @@
                     w.maxExtraStoreDelayMs = r.nextBoolean() ? 0 : 1_200;
                     w.submit("wk-g" + step, "gang", 1 + r.nextInt(3), "urgent", false, r.nextBoolean());
                 }
-                default -> cancelOne(w, "wk-c" + step, r);
+                default -> submitAndCancel(w, "wk-c" + step, r);
             }
         }
         w.messageLossRate = 0;
@@ -452,10 +452,10 @@
             x.reclaimNoticeS = -1;
         });
         w.run(60_000);
-        endsWell(w, "wk-arr", "wk-gang", "wk-far0", "wk-far1", "wk-far2");
+        runAndAssertHealthy(w, "wk-arr", "wk-gang", "wk-far0", "wk-far1", "wk-far2");
     }
 
-    private static void cancelOne(World w, String id, Random r) {
+    private static void submitAndCancel(World w, String id, Random r) {
         w.submit(id, r.nextBoolean() ? "standing" : "gang", 1 + r.nextInt(3), "urgent", false, false);
         w.run(r.nextInt(12_000));
         w.requestCancellation(id);
--- a/src/test/java/birchusher/sim/TroublesTest.java
+++ b/src/test/java/birchusher/sim/FaultInjectionTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What the operators met that was on no list: half-deaf machines, late copies, lonely controllers, returns within a blink. */
-class TroublesTest {
+class FaultInjectionTest {
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
-    private static World world(long seed, int controllers) {
+    private static World worldWithJobs(long seed, int controllers) {
         World w = new World(seed, controllers, 14);
         w.submit("wk-web", "standing", 3, "production", true, false);
         w.submit("wk-arr", "sweep", 12, "standard", false, false);
@@ -29,7 +29,7 @@
     }
 
     /** Nothing is broken, all that was accepted is answered by everybody who is ready, and runs or is done. */
-    private static void endsWell(World w) {
+    private static void runAndAssertHealthy(World w) {
         w.run(90_000);
         assertThat(w.unansweredJobs(10_000)).isEmpty();
         assertThat(w.violations).isEmpty();
@@ -38,13 +38,13 @@
         assertThat(w.reportedState("wk-web")).as(w.store.dump()).isEqualTo("running");
     }
 
-    private static boolean claimedOn(World w, String machine, long session) {
+    private static boolean isClaimedInSession(World w, String machine, long session) {
         return Pattern.compile(":" + machine + ":" + session + ":")
                 .matcher(w.store.dump())
                 .find();
     }
 
-    private static FakeWorker busy(World w) {
+    private static FakeWorker workerRunningWebReplica(World w) {
         Matcher m =
                 Pattern.compile("b/live/place/wk-web/0 = .*c=0:\\d+:(n-\\d+):").matcher(w.store.dump());
         assertThat(m.find()).as(w.store.dump()).isTrue();
@@ -54,33 +54,33 @@
     /** Its reports look as fresh as any; before, it got new work with every session and lost it, and its shard went round. */
     @ParameterizedTest
     @CsvSource({"101, 3", "102, 3", "103, 7", "104, 7"})
-    void aMachineThatHearsNobodyIsReplacedGetsNothingAndMovesNoShard(long seed, int controllers) {
-        World w = world(seed, controllers);
+    void machineThatDoesNotReceiveResponsesIsReplacedAndMovesNoShard(long seed, int controllers) {
+        World w = worldWithJobs(seed, controllers);
         w.run(45_000);
-        FakeWorker deaf = busy(w);
+        FakeWorker deaf = workerRunningWebReplica(w);
         deaf.cannotReceive = true;
         String term = w.latestTermRow();
         w.run(20_000);
         w.submit("wk-more", "sweep", 30, "standard", false, false);
         for (int i = 0; i < 20; i++) {
             w.run(3_000);
-            assertThat(claimedOn(w, deaf.name, 2) || claimedOn(w, deaf.name, 3))
+            assertThat(isClaimedInSession(w, deaf.name, 2) || isClaimedInSession(w, deaf.name, 3))
                     .as("new work on " + deaf.name)
                     .isFalse();
         }
         assertThat(w.latestTermRow()).isEqualTo(term);
         assertThat(deaf.deleted).as("returned").isTrue();
         assertThat(w.reportedState("wk-more")).isEqualTo("done");
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /** As long as the cloud doesn't take it back, it comes to its owner again and again, each time with a report as fresh as any. */
     @ParameterizedTest
     @CsvSource({"106, 3", "107, 3", "108, 7"})
-    void aMachineThatHearsNobodyIsOfferedNothingHoweverOftenItReports(long seed, int controllers) {
-        World w = world(seed, controllers);
+    void machineThatDoesNotReceiveResponsesGetsNoTasksInLaterSessions(long seed, int controllers) {
+        World w = worldWithJobs(seed, controllers);
         w.run(45_000);
-        FakeWorker deaf = busy(w);
+        FakeWorker deaf = workerRunningWebReplica(w);
         deaf.cannotReceive = true;
         w.cloudRefusesDeletions = true;
         String term = w.latestTermRow();
@@ -90,7 +90,7 @@
             }
             w.run(2_000);
             for (int session = 2; session < 9; session++) {
-                assertThat(claimedOn(w, deaf.name, session))
+                assertThat(isClaimedInSession(w, deaf.name, session))
                         .as("claimed in session " + session)
                         .isFalse();
             }
@@ -99,11 +99,11 @@
         assertThat(w.latestTermRow()).isEqualTo(term);
         deaf.cannotReceive = false;
         w.cloudRefusesDeletions = false;
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     @Test
-    void aMachineThatHearsAgainIsUsedAgain() {
+    void machineThatReceivesResponsesAgainIsUsedAgain() {
         World w = new World(105, 3, 4);
         w.maxMachines = 1;
         w.submit("wk-a", "sweep", 4, "standard", false, false);
@@ -122,7 +122,7 @@
     /** The copy shows it up, idle and under the present term; only what was remembered tells that it is over. */
     @ParameterizedTest
     @ValueSource(longs = {111, 112, 113})
-    void aCopyThatComesAfterItsMachineWasReturnedBringsItNoWork(long seed) {
+    void duplicateReportOfReturnedMachineBringsItNoTasks(long seed) {
         World w = new World(seed, 3, 8);
         w.submit("wk-one", "sweep", 8, "standard", false, false);
         w.run(16_000);
@@ -149,8 +149,8 @@
 
     /** Two copies of different age look like a worker that was sent to its owner and is back. */
     @Test
-    void copiesAtAnotherControllerMoveNoShard() {
-        World w = world(114, 3);
+    void duplicateReportsAtAnotherControllerMoveNoShard() {
+        World w = worldWithJobs(114, 3);
         w.run(40_000);
         String term = w.latestTermRow();
         FakeWorker m = w.workers.values().iterator().next();
@@ -169,7 +169,7 @@
             w.run(2_500);
         }
         assertThat(w.latestTermRow()).isEqualTo(term);
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /**
@@ -189,10 +189,10 @@
      */
     @ParameterizedTest
     @CsvSource({"119, 2", "124, 0", "116, 1", "117, 2"})
-    void workersThatLostTheirOwnerAreTakenOver(long seed, int node) {
-        World w = world(seed, 3);
+    void workersCutOffFromTheirOwnerAreTakenOver(long seed, int node) {
+        World w = worldWithJobs(seed, 3);
         w.run(40_000);
-        long before = term(w);
+        long before = latestTerm(w);
         assertThat(List.copyOf(w.workers.values()))
                 .as("some are its own and have work, or nothing is to be taken over")
                 .anyMatch(m -> w.ownerOf(m) == node && !m.tasks.isEmpty());
@@ -201,20 +201,20 @@
         int starts = w.taskStarts;
         w.submit("wk-more", "sweep", 12, "standard", false, false);
         w.run(35_000);
-        assertThat(term(w) - before)
+        assertThat(latestTerm(w) - before)
                 .as("each of its two shards is taken once, and none goes round")
                 .isBetween(1L, 2L);
         assertThat(w.taskStarts).isGreaterThanOrEqualTo(starts + 12);
         assertThat(w.reportedState("wk-arr")).isEqualTo("done");
         assertThat(w.reportedState("wk-web")).isEqualTo("running");
         w.cutOffFromWorkers[node] = false;
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void aLonelyControllerSendsUsersAwayAtOnceAndItsWorkersInTime(int node) {
-        World w = world(120 + node, 3);
+    void isolatedControllerRejectsUsersAtOnceAndLosesItsWorkersInTime(int node) {
+        World w = worldWithJobs(120 + node, 3);
         w.run(45_000);
         w.setIsolated(node, true);
         w.run(6_000);
@@ -244,8 +244,8 @@
         "136, 300, -2000",
         "137, 120, -900000"
     })
-    void aControllerThatIsBackWithinABlinkServesOn(long seed, long ms, long clockOff) {
-        World w = world(seed, 3);
+    void controllerThatRestartsWithinHalfASecondServesAgain(long seed, long ms, long clockOff) {
+        World w = worldWithJobs(seed, 3);
         w.run(25_000 + seed * 13);
         for (int i = 0; i < 6; i++) {
             int node = (int) (seed + i) % 3;
@@ -270,30 +270,30 @@
                         .distinct())
                 .as("all own something again")
                 .hasSize(3);
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /** Whatever the earlier life left in the rows, no later one shares its incarnation. */
     @Test
-    void noTwoLivesShareAnIncarnation() {
-        World w = world(138, 3);
+    void everyRestartGetsAHigherIncarnation() {
+        World w = worldWithJobs(138, 3);
         w.run(30_000);
-        long last = seat(w);
+        long last = incarnationOfFirstController(w);
         for (int i = 0; i < 4; i++) {
             w.setClockOffset(0, -10_000 * (i + 1));
             w.crash(0, 60);
             w.run(8_000);
-            assertThat(seat(w)).isGreaterThan(last);
-            last = seat(w);
+            assertThat(incarnationOfFirstController(w)).isGreaterThan(last);
+            last = incarnationOfFirstController(w);
         }
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
-    private static long term(World w) {
+    private static long latestTerm(World w) {
         return Long.parseLong(w.latestTermRow().replaceAll("\\D+", ""));
     }
 
-    private static long seat(World w) {
+    private static long incarnationOfFirstController(World w) {
         Matcher m = Pattern.compile("b/live/seat/perch-0 = \\{.*?i=(\\d+)").matcher(w.store.dump());
         assertThat(m.find()).isTrue();
         return Long.parseLong(m.group(1));
@@ -301,7 +301,7 @@
 
     /** Standing still for longer than silence is borne, it has heard none of its machines, and they are well. */
     @Test
-    void aControllerThatStoodStillHasNoMachineDeleted() {
+    void processPauseOfAControllerDeletesNoMachine() {
         World w = new World(139, 3, 40);
         for (int i = 0; i < 6; i++) {
             w.submit("wk-web" + i, "standing", 3, "production", true, false);
@@ -316,8 +316,8 @@
 
     /** A row that nobody can read costs that job its running, and nobody anything else. */
     @Test
-    void aRowThatCantBeReadIsNamedAndItsJobStaysKnown() {
-        World w = world(141, 3);
+    void unreadableRowLeavesItsJobKnown() {
+        World w = worldWithJobs(141, 3);
         w.run(20_000);
         w.store.injectRow(
                 "b/live/job/wk-torn",
@@ -332,12 +332,12 @@
             assertThat(w.requestAndWait(i, "GET", "/v2/runs/wk-odd", null)).isEqualTo("200 queued");
             assertThat(w.requestAndWait(i, "GET", "/v2/runs/wk-nobody", null)).startsWith("404");
         }
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
     /** Polls about jobs that ended, or that nobody submitted, take no read each, also after a restart of all. */
     @Test
-    void pollsAfterARestartOfAllReadNoRowsOfTheirOwn() {
+    void statusQueriesAfterRestartOfAllControllersReadNoRows() {
         World w = new World(142, 3, 10);
         w.store.maxRowsPerListing = 20;
         for (int i = 0; i < 45; i++) {
@@ -361,7 +361,7 @@
 
     /** Each page is refused for a while: begun anew every time, the reading would not end before the refusals do. */
     @Test
-    void aReadingOfManyPagesGoesOnWhereItWasRefused() {
+    void listingOfManyPagesResumesAtTheRefusedPage() {
         World w = new World(143, 3, 10);
         w.store.maxRowsPerListing = 10;
         for (int i = 0; i < 60; i++) {
@@ -380,18 +380,18 @@
     /** All of it at once, in an order drawn by the seed; at the end everything accepted is known to everybody. */
     @ParameterizedTest
     @CsvSource({"201, 3", "202, 3", "203, 3", "204, 3", "205, 7", "206, 7"})
-    void drawnTroublesForgetNoJobAndBreakNoRule(long seed, int controllers) {
-        drawn(seed, controllers);
+    void randomFaultsLoseNoJobAndBreakNoRule(long seed, int controllers) {
+        runRandomFaults(seed, controllers);
     }
 
     /** For searches by hand: {@code -Dsim.from=1000 -Dsim.seeds=500}. */
     @Test
-    void aSearchOverSeedsByHand() {
-        SeedSearch.forEachSeed("sim", seed -> drawn(seed, seed % 3 == 0 ? 7 : 3));
+    void seedSearch() {
+        SeedSearch.forEachSeed("sim", seed -> runRandomFaults(seed, seed % 3 == 0 ? 7 : 3));
     }
 
-    private static void drawn(long seed, int controllers) {
-        World w = world(seed, controllers);
+    private static void runRandomFaults(long seed, int controllers) {
+        World w = worldWithJobs(seed, controllers);
         Random r = new Random(seed * 31);
         w.messageLossRate = 0.01;
         w.longDelayRate = 0.01;
@@ -421,9 +421,9 @@
                     }
                     w.store.setOutage(false, w.nowMs);
                 }
-                case 4, 5 -> any(w, r).ifPresent(m -> m.cannotReceive = true);
-                case 6 -> any(w, r).ifPresent(m -> m.cannotReceive = false);
-                case 7 -> any(w, r).ifPresent(m -> m.hungUntilMs = w.nowMs + r.nextInt(25_000));
+                case 4, 5 -> anyWorker(w, r).ifPresent(m -> m.cannotReceive = true);
+                case 6 -> anyWorker(w, r).ifPresent(m -> m.cannotReceive = false);
+                case 7 -> anyWorker(w, r).ifPresent(m -> m.hungUntilMs = w.nowMs + r.nextInt(25_000));
                 case 8 -> w.setOneWayPeerLinkDown(node, (node + 1) % controllers, r.nextBoolean());
                 case 9 -> {
                     String id = "wk-s" + step;
@@ -449,10 +449,10 @@
         }
         w.workers.values().forEach(m -> m.cannotReceive = false);
         w.run(30_000);
-        endsWell(w);
+        runAndAssertHealthy(w);
     }
 
-    private static java.util.Optional<FakeWorker> any(World w, Random r) {
+    private static java.util.Optional<FakeWorker> anyWorker(World w, Random r) {
         List<FakeWorker> all = List.copyOf(w.workers.values());
         return all.isEmpty() ? java.util.Optional.empty() : java.util.Optional.of(all.get(r.nextInt(all.size())));
     }
--- a/src/test/java/birchusher/sim/FurtherMeetingsTest.java
+++ b/src/test/java/birchusher/sim/FurtherFaultCombinationsTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** More meetings of two troubles, of the users' letter "The hunt goes on"; docs/meetings.md says which guard each test shows. */
-class FurtherMeetingsTest {
+class FurtherFaultCombinationsTest {
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
-    private static void endsWell(World w, long ms) {
+    private static void runAndAssertHealthy(World w, long ms) {
         w.run(ms);
         assertThat(w.unansweredJobs(10_000)).isEmpty();
         assertThat(w.violations).isEmpty();
@@ -27,7 +27,7 @@
     /** The team is at its limit; what is cancelled runs on machines that hang, hear nobody or reach nobody, and their owner ends. */
     @ParameterizedTest
     @CsvSource({"1, 3, hang", "2, 3, deaf", "3, 3, mute", "4, 7, hang", "5, 7, deaf", "6, 7, mute"})
-    void aCancelledTaskCountsForItsTeamUntilItsEndIsProven(long seed, int controllers, String trouble) {
+    void cancelledTaskCountsTowardsItsQuotaUntilProvenGone(long seed, int controllers, String trouble) {
         World w = new World(seed, controllers, 12);
         w.submit("wk-web", "standing", 3, "production", true, false);
         w.submit("wk-old", "standing", 9, "standard", false, false);
@@ -59,13 +59,13 @@
         });
         w.run(90_000);
         assertThat(w.unfinishedTaskCount("wk-new")).as("its room is used again").isEqualTo(9);
-        endsWell(w, 1_000);
+        runAndAssertHealthy(w, 1_000);
     }
 
     /** Cancelled in the seconds in which shards, drivers and the autoscaler change hands and back, with commands held up on both sides. */
     @ParameterizedTest
     @CsvSource({"11, 3", "12, 3", "13, 7", "14, 7", "15, 3", "16, 7"})
-    void whatIsCancelledWhileWorkChangesHandsIsGoneInTime(long seed, int controllers) {
+    void tasksCancelledDuringTakeoversAreGoneInTime(long seed, int controllers) {
         World w = new World(seed, controllers, 24);
         w.submit("wk-web", "standing", 3, "production", true, false);
         for (int i = 0; i < 12; i++) {
@@ -110,13 +110,13 @@
                     .isZero();
             assertThat(w.reportedState("wk-g" + i)).isIn("done", "cancelled");
         }
-        endsWell(w, 10_000);
+        runAndAssertHealthy(w, 10_000);
     }
 
     /** A machine reports before its rental's answer and before the row that names it, and the autoscaler ends; work comes to it at once. */
     @ParameterizedTest
     @CsvSource({"21, 3", "22, 3", "23, 7", "24, 3"})
-    void machinesThatAreUpAtOnceAreNeitherUsedTwiceNorForgotten(long seed, int controllers) {
+    void machinesThatReportBeforeTheirRentalIsStoredAreUsedAndReturned(long seed, int controllers) {
         World w = new World(seed, controllers, 30);
         w.fastBoot = true;
         w.maxCloudReplyDelayMs = 2_400;
@@ -149,7 +149,7 @@
         assertThat(w.machinesReturnedWithTasks)
                 .as("a machine with work was returned")
                 .isZero();
-        endsWell(w, 120_000);
+        runAndAssertHealthy(w, 120_000);
         assertThat(w.workers.size()).as("what nobody needs has gone back").isLessThanOrEqualTo(3);
     }
 
@@ -159,7 +159,7 @@
      */
     @ParameterizedTest
     @CsvSource({"61, 3", "62, 3", "63, 7"})
-    void aMachineThatReachesNobodySoonGetsNoNewWorkAlthoughItHears(long seed, int controllers) {
+    void machineThatCannotSendReportsSoonGetsNoNewTasks(long seed, int controllers) {
         World w = new World(seed, controllers, 40);
         w.cloudRefusesDeletions = true;
         w.submit("wk-web", "standing", 6, "production", true, false);
@@ -189,13 +189,13 @@
                 .as("its tasks run elsewhere")
                 .isEqualTo(6);
         mute.forEach(m -> m.cannotReport = false);
-        endsWell(w, 60_000);
+        runAndAssertHealthy(w, 60_000);
     }
 
     /** Jobs bound to one zone, an array among them, lose machines; what is left and what comes anew stay in one zone. */
     @ParameterizedTest
     @CsvSource({"71, 3", "72, 3", "73, 7", "74, 7"})
-    void jobsBoundToOneZoneStayThereThoughTheyLoseMachines(long seed, int controllers) {
+    void oneZoneJobsStayInTheirZoneAfterMachineLosses(long seed, int controllers) {
         World w = new World(seed, controllers, 40);
         w.submit("wk-web", "standing", 3, "production", true, false);
         w.submit("wk-tied", "standing", 6, "standard", false, true);
@@ -236,13 +236,13 @@
         for (int i = 0; i < 6; i++) {
             assertThat(w.reportedState("wk-g" + i)).isEqualTo("done");
         }
-        endsWell(w, 1_000);
+        runAndAssertHealthy(w, 1_000);
     }
 
     /** Owners and the autoscaler end one after the other, ten in two minutes, for a part of that in an outage; long tasks go on or run again. */
     @ParameterizedTest
     @CsvSource({"81, 3, false", "82, 3, true", "83, 7, false", "84, 7, true"})
-    void tenChangesOfLeaderInTwoMinutesForgetNothing(long seed, int controllers, boolean outage) {
+    void tenOwnerCrashesInTwoMinutesLoseNoJob(long seed, int controllers, boolean outage) {
         World w = new World(seed, controllers, 24);
         w.submit("wk-web", "standing", 4, "production", true, false);
         w.fixedRunTimesMs.put("wk-long/0", 90_000L);
@@ -270,14 +270,14 @@
             assertThat(w.reportedState("wk-s" + i)).as("wk-s" + i).isEqualTo("done");
             assertThat(w.isCancelled("wk-c" + i)).isTrue();
         }
-        endsWell(w, 90_000);
+        runAndAssertHealthy(w, 90_000);
         assertThat(w.reportedState("wk-long")).isEqualTo("done");
     }
 
     /** A controller and its workers are cut off from everybody for longer than a lease, and come back; users cancel through the others. */
     @ParameterizedTest
     @CsvSource({"91, 3", "92, 3", "93, 7", "94, 7"})
-    void anIslandCutOffForLongerThanALeaseRunsNothingTwice(long seed, int controllers) {
+    void networkPartitionLongerThanALeaseRunsNoTaskTwice(long seed, int controllers) {
         World w = new World(seed, controllers, 24);
         w.submit("wk-web", "standing", 4, "production", true, false);
         w.submit("wk-one", "standing", 4, "standard", false, true);
@@ -300,13 +300,13 @@
             assertThat(w.unfinishedTaskCount("wk-c" + i)).isZero();
         }
         assertThat(w.unfinishedTaskCount("wk-one")).isEqualTo(4);
-        endsWell(w, 30_000);
+        runAndAssertHealthy(w, 30_000);
     }
 
     /** Copies of earlier sessions and attempts reach everybody before the first true report does, just as a new owner begins. */
     @ParameterizedTest
     @CsvSource({"31, 3", "32, 3", "33, 7", "34, 7"})
-    void oldReportsThatReachEverybodyAsANewOwnerBeginsEndNothing(long seed, int controllers) {
+    void staleReportsToAllControllersDuringTakeoverEndNoTask(long seed, int controllers) {
         // Leases outlast the time without an owner, so that whatever starts anew was ended by a copy.
         World w = new World(seed, controllers, 16, 20_000, 60_000);
         w.submit("wk-web", "standing", 3, "production", true, false);
@@ -338,13 +338,13 @@
             assertThat(w.violations).isEmpty();
         }
         assertThat(w.taskStarts).as("nothing was started anew").isEqualTo(starts);
-        endsWell(w, 100_000);
+        runAndAssertHealthy(w, 100_000);
         assertThat(w.reportedState("wk-long")).isEqualTo("done");
     }
 
     /** Message by message: after the takeover an old copy first, then the newest report, then a copy again. */
     @Test
-    void anOlderReportAfterANewerOneIsNotTakenForTheStateOfItsMachine() {
+    void olderReportDoesNotReplaceNewerMachineState() {
         World w = new World(41, 3, 16);
         w.neverReadyRate = 1;
         w.run(6_000);
@@ -380,7 +380,7 @@
 
     /** Reaped before its end is written, a task would run again if its owner ended now: the report is the only proof. */
     @Test
-    void anExitIsReapedOnlyOnceItsEndIsWritten() {
+    void exitedTaskIsReapedOnlyOnceItsEndIsStored() {
         World w = new World(42, 3, 16);
         w.neverReadyRate = 1;
         w.run(6_000);
--- a/src/test/java/birchusher/sim/OddRequestsTest.java
+++ b/src/test/java/birchusher/sim/InvalidSubmissionsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Submissions that no controller may accept, in any state of its view, and whose refusal names the field. */
-class OddRequestsTest {
-    private static final List<String> REQUIRED = List.of(
+class InvalidSubmissionsTest {
+    private static final List<String> REQUIRED_FIELDS = List.of(
             "name_id",
             "lane",
             "crew",
@@ -31,33 +31,33 @@
             "mark_take_s");
 
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
-    private static Map<String, Object> body(String id) {
+    private static Map<String, Object> validBody(String id) {
         return new LinkedHashMap<>(World.submission(id, "sweep", 1, "red"));
     }
 
     /** Each required field once missing, once null, once of the wrong kind. */
-    private static Map<String, List<Map<String, Object>>> malformed() {
+    private static Map<String, List<Map<String, Object>>> malformedBodies() {
         Map<String, List<Map<String, Object>>> all = new LinkedHashMap<>();
         int n = 0;
-        for (String field : REQUIRED) {
+        for (String field : REQUIRED_FIELDS) {
             List<Map<String, Object>> bad = new ArrayList<>();
             for (Object wrong :
                     new Object[] {null, List.of(), Map.of("x", 1L), field.equals("name_id") ? "job 1" : -3.5}) {
-                Map<String, Object> b = body("wk-m" + n++);
+                Map<String, Object> b = validBody("wk-m" + n++);
                 b.put(field, wrong);
                 bad.add(b);
             }
-            Map<String, Object> lacks = body("wk-m" + n++);
+            Map<String, Object> lacks = validBody("wk-m" + n++);
             lacks.remove(field);
             bad.add(lacks);
             all.put(field, bad);
         }
         for (String field : List.of("builds", "grove", "due_s")) {
-            Map<String, Object> b = body("wk-m" + n++);
+            Map<String, Object> b = validBody("wk-m" + n++);
             b.put(field, field.equals("builds") ? List.of(7L) : true);
             all.put(field, List.of(b));
         }
@@ -65,40 +65,41 @@
     }
 
     @Test
-    void eachFieldMissingOrWrongIsRefusedByName() {
+    void refusalNamesTheMissingOrMistypedField() {
         World w = new World(1, 3, 16);
         w.run(10_000);
         int[] node = {0};
-        malformed()
+        malformedBodies()
                 .forEach((field, bodies) -> bodies.forEach(b -> {
                     assertThat(w.requestAndWait(node[0]++ % 3, "POST", "/v2/runs", b))
                             .as(field + " of " + b)
                             .startsWith("400 ")
                             .contains(field);
                 }));
-        assertThat(w.requestAndWait(0, "POST", "/v2/runs", body("wk-fine"))).startsWith("201");
+        assertThat(w.requestAndWait(0, "POST", "/v2/runs", validBody("wk-fine")))
+                .startsWith("201");
         w.run(2_000);
         assertThat(w.store.dump()).contains("job/wk-fine").doesNotContain("job/wk-m");
         assertThat(w.violations).isEmpty();
     }
 
     @Test
-    void whatCanNeverRunIsRefusedWithTheReason() {
+    void unsatisfiableSubmissionIsRefusedWithTheReason() {
         World w = new World(2, 3, 16);
         w.run(10_000);
         Map<String, Map<String, Object>> never = Map.of(
                 "team",
-                with("crew", "nobody"),
+                bodyWith("crew", "nobody"),
                 "zone",
-                with("grove", "nowhere"),
+                bodyWith("grove", "nowhere"),
                 "type",
-                with("cores", 400.0),
+                bodyWith("cores", 400.0),
                 "machine",
-                with("builds", List.of("none")),
+                bodyWith("builds", List.of("none")),
                 "fits",
-                with("builds", List.of()),
+                bodyWith("builds", List.of()),
                 "limit",
-                gang(17L));
+                gangOfTasks(17L));
         never.forEach((word, b) -> {
             for (int i = 0; i < 3; i++) {
                 assertThat(w.requestAndWait(i, "POST", "/v2/runs", b))
@@ -109,26 +110,27 @@
         assertThat(w.store.dump()).doesNotContain("job/wk-never");
     }
 
-    private static Map<String, Object> with(String field, Object value) {
-        Map<String, Object> b = body("wk-never");
+    private static Map<String, Object> bodyWith(String field, Object value) {
+        Map<String, Object> b = validBody("wk-never");
         b.put(field, value);
         return b;
     }
 
-    private static Map<String, Object> gang(long tasks) {
-        Map<String, Object> b = with("shape", "gang");
+    private static Map<String, Object> gangOfTasks(long tasks) {
+        Map<String, Object> b = bodyWith("shape", "gang");
         b.put("pieces", tasks);
         return b;
     }
 
     /** Whether its id is known can't be told then, and an id that is known must never be refused. */
     @Test
-    void whereTheViewIsNotFreshTheAnswerIsTryAgainAtOnce() {
+    void staleViewAnswersServiceUnavailableAtOnce() {
         World w = new World(3, 3, 16);
         w.run(10_000);
         w.store.setOutage(true, w.nowMs);
         w.run(3_000);
-        List<Map<String, Object>> odd = List.of(with("crew", "nobody"), with("shape", 3L), with("cores", 400.0));
+        List<Map<String, Object>> odd =
+                List.of(bodyWith("crew", "nobody"), bodyWith("shape", 3L), bodyWith("cores", 400.0));
         for (Map<String, Object> b : odd) {
             for (int i = 0; i < 3; i++) {
                 long asked = w.nowMs;
--- a/src/test/java/birchusher/sim/OperatorsTest.java
+++ b/src/test/java/birchusher/sim/OperationalFaultsTest.java
@@ -10,20 +10,20 @@
  * What the operators' two deployments brought, each alone and with a controller's crash and an outage of the state service; the rules are
  * checked at every step by the world.
  */
-class OperatorsTest {
+class OperationalFaultsTest {
     /** What comes on top of the trouble itself. */
-    enum With {
+    enum AdditionalFault {
         NOTHING,
         CRASH,
         OUTAGE
     }
 
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
-    private static void along(World w, With with, int controllers) {
+    private static void inject(World w, AdditionalFault with, int controllers) {
         switch (with) {
             case CRASH -> {
                 w.crash(w.random.nextInt(controllers), 3_000);
@@ -39,7 +39,7 @@
         }
     }
 
-    private static void answeredAndWell(World w) {
+    private static void assertHealthy(World w) {
         assertThat(w.unansweredJobs(10_000)).isEmpty();
         assertThat(w.violations).isEmpty();
     }
@@ -47,7 +47,7 @@
     /** A third of all machines never comes up and the rest takes twice as long: work is done, and not much more is rented than that. */
     @ParameterizedTest
     @CsvSource({"301, 3, NOTHING", "302, 3, CRASH", "303, 7, OUTAGE"})
-    void machinesThatComeLateOrNeverAreReplacedAndNotTwice(long seed, int controllers, With with) {
+    void slowAndFailedBootsAreReplacedOnlyOnce(long seed, int controllers, AdditionalFault with) {
         World w = new World(seed, controllers, 60);
         w.neverReadyRate = 0.33;
         w.bootTimeFactor = 2;
@@ -56,7 +56,7 @@
         }
         w.submit("wk-arr", "sweep", 16, "standard", false, false);
         w.run(20_000);
-        along(w, with, controllers);
+        inject(w, with, controllers);
         w.run(130_000);
         for (int i = 0; i < 4; i++) {
             assertThat(w.reportedState("wk-web" + i)).isEqualTo("running");
@@ -64,13 +64,13 @@
         assertThat(w.reportedState("wk-arr")).isEqualTo("done");
         // Ten machines hold all of it; a third of those rented never came.
         assertThat(w.machineRented).isLessThan(40);
-        answeredAndWell(w);
+        assertHealthy(w);
     }
 
     /** Jobs with a mistake fail wherever they run: others don't wait for it, machines stay, and attempts are bounded. */
     @ParameterizedTest
     @CsvSource({"311, 3, NOTHING", "312, 3, CRASH", "313, 7, OUTAGE", "314, 7, CRASH"})
-    void jobsThatFailEverywhereCostOthersLittleAndNoMachine(long seed, int controllers, With with) {
+    void jobsThatFailEverywhereDelayNoOtherJobAndCostNoMachine(long seed, int controllers, AdditionalFault with) {
         World w = new World(seed, controllers, 60);
         w.submit("wk-web", "standing", 20, "production", true, false);
         for (int i = 0; i < 4; i++) {
@@ -79,7 +79,7 @@
         }
         w.submit("wk-arr", "sweep", 30, "standard", false, false);
         w.run(30_000);
-        along(w, with, controllers);
+        inject(w, with, controllers);
         w.run(60_000);
         assertThat(w.reportedState("wk-arr")).isEqualTo("done");
         assertThat(w.reportedState("wk-web")).isEqualTo("running");
@@ -99,19 +99,19 @@
         for (int i = 0; i < 4; i++) {
             assertThat(w.isCancelled("wk-bad" + i)).isTrue();
         }
-        answeredAndWell(w);
+        assertHealthy(w);
     }
 
     /** Low work of a team without a guarantee and without an objective: on idle machines, and nothing is rented for it before it has waited. */
     @ParameterizedTest
     @CsvSource({"321, 3, NOTHING", "322, 3, CRASH", "323, 7, OUTAGE"})
-    void guestsUseIdleRoomAndAreServedInTheEnd(long seed, int controllers, With with) {
+    void teamWithoutGuaranteeUsesIdleCapacityAndIsNotStarved(long seed, int controllers, AdditionalFault with) {
         World w = new World(seed, controllers, 200);
         w.submit("wk-web", "standing", 5, "production", false, false);
         w.run(40_000);
         int before = w.machineRented;
         w.submit("wk-guest", "sweep", 12, "low", false, false).put("crew", "guests");
-        along(w, with, controllers);
+        inject(w, with, controllers);
         w.run(60_000);
         assertThat(w.machineRented).as("rented for guests").isEqualTo(before);
         w.submit("wk-own", "sweep", 8, "standard", false, false);
@@ -119,13 +119,13 @@
         assertThat(w.reportedState("wk-own")).isEqualTo("done");
         w.run(150_000);
         assertThat(w.reportedState("wk-guest")).as("not starved").isEqualTo("done");
-        answeredAndWell(w);
+        assertHealthy(w);
     }
 
     /** A swarm of single jobs and thousands of questions, among them about jobs that nobody submitted: rows and reads are bounded. */
     @ParameterizedTest
     @CsvSource({"331, 3, NOTHING", "332, 3, CRASH", "333, 7, OUTAGE"})
-    void aSwarmAndAStormOfQuestionsDelayNobody(long seed, int controllers, With with) {
+    void manySmallJobsAndStatusQueriesDelayNoOtherJob(long seed, int controllers, AdditionalFault with) {
         World w = new World(seed, controllers, 120);
         w.submit("wk-web", "standing", 4, "production", false, false);
         w.run(30_000);
@@ -134,7 +134,7 @@
             w.submit("wk-one" + i, "sweep", 1, "low", false, false);
         }
         w.run(3_000);
-        along(w, with, controllers);
+        inject(w, with, controllers);
         w.run(8_000);
         int reads = w.store.rowReads;
         for (int i = 0; i < 300; i++) {
@@ -149,6 +149,6 @@
             assertThat(w.reportedState("wk-one" + i)).isEqualTo("done");
         }
         assertThat(w.store.rowsWritten - rows).as("rows for 100 jobs").isLessThan(100 * 8);
-        answeredAndWell(w);
+        assertHealthy(w);
     }
 }
--- a/src/test/java/birchusher/sim/RecoveryTest.java
+++ b/src/test/java/birchusher/sim/RecoveryTest.java
@@ -18,27 +18,27 @@
 /** All controllers go down and come back: what their workers still do is found again, and what was dropped goes back in order. */
 class RecoveryTest {
     /** Longer than a worker's lease, so that every machine drops its tasks. */
-    private static final long LONG_MS = World.WORKER_LEASE_MS + 6_000;
+    private static final long LEASE_EXPIRY_OUTAGE_MS = World.WORKER_LEASE_MS + 6_000;
 
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
     /** 40 services of three replicas in a fleet that is up and settled. */
-    private static World busy(long seed, int controllers) {
+    private static World busyWorld(long seed, int controllers) {
         World w = new World(seed, controllers, 240);
         w.maxMachines = 80;
         for (int i = 0; i < 40; i++) {
             w.submit("wk-s" + i, "standing", 3, "production", true, false);
         }
         w.run(60_000);
-        assertThat(places(w)).hasSize(120);
+        assertThat(machineByTask(w)).hasSize(120);
         return w;
     }
 
     /** Where each task is, by its key. */
-    private static Map<String, String> places(World w) {
+    private static Map<String, String> machineByTask(World w) {
         Map<String, String> l = new TreeMap<>();
         w.workers.values().forEach(m -> m.tasks.values().forEach(t -> {
             if (!t.exited() && m.holdsLease(w.nowMs)) {
@@ -54,14 +54,14 @@
         }
     }
 
-    private static long term(World w) {
+    private static long latestTerm(World w) {
         Matcher m = Pattern.compile("t=(\\d+)").matcher(w.latestTermRow());
         assertThat(m.find()).isTrue();
         return Long.parseLong(m.group(1));
     }
 
     /** Losses written, as the placement rows count them. */
-    private static long restarts(World w) {
+    private static long storedRestartCount(World w) {
         return Pattern.compile("b/live/place/.*\\br=(\\d+)")
                 .matcher(w.store.dump())
                 .results()
@@ -69,19 +69,19 @@
                 .sum();
     }
 
-    private static long same(Map<String, String> before, Map<String, String> after) {
+    private static long countOnSameMachine(Map<String, String> before, Map<String, String> after) {
         return before.entrySet().stream()
                 .filter(e -> e.getValue().equals(after.get(e.getKey())))
                 .count();
     }
 
     /** Every machine has dropped its tasks by the end of the outage; twenty seconds more. */
-    private static void allFallInAnOutageAndAreBack(World w, int controllers) {
+    private static void crashAllDuringOutageAndRecover(World w, int controllers) {
         w.store.setOutage(true, w.nowMs);
         w.run(1_000);
         crashAll(w, controllers, 3_000);
-        w.run(LONG_MS);
-        assertThat(places(w)).isEmpty();
+        w.run(LEASE_EXPIRY_OUTAGE_MS);
+        assertThat(machineByTask(w)).isEmpty();
         w.store.setOutage(false, w.nowMs);
         w.run(20_000);
         assertThat(w.violations).isEmpty();
@@ -103,45 +103,45 @@
      * </pre>
      */
     @Test
-    void aDroppedReplicaWhosePlaceAnotherTookIsBackWithinTwentySeconds() {
-        World w = busy(202, 3);
-        allFallInAnOutageAndAreBack(w, 3);
-        assertThat(places(w)).hasSize(120);
+    void droppedReplicaWhoseCapacityWasTakenRunsAgainWithinTwentySeconds() {
+        World w = busyWorld(202, 3);
+        crashAllDuringOutageAndRecover(w, 3);
+        assertThat(machineByTask(w)).hasSize(120);
     }
 
     /** Started inside an outage, whoever read the rows first took all shards, and handed them over in the middle of squaring. */
     @ParameterizedTest
     @CsvSource({"3, 201", "3, 204", "7, 203", "7, 205"})
-    void afterACrashInAnOutageEachTakesItsOwnShardsOnceAndDroppedWorkGoesBackWhereItRan(int controllers, long seed) {
-        World w = busy(seed, controllers);
-        Map<String, String> before = places(w);
+    void afterCrashDuringOutageShardsMoveOnceAndDroppedTasksRestartWhereTheyRan(int controllers, long seed) {
+        World w = busyWorld(seed, controllers);
+        Map<String, String> before = machineByTask(w);
         int rented = w.workers.size();
-        long term = term(w);
-        long restarts = restarts(w);
-        allFallInAnOutageAndAreBack(w, controllers);
-        Map<String, String> after = places(w);
+        long term = latestTerm(w);
+        long restarts = storedRestartCount(w);
+        crashAllDuringOutageAndRecover(w, controllers);
+        Map<String, String> after = machineByTask(w);
         assertThat(after).hasSize(120);
-        assertThat(same(before, after)).isGreaterThanOrEqualTo(96);
+        assertThat(countOnSameMachine(before, after)).isGreaterThanOrEqualTo(96);
         assertThat(w.workers.size()).isEqualTo(rented);
         int shards = 2 * Math.max(2, (controllers + 1) / 2);
-        assertThat(term(w) - term).isEqualTo(shards);
+        assertThat(latestTerm(w) - term).isEqualTo(shards);
         // Each loss is written once: a loss that rides with the claim that replaces it must not take that one out as
         // well.
-        assertThat(restarts(w) - restarts).isEqualTo(120);
+        assertThat(storedRestartCount(w) - restarts).isEqualTo(120);
     }
 
     /** Without a loss nothing is ordered: no start, no stop, no machine more or less. */
     @ParameterizedTest
     @CsvSource({"3, 211", "7, 212"})
-    void aCrashShorterThanTheWorkersLeasesOrdersNothing(int controllers, long seed) {
-        World w = busy(seed, controllers);
-        Map<String, String> before = places(w);
+    void crashShorterThanWorkerLeasesChangesNoTaskOrMachine(int controllers, long seed) {
+        World w = busyWorld(seed, controllers);
+        Map<String, String> before = machineByTask(w);
         List<String> machines = new ArrayList<>(w.workers.keySet());
         int starts = w.taskStarts;
         crashAll(w, controllers, 4_000);
         w.run(25_000);
         assertThat(w.violations).isEmpty();
-        assertThat(places(w)).isEqualTo(before);
+        assertThat(machineByTask(w)).isEqualTo(before);
         assertThat(w.taskStarts).isEqualTo(starts);
         assertThat(w.workers.keySet()).containsExactlyElementsOf(machines);
     }
@@ -149,24 +149,24 @@
     /** Reading, hearing, restoring: a second crash finds each of them half done. */
     @ParameterizedTest
     @ValueSource(longs = {100, 300, 700, 1_500, 3_000, 5_000})
-    void aSecondCrashInAnyPhaseIsTheOrdinaryCase(long after) {
-        World w = busy(220 + after, 3);
+    void secondCrashInAnyRecoveryPhaseLosesNoTask(long after) {
+        World w = busyWorld(220 + after, 3);
         w.store.setOutage(true, w.nowMs);
         crashAll(w, 3, 3_000);
-        w.run(LONG_MS);
+        w.run(LEASE_EXPIRY_OUTAGE_MS);
         w.store.setOutage(false, w.nowMs);
         w.run(after);
         crashAll(w, 3, 2_000 + after);
         w.run(40_000);
         assertThat(w.violations).isEmpty();
-        assertThat(places(w)).hasSize(120);
+        assertThat(machineByTask(w)).hasSize(120);
     }
 
     /** Ten machines die while nobody listens, one controller is back 20 s after the others, reports and commands come late. */
     @ParameterizedTest
     @ValueSource(longs = {231, 232, 233})
-    void machinesThatDiedMeanwhileAndALateControllerLoseNothing(long seed) {
-        World w = busy(seed, 3);
+    void machinesLostDuringRestartAndALateControllerLoseNoJob(long seed) {
+        World w = busyWorld(seed, 3);
         w.longDelayRate = 0.01;
         w.submit("wk-arr", "sweep", 60, "standard", false, false);
         w.submit("wk-gang", "gang", 3, "standard", false, true);
@@ -178,7 +178,7 @@
         w.requestCancellation("wk-s7");
         w.run(150_000);
         assertThat(w.violations).isEmpty();
-        assertThat(places(w)).hasSizeGreaterThanOrEqualTo(117);
+        assertThat(machineByTask(w)).hasSizeGreaterThanOrEqualTo(117);
         assertThat(w.reportedState("wk-arr")).isEqualTo("done");
         assertThat(w.reportedState("wk-gang")).isEqualTo("done");
         assertThat(w.isCancelled("wk-s7")).isTrue();
@@ -186,30 +186,30 @@
 
     /** A team at its limit: what was dropped still counts until its row is written, and all of it comes back. */
     @Test
-    void aTeamAtItsLimitGetsAllOfItsWorkBackAndNeverMore() {
+    void teamAtItsQuotaGetsAllItsTasksBackAndNeverMore() {
         World w = new World(241, 3, 24);
         for (int i = 0; i < 8; i++) {
             w.submit("wk-s" + i, "standing", 3, "production", true, false);
         }
         w.run(60_000);
-        assertThat(places(w)).hasSize(24);
+        assertThat(machineByTask(w)).hasSize(24);
         w.store.setOutage(true, w.nowMs);
         crashAll(w, 3, 3_000);
-        w.run(LONG_MS);
+        w.run(LEASE_EXPIRY_OUTAGE_MS);
         w.store.setOutage(false, w.nowMs);
         w.run(40_000);
         assertThat(w.violations).isEmpty();
-        assertThat(places(w)).hasSize(24);
+        assertThat(machineByTask(w)).hasSize(24);
     }
 
     /** A new owner knows of the images only what the rows of dropped work tell. */
     @Test
-    void theImagesOfDroppedWorkAreToldAtOnce() {
-        World w = busy(251, 3);
-        Map<String, String> before = places(w);
+    void imagesOfDroppedTasksArePublishedAtOnce() {
+        World w = busyWorld(251, 3);
+        Map<String, String> before = machineByTask(w);
         w.store.setOutage(true, w.nowMs);
         crashAll(w, 3, 3_000);
-        w.run(LONG_MS);
+        w.run(LEASE_EXPIRY_OUTAGE_MS);
         w.store.setOutage(false, w.nowMs);
         Map<String, List<String>> first = new HashMap<>();
         w.onPublishedImages = first::putIfAbsent;
@@ -221,8 +221,8 @@
 
     /** Machines that have not been heard yet have room: nothing is rented for it, and nothing of it returned. */
     @Test
-    void whileMachinesAreStillExpectedNothingIsRented() {
-        World w = busy(261, 3);
+    void nothingIsRentedWhileMachinesAreStillExpected() {
+        World w = busyWorld(261, 3);
         for (int i = 0; i < 10; i++) {
             w.requestCancellation("wk-s" + i);
         }
--- a/src/test/java/birchusher/sim/RentalZoneTest.java
+++ b/src/test/java/birchusher/sim/RentalZoneTest.java
@@ -25,7 +25,7 @@
  */
 class RentalZoneTest {
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
@@ -39,7 +39,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {501, 502, 503, 504})
-    void oneMachineIsRentedForAReplicaThatMayGoToTheFullerZoneOnly(long seed) {
+    void oneMachineIsRentedForAReplicaRestrictedToTheFullerZone(long seed) {
         World world = new World(seed, 3, 60);
         Map<String, Object> spread = world.submit("wk-spread", "standing", 3, "production", true, false);
         spread.put("cards", 4.0);
--- a/src/test/java/birchusher/sim/WorkerLeaseTest.java
+++ b/src/test/java/birchusher/sim/WorkerLeaseTest.java
@@ -14,10 +14,10 @@
  * or it restarts tasks elsewhere that still run ({@code docs/incidents/2026-12-02-ran-twice.md}).
  */
 class WorkerLeaseTest {
-    private static final int REPORT_MS = 3_000;
+    private static final int REPORT_INTERVAL_MS = 3_000;
 
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getProperty("sim.log", "off"));
     }
 
@@ -35,7 +35,7 @@
         return world;
     }
 
-    private static FakeWorker holder(World world, String task) {
+    private static FakeWorker workerHolding(World world, String task) {
         Pattern claim = Pattern.compile("b/live/place/" + task.replace("/0", "/0 = ") + ".*c=0:\\d+:(n-\\d+):");
         Matcher found = claim.matcher(world.store.dump());
         assertThat(found.find()).as(world.store.dump()).isTrue();
@@ -43,7 +43,7 @@
     }
 
     /** A job other than the service that has its task on this machine. */
-    private static String neighbour(FakeWorker worker) {
+    private static String otherJobOn(FakeWorker worker) {
         return worker.tasks.values().stream()
                 .filter(t -> !t.exited() && t.key.startsWith("wk-long"))
                 .findFirst()
@@ -53,16 +53,16 @@
     }
 
     /** Runs until the worker has just sent a report that is an ordinary interval younger than the one answered before. */
-    private static void untilRegularReport(World world, FakeWorker worker) {
+    private static void runUntilRegularReport(World world, FakeWorker worker) {
         for (int i = 0;
-                i < 3_000 && !(worker.reportInFlight && world.nowMs - worker.leaseStartMs >= REPORT_MS - 200);
+                i < 3_000 && !(worker.reportInFlight && world.nowMs - worker.leaseStartMs >= REPORT_INTERVAL_MS - 200);
                 i++) {
             world.run(10);
         }
         assertThat(worker.reportInFlight).isTrue();
     }
 
-    private static void untilRenewed(World world, FakeWorker worker) {
+    private static void runUntilRenewed(World world, FakeWorker worker) {
         long before = worker.leaseStartMs;
         for (int i = 0; i < 600 && worker.leaseStartMs == before; i++) {
             world.run(10);
@@ -76,39 +76,41 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 5, 6})
-    void anAnswerToAnOvertakenReportCountsAsAGrant(long seed) {
+    void responseToOvertakenReportRenewsTheLease(long seed) {
         World world = world(seed);
-        FakeWorker worker = holder(world, "wk-web/0");
-        String neighbour = neighbour(worker);
-        untilRenewed(world, worker);
+        FakeWorker worker = workerHolding(world, "wk-web/0");
+        String neighbour = otherJobOn(worker);
+        runUntilRenewed(world, worker);
         worker.reportDelayMs = 2_500;
-        untilRegularReport(world, worker);
+        runUntilRegularReport(world, worker);
         world.cancelAndWait(world.ownerOf(worker), neighbour);
         assertThat(worker.reportInFlight)
                 .as("the direct command was answered while the report was under way")
                 .isTrue();
         assertThat(worker.tasks.keySet())
                 .noneMatch(k -> k.startsWith(neighbour) && !worker.tasks.get(k).exited());
-        untilRenewed(world, worker);
+        runUntilRenewed(world, worker);
         worker.setCutOff(true);
         world.run(40_000);
         assertThat(world.violations).isEmpty();
-        assertThat(holder(world, "wk-web/0")).as("started elsewhere in the end").isNotEqualTo(worker);
+        assertThat(workerHolding(world, "wk-web/0"))
+                .as("started elsewhere in the end")
+                .isNotEqualTo(worker);
     }
 
-    private static boolean ownsByItself(World world, int node, FakeWorker worker) {
+    private static boolean ownsShardOf(World world, int node, FakeWorker worker) {
         return world.requestAndWait(node, "POST", "/hello", FakeWorker.report(worker.name, worker.zone, 0))
                 .startsWith("200");
     }
 
     /** Sends a worker's reports to one other controller after the other until one of them has taken its shard. */
-    private static int takenOverBy(World world, FakeWorker worker, int oldOwner) {
+    private static int moveToNewOwner(World world, FakeWorker worker, int oldOwner) {
         for (int i = 0; i < 100; i++) {
             int node = (oldOwner + 1 + i % 2) % 3;
             worker.controllerIndex = node;
             worker.nextReportMs = world.nowMs;
             world.run(100);
-            if (ownsByItself(world, node, worker)) {
+            if (ownsShardOf(world, node, worker)) {
                 return node;
             }
         }
@@ -121,13 +123,13 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 33})
-    void anAnswerOfTheOwnerBeforeCountsUntilTheWorkerShowsTheNewTerm(long seed) {
+    void previousOwnersResponseCountsUntilTheWorkerReportsTheNewTerm(long seed) {
         World world = world(seed);
-        FakeWorker worker = holder(world, "wk-web/0");
-        String neighbour = neighbour(worker);
+        FakeWorker worker = workerHolding(world, "wk-web/0");
+        String neighbour = otherJobOn(worker);
         int oldOwner = world.ownerOf(worker);
         world.setIsolated(oldOwner, true);
-        int newOwner = takenOverBy(world, worker, oldOwner);
+        int newOwner = moveToNewOwner(world, worker, oldOwner);
         worker.connectionsResetBy.add(newOwner);
         worker.commandDelayMs = 2_900;
         worker.controllerIndex = newOwner;
@@ -148,15 +150,17 @@
         worker.setCutOff(true);
         world.run(40_000);
         assertThat(world.violations).isEmpty();
-        assertThat(holder(world, "wk-web/0")).as("started elsewhere in the end").isNotEqualTo(worker);
+        assertThat(workerHolding(world, "wk-web/0"))
+                .as("started elsewhere in the end")
+                .isNotEqualTo(worker);
     }
 
     /** Packets of a machine that was cut off are delivered later: its tasks in them are over, and none of them breaks a rule. */
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
-    void aReportHeldBackUntilItsLeaseIsOverShowsNothingThatRuns(long seed) {
+    void reportDelayedPastItsLeaseShowsNoRunningTask(long seed) {
         World world = world(seed);
-        FakeWorker worker = holder(world, "wk-web/0");
+        FakeWorker worker = workerHolding(world, "wk-web/0");
         int owner = world.ownerOf(worker);
         worker.setCutOff(true);
         Map<String, Object> held = worker.report();
