--- a/src/test/java/birchusher/sim/FaultCombinationsTest.java
+++ b/src/test/java/birchusher/sim/FaultCombinationsTest.java
@@ -121,7 +121,7 @@
             world.run(9_000);
             rented[replyLost] = world.machineRented - rentedBefore;
             assertThat(world.store.loseReplyForKeyPrefix)
-                    .as("rental request whose reply is still to be lost")
+                    .as("reply still to be lost")
                     .isNull();
             assertThat(world.violations).isEmpty();
         }
@@ -204,10 +204,7 @@
         runAndAssertHealthy(world, "wk-arr", "wk-gang", "wk-g13", "wk-s13");
     }
 
-    /**
-     * A response with a start command is on its way when a newer message arrives that does not show the task. The claim
-     * must stay until the response can no longer be executed.
-     */
+    /** A start command may still be on its way when a newer message arrives that does not show the task. */
     @Test
     void claimIsKeptWhileAStartCommandMayStillArrive() {
         World world = new World(31, 3, 16);
@@ -262,10 +259,7 @@
                 .isEqualTo("200 stop wk-y/0");
     }
 
-    /**
-     * Duplicates of reports of an earlier session or attempt reach the controllers, also the one that has taken the
-     * shard over since. They must not end tasks that run.
-     */
+    /** Duplicates of reports of an earlier session or attempt, also after a takeover, must not end running tasks. */
     @ParameterizedTest
     @CsvSource({"41, 3", "42, 3", "43, 7"})
     void staleReportsAfterTakeoverEndNoTask(long seed, int controllers) {
@@ -294,10 +288,7 @@
         runAndAssertHealthy(world, "wk-long", "wk-arr", "wk-gang");
     }
 
-    /**
-     * Every reply of the state service takes up to 1.5 s longer, the service refuses one controller, and another one
-     * crashes. Every job must stay known.
-     */
+    /** Every reply of the state service is up to 1.5 s late, it refuses one controller, and another one crashes. */
     @ParameterizedTest
     @CsvSource({"51, 3", "52, 3", "53, 7", "54, 7"})
     void slowStateServiceThatRefusesOneControllerLosesNoJob(long seed, int controllers) {
@@ -323,10 +314,7 @@
         runAndAssertHealthy(world, "wk-more", "wk-arr", "wk-gang");
     }
 
-    /**
-     * The first of two or three tasks finishes long before the last one, and owners and job schedulers crash in
-     * between. Each task must complete once.
-     */
+    /** The first of two or three tasks finishes long before the last; owners and job schedulers crash meanwhile. */
     @ParameterizedTest
     @CsvSource({"61, 3, 200", "62, 3, 4000", "63, 3, 9000", "64, 7, 200", "65, 7, 5000"})
     void tasksThatFinishFarApartEachCompleteOnce(long seed, int controllers, long downMs) {
--- a/src/test/java/birchusher/sim/FaultInjectionTest.java
+++ b/src/test/java/birchusher/sim/FaultInjectionTest.java
@@ -4,6 +4,7 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -67,20 +68,19 @@
     void machineThatDoesNotReceiveResponsesIsReplacedAndMovesNoShard(long seed, int controllers) {
         World world = worldWithJobs(seed, controllers);
         world.run(45_000);
-        FakeWorker nonReceiving = workerRunningWebReplica(world);
-        nonReceiving.cannotReceive = true;
+        FakeWorker worker = workerRunningWebReplica(world);
+        worker.cannotReceive = true;
         String term = world.latestTermRow();
         world.run(20_000);
         world.submit("wk-more", "sweep", 30, "standard", false, false);
         for (int i = 0; i < 20; i++) {
             world.run(3_000);
-            assertThat(isClaimedInSession(world, nonReceiving.name, 2)
-                            || isClaimedInSession(world, nonReceiving.name, 3))
-                    .as("new claim on " + nonReceiving.name)
+            assertThat(isClaimedInSession(world, worker.name, 2) || isClaimedInSession(world, worker.name, 3))
+                    .as("new claim on " + worker.name)
                     .isFalse();
         }
         assertThat(world.latestTermRow()).isEqualTo(term);
-        assertThat(nonReceiving.deleted).as("returned").isTrue();
+        assertThat(worker.deleted).as("returned").isTrue();
         assertThat(world.reportedState("wk-more")).isEqualTo("done");
         runAndAssertHealthy(world);
     }
@@ -94,8 +94,8 @@
     void machineThatDoesNotReceiveResponsesGetsNoTasksInLaterSessions(long seed, int controllers) {
         World world = worldWithJobs(seed, controllers);
         world.run(45_000);
-        FakeWorker nonReceiving = workerRunningWebReplica(world);
-        nonReceiving.cannotReceive = true;
+        FakeWorker worker = workerRunningWebReplica(world);
+        worker.cannotReceive = true;
         world.cloudRefusesDeletions = true;
         String term = world.latestTermRow();
         for (int i = 0; i < 40; i++) {
@@ -104,14 +104,14 @@
             }
             world.run(2_000);
             for (int session = 2; session < 9; session++) {
-                assertThat(isClaimedInSession(world, nonReceiving.name, session))
+                assertThat(isClaimedInSession(world, worker.name, session))
                         .as("claimed in session " + session)
                         .isFalse();
             }
         }
-        assertThat(nonReceiving.session).isGreaterThan(3);
+        assertThat(worker.session).isGreaterThan(3);
         assertThat(world.latestTermRow()).isEqualTo(term);
-        nonReceiving.cannotReceive = false;
+        worker.cannotReceive = false;
         world.cloudRefusesDeletions = false;
         runAndAssertHealthy(world);
     }
@@ -223,9 +223,7 @@
         int startsBefore = world.taskStarts;
         world.submit("wk-more", "sweep", 12, "standard", false, false);
         world.run(35_000);
-        assertThat(latestTerm(world) - termBefore)
-                .as("takeovers, at most one for each of its two shards")
-                .isBetween(1L, 2L);
+        assertThat(latestTerm(world) - termBefore).as("takeovers of two shards").isBetween(1L, 2L);
         assertThat(world.taskStarts).isGreaterThanOrEqualTo(startsBefore + 12);
         assertThat(world.reportedState("wk-arr")).isEqualTo("done");
         assertThat(world.reportedState("wk-web")).isEqualTo("running");
@@ -300,10 +298,7 @@
         runAndAssertHealthy(world);
     }
 
-    /**
-     * Every incarnation of a controller must have a higher number than the one before, whatever that one left in the
-     * stored rows and although the clock is set back.
-     */
+    /** Incarnation numbers increase, whatever rows the last incarnation left and although the clock is set back. */
     @Test
     void everyRestartGetsAHigherIncarnation() {
         World world = worldWithJobs(138, 3);
@@ -370,10 +365,7 @@
         runAndAssertHealthy(world);
     }
 
-    /**
-     * Status queries for jobs that have ended, or that were never submitted, must not cause one read each, also after a
-     * restart of all controllers.
-     */
+    /** Status queries for ended or unknown jobs cause no read each, even after a restart of all controllers. */
     @Test
     void statusQueriesAfterRestartOfAllControllersReadNoRows() {
         World world = new World(142, 3, 10);
@@ -397,10 +389,7 @@
         assertThat(world.violations).isEmpty();
     }
 
-    /**
-     * The state service refuses the pages of a listing for a while. A read that began anew after each refusal would not
-     * finish before the refusals end, so it must continue at the page that was refused.
-     */
+    /** Pages of a listing are refused for a while; a read that began anew each time would outlast the refusals. */
     @Test
     void listingOfManyPagesResumesAtTheRefusedPage() {
         World world = new World(143, 3, 10);
@@ -421,8 +410,7 @@
     }
 
     /**
-     * All of these faults in one run, in an order drawn by the seed. In the end every ready controller must know every
-     * accepted job.
+     * All of these faults in one run, drawn by the seed; in the end every ready controller knows every accepted job.
      */
     @ParameterizedTest
     @CsvSource({"201, 3", "202, 3", "203, 3", "204, 3", "205, 7", "206, 7"})
@@ -467,10 +455,10 @@
                     }
                     world.store.setOutage(false, world.nowMs);
                 }
-                case 4, 5 -> anyWorker(world, random).ifPresent(machine -> machine.cannotReceive = true);
-                case 6 -> anyWorker(world, random).ifPresent(machine -> machine.cannotReceive = false);
+                case 4, 5 -> anyWorker(world, random).ifPresent(worker -> worker.cannotReceive = true);
+                case 6 -> anyWorker(world, random).ifPresent(worker -> worker.cannotReceive = false);
                 case 7 -> anyWorker(world, random)
-                        .ifPresent(machine -> machine.hungUntilMs = world.nowMs + random.nextInt(25_000));
+                        .ifPresent(worker -> worker.hungUntilMs = world.nowMs + random.nextInt(25_000));
                 case 8 -> world.setOneWayPeerLinkDown(controller, (controller + 1) % controllers, random.nextBoolean());
                 case 9 -> {
                     String id = "wk-s" + step;
@@ -505,10 +493,8 @@
         runAndAssertHealthy(world);
     }
 
-    private static java.util.Optional<FakeWorker> anyWorker(World world, Random random) {
+    private static Optional<FakeWorker> anyWorker(World world, Random random) {
         List<FakeWorker> workers = List.copyOf(world.workers.values());
-        return workers.isEmpty()
-                ? java.util.Optional.empty()
-                : java.util.Optional.of(workers.get(random.nextInt(workers.size())));
+        return workers.isEmpty() ? Optional.empty() : Optional.of(workers.get(random.nextInt(workers.size())));
     }
 }
