--- a/src/main/java/birchusher/lease/EstimateBias.java
+++ b/src/main/java/birchusher/lease/EstimateBias.java
@@ -7,6 +7,14 @@
  * run time must not make every machine look slow.
  */
 public final class EstimateBias {
+    /** Number of observations of the ratio 1 that a class starts with. */
+    private static final double PRIOR_WEIGHT = 2;
+    /** Factor by which each observation reduces the weight of the earlier ones. */
+    private static final double DECAY = 0.98;
+
+    private static final double MIN_RATIO = 0.2;
+    private static final double MAX_RATIO = 5;
+
     private final Int2ObjectOpenHashMap<double[]> sumsByClass = new Int2ObjectOpenHashMap<>();
 
     /**
@@ -17,10 +25,10 @@
         if (estimateS <= 0 || observedS <= 0) {
             return;
         }
-        double[] sums = sumsByClass.computeIfAbsent(jobClass, key -> new double[] {2, 2});
-        double ratio = Math.min(5, Math.max(0.2, observedS / estimateS));
-        sums[0] = sums[0] * 0.98 + ratio;
-        sums[1] = sums[1] * 0.98 + 1;
+        double[] sums = sumsByClass.computeIfAbsent(jobClass, key -> new double[] {PRIOR_WEIGHT, PRIOR_WEIGHT});
+        double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, observedS / estimateS));
+        sums[0] = sums[0] * DECAY + ratio;
+        sums[1] = sums[1] * DECAY + 1;
     }
 
     /** Observed over estimated run time of the class; 1 without observations. */
--- a/src/main/java/birchusher/lease/LeaseSettings.java
+++ b/src/main/java/birchusher/lease/LeaseSettings.java
@@ -12,6 +12,9 @@
  * @param sweepIntervalMs how often expired leases are looked for
  */
 public record LeaseSettings(long baseMs, long renewMs, double capFactor, long sweepIntervalMs) {
+    /** Lower bound of a machine's speed in {@link #fitsCap}. */
+    private static final double MIN_SPEED = 0.01;
+
     /** Reads the durations from the operators' settings. */
     public static LeaseSettings from(Tuning tuning) {
         return new LeaseSettings(
@@ -35,6 +38,6 @@
 
     /** Whether a machine of this speed is expected to finish a task of this run time within its lease cap. */
     public boolean fitsCap(JobSpec spec, double expectedS, double speed) {
-        return spec.isService() || expectedS / Math.max(0.01, speed) * 1000 <= capMs(spec, 0);
+        return spec.isService() || expectedS / Math.max(MIN_SPEED, speed) * 1000 <= capMs(spec, 0);
     }
 }
--- a/src/main/java/birchusher/lease/LossRates.java
+++ b/src/main/java/birchusher/lease/LossRates.java
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 
 /**
- * How often tasks lose their machine before their end, by kind of machine: because it is taken back, crashes, or they are preempted. Learnt
+ * How often tasks lose their machine before their end, by kind of machine: because the cloud takes it back, it crashes, or they are preempted. Learnt
  * from the outcomes of all tasks; old observations decay, as the causes of losses come and go.
  */
 public final class LossRates {
@@ -16,6 +16,8 @@
     private static final double DECAY_MS = 300_000;
     /** Time to detect a loss and to start the task on another machine. */
     private static final double RESTART_S = 10;
+    /** Upper bound of the expected number of losses of one task, as the expected delay grows exponentially with it. */
+    private static final double MAX_EXPECTED_LOSSES = 3;
 
     private static final class Observations {
         double losses;
@@ -71,7 +73,7 @@
         if (checkpointS > 0) {
             return rate * runS * (Math.min(checkpointS, runS) / 2 + RESTART_S);
         }
-        double expectedLosses = Math.min(3, rate * runS);
+        double expectedLosses = Math.min(MAX_EXPECTED_LOSSES, rate * runS);
         return (Math.exp(expectedLosses) - 1) / rate - runS + rate * runS * RESTART_S;
     }
 }
--- a/src/main/java/birchusher/lease/TaskLease.java
+++ b/src/main/java/birchusher/lease/TaskLease.java
@@ -4,9 +4,13 @@
 public final class TaskLease {
     /** Effect of a report on a task's lease. The names are matched by recorded traces. */
     public enum Renewal {
+        /** The end was moved. */
         GRANTED,
+        /** The task has run up to the cap; its lease is not renewed any more and does not expire. */
         AT_CAP,
+        /** The lease had expired before the report arrived. */
         LAPSED,
+        /** The lease already ends as late as this report allows. */
         NOTHING_NEW
     }
 
--- a/src/main/java/birchusher/model/Catalog.java
+++ b/src/main/java/birchusher/model/Catalog.java
@@ -28,6 +28,9 @@
             double spotPricePerHour,
             double bootS,
             int[] zones) {
+        /** 70 % of the boot time, in ms per second. */
+        private static final double RENT_BREAK_EVEN_MS_PER_BOOT_S = 700;
+
         /** Whether the zone offers this type. */
         public boolean offeredIn(int zone) {
             for (int offered : zones) {
@@ -38,9 +41,9 @@
             return false;
         }
 
-        /** Time in ms: renting a machine is not worth it if capacity becomes free sooner. */
+        /** Time in ms; renting a machine of this type is not worth its price if capacity becomes free sooner. */
         public double rentBreakEvenMs() {
-            return bootS * 700;
+            return bootS * RENT_BREAK_EVEN_MS_PER_BOOT_S;
         }
 
         /** Whether an empty machine of this type can hold one task of the job. */
--- a/src/main/java/birchusher/workers/Commands.java
+++ b/src/main/java/birchusher/workers/Commands.java
@@ -30,18 +30,32 @@
 final class Commands {
     private static final Logger LOG = LoggerFactory.getLogger(Commands.class);
     private static final long COMMAND_TIMEOUT_MS = 3_000;
+    /** Added to {@link #COMMAND_TIMEOUT_MS} before an unanswered start is fenced. */
+    private static final long FENCE_MARGIN_MS = 500;
+    /** The longest interval between two reports, in ms per second of the mean: an interval may be a quarter longer than the mean. */
+    private static final double MAX_REPORT_INTERVAL_MS_PER_S = 1250;
+    /** Added to the longest interval between two reports before a machine counts as not reporting. */
+    private static final long REPORT_MARGIN_MS = 1_500;
+    /** A task that is still saving this long after the end of its grace period is stopped without one. */
+    private static final long OVERDUE_STOP_MARGIN_MS = 4_000;
+    /** Machines whose workers have shown only an earlier term get direct commands only for this time after their last message. */
+    private static final long MAX_MESSAGE_AGE_BEFORE_TERM_MS = 1_000;
+    /** Added to {@link #RESPONSE_LIFETIME_MS}. */
+    private static final long RESPONSE_LIFETIME_MARGIN_MS = 50;
+
     /**
      * How long a start is held for capacity that other tasks are to leave. It may never become free, because a machine hangs or because owner
-     * and job scheduler disagree about the machine; then the start is given up.
+     * and job scheduler disagree about the machine; then the start is abandoned.
      */
     private static final long HELD_START_TIMEOUT_MS = 15_000;
 
     /**
-     * How long a worker may still carry out a response. It waits {@link Settings#NO_ANSWER_MS} from sending its report; as this is counted
+     * How long a worker may still carry out a response. It waits {@link Settings#WORKER_RESPONSE_TIMEOUT_MS} from sending its report; as this is counted
      * from the response, the time between the two is an additional margin.
      */
     private static final long RESPONSE_LIFETIME_MS =
-            Math.round(Settings.WORKER_RESPONSE_TIMEOUT_MS * (1 + 2 * Settings.MAX_CLOCK_DRIFT)) + 50;
+            Math.round(Settings.WORKER_RESPONSE_TIMEOUT_MS * (1 + 2 * Settings.MAX_CLOCK_DRIFT))
+                    + RESPONSE_LIFETIME_MARGIN_MS;
 
     /** Tracks the attempts on the machines and applies their reports. */
     interface AttemptTracker {
@@ -93,7 +107,7 @@
 
     /** The longest time in ms until the next report of a worker that reports to this controller arrives. */
     long reportTimeoutMs() {
-        return Math.round(settings.reportIntervalS() * 1250) + 1_500;
+        return Math.round(settings.reportIntervalS() * MAX_REPORT_INTERVAL_MS_PER_S) + REPORT_MARGIN_MS;
     }
 
     /**
@@ -212,7 +226,7 @@
     }
 
     private static void addStop(List<Object> commands, ReportedTask reported, StopRequest stop, long now) {
-        boolean overdue = now - stop.requestedAtMs > stop.graceS * 1000 + 4_000;
+        boolean overdue = now - stop.requestedAtMs > stop.graceS * 1000 + OVERDUE_STOP_MARGIN_MS;
         if (reported.phase() != ReportedTask.Phase.SAVING) {
             commands.add(command(Wire.STOP, reported.taskKey(), reported.attempt(), stop.graceS));
         } else if (overdue) {
@@ -249,7 +263,7 @@
                 };
     }
 
-    /** What this owner knows of an attempt besides the claim and the report. */
+    /** What else this owner has recorded of an attempt, besides the claim and the report. */
     Reconciliation.OwnerKnowledge ownerKnowledge(Machine machine, String attemptKey) {
         AttemptState attempt = machine.attempts.get(attemptKey);
         return new Reconciliation.OwnerKnowledge(
@@ -261,7 +275,8 @@
 
     /**
      * Whether a response with a start of this attempt may still be carried out. The answer to a direct command may overtake that response and
-     * does not list the attempt. Taken for proof that nothing was started, it let the task start on another machine, and then on this one too.
+     * does not list the attempt. When that was taken as proof that nothing had started, the task was started on another machine and then on this
+     * one too.
      */
     private boolean mayBeInFlight(Machine machine, String attemptKey) {
         Long sentAtMs = machine.startsInResponses.get(attemptKey);
@@ -270,11 +285,13 @@
 
     /**
      * Raises the term of the machine's shard if a direct start of this attempt is still unanswered after its time-out. The start may still
-     * arrive, but the worker rejects it once it knows the higher term.
+     * arrive, but the worker rejects it once it has seen the higher term.
      */
     private void fenceUnansweredStart(Machine machine, String attemptKey, long now) {
         long[] start = machine.unansweredStarts.get(attemptKey);
-        if (start != null && now - start[0] > COMMAND_TIMEOUT_MS + 500 && start[1] >= membership.term(machine.shard)) {
+        if (start != null
+                && now - start[0] > COMMAND_TIMEOUT_MS + FENCE_MARGIN_MS
+                && start[1] >= membership.term(machine.shard)) {
             membership.raiseTerm(machine.shard);
         }
     }
@@ -299,7 +316,7 @@
                 || !reachable
                 || machine.fencingToken < membership.term(machine.shard)
                         && machine.fencingToken > 0
-                        && now - machine.lastMessageAtMs > 1_000) {
+                        && now - machine.lastMessageAtMs > MAX_MESSAGE_AGE_BEFORE_TERM_MS) {
             return;
         }
         List<Object> commands = commandsFor(machine, true);
--- a/src/main/java/birchusher/workers/Machine.java
+++ b/src/main/java/birchusher/workers/Machine.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What an owner knows about one of its machines. All of it can be rebuilt from reports and the store. Times are ms of the steady clock. */
+/** The state that an owner keeps of one of its machines. All of it can be rebuilt from reports and the store. Times are ms of the steady clock. */
 public final class Machine {
     /** The state of one attempt on this machine, as far as this owner has tracked it. */
     static final class AttemptState {
@@ -65,7 +65,7 @@
 
     /** Arrival of the newest message; -1: none. */
     long lastMessageAtMs = -1;
-    /** Whether the worker has lately shown that it receives responses, see {@link Reachability}. */
+    /** Whether the worker has recently shown that it receives responses, see {@link Reachability}. */
     boolean receivesResponses;
     /** When the worker last showed that it receives responses, or its first message arrived; -1: never. */
     long receiptConfirmedAtMs = -1;
--- a/src/main/java/birchusher/workers/MachineCapacity.java
+++ b/src/main/java/birchusher/workers/MachineCapacity.java
@@ -24,6 +24,9 @@
         void stop(Claim claim, double graceS, String reason);
     }
 
+    /** Added to the time that writing a checkpoint takes, for the grace period of a preempted task. */
+    private static final double SAVE_MARGIN_S = 1;
+
     private final Effects effects;
     private final Catalog catalog;
     private final StoreView view;
@@ -31,7 +34,7 @@
     /** Whether a job, given by its ID, is within its team's guarantee. */
     private final Predicate<String> guaranteed;
 
-    private final long reserveMs;
+    private final long reservationMs;
 
     MachineCapacity(
             Effects effects,
@@ -39,13 +42,13 @@
             StoreView view,
             OutcomeRecorder outcomes,
             Predicate<String> guaranteed,
-            long reserveMs) {
+            long reservationMs) {
         this.effects = effects;
         this.catalog = catalog;
         this.view = view;
         this.outcomes = outcomes;
         this.guaranteed = guaranteed;
-        this.reserveMs = reserveMs;
+        this.reservationMs = reservationMs;
     }
 
     /**
@@ -100,7 +103,7 @@
                         guaranteed.test(waiting.job().spec.id()))) {
                     stopper.stop(
                             victim,
-                            victimSpec.isCheckpointed() ? victimSpec.checkpointWriteS() + 1 : 0,
+                            victimSpec.isCheckpointed() ? victimSpec.checkpointWriteS() + SAVE_MARGIN_S : 0,
                             "makes room for " + waiting.job().spec.id());
                     add(planned, victimSpec);
                     break;
@@ -168,7 +171,8 @@
         });
     }
 
-    /** Capacity used by reported tasks without a claim, such as those being stopped after a late command; all of it for an unknown job. */
+    /** Capacity used by reported tasks without a claim, such as those being stopped after a late command; for a task of an unknown job all of
+     * the machine. */
     double[] unclaimedUse(Machine machine) {
         double[] used = new double[3];
         Map<String, Claim> claims = view.claims(machine.name);
@@ -206,11 +210,11 @@
     /**
      * Whether a task fits into the free capacity of a machine.
      *
-     * @param makesRoom whether the capacity of tasks that it may preempt counts as free
+     * @param withPreemption whether the capacity of tasks that it may preempt counts as free
      */
-    boolean fits(Machine machine, JobSpec spec, boolean makesRoom) {
+    boolean fits(Machine machine, JobSpec spec, boolean withPreemption) {
         double[] free = freeCapacity(machine);
-        if (makesRoom) {
+        if (withPreemption) {
             for (Claim claim : view.claims(machine.name).values()) {
                 if (claim.job().released(claim.task()) == null
                         && claim.job()
@@ -228,6 +232,7 @@
     void reserve(Machine machine, String taskKey, JobSpec spec) {
         machine.reservations.put(
                 taskKey,
-                new Machine.Reservation(taskKey, spec.cpus(), spec.gpus(), spec.memoryGb(), effects.now() + reserveMs));
+                new Machine.Reservation(
+                        taskKey, spec.cpus(), spec.gpus(), spec.memoryGb(), effects.now() + reservationMs));
     }
 }
--- a/src/main/java/birchusher/workers/MachineStatusExchange.java
+++ b/src/main/java/birchusher/workers/MachineStatusExchange.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /**
- * The statuses of all machines as this controller knows them: its own, and those that other owners publish. Only changes are published, and
+ * The statuses of all machines: those of this controller's own machines, and those that other owners publish. Only changes are published, and
  * each status again at intervals, so that the traffic between controllers grows with the number of changes and not with machines times
  * controllers. Not thread-safe: called on the controller's thread.
  */
@@ -21,8 +21,13 @@
     private static final long REPUBLISH_MS = 4_000;
     /** A status that has not been received again for this long is not used. */
     private static final long STALE_MS = 11_000;
-    /** A received status is kept this long, for a new owner of the machine to start from. */
-    private static final long FORGET_MS = 60_000;
+    /** A received status is kept for this time, for a new owner of the machine to start from. */
+    private static final long RETENTION_MS = 60_000;
+
+    /** The time for which a machine is silent is published in multiples of this. */
+    private static final int SILENT_STEP_MS = 1_000;
+
+    private static final int MAX_TASK_INDEX_DIGITS = 6;
 
     /** A status as it was last published. */
     private record Published(PeerRecord.Machine machine, long publishedAtMs) {}
@@ -58,7 +63,7 @@
         }
         for (var it = received.values().iterator(); it.hasNext(); ) {
             Received entry = it.next();
-            if (effects.now() - entry.receivedAtMs > FORGET_MS) {
+            if (effects.now() - entry.receivedAtMs > RETENTION_MS) {
                 it.remove();
             } else if (membership.isConnected(entry.owner) && effects.now() - entry.receivedAtMs <= STALE_MS) {
                 all.putIfAbsent(entry.status.machine(), entry.status);
@@ -73,7 +78,7 @@
         return entry == null ? null : entry.status;
     }
 
-    /** Whether another controller has lately published a machine in a zone that is reachable for it in both directions. */
+    /** Whether another controller has recently published a machine in a zone as reachable, in both directions. */
     public boolean ownerReachesZone(int owner, int zone) {
         for (Received entry : received.values()) {
             if (entry.owner == owner
@@ -153,7 +158,7 @@
                 status.session(),
                 status.shard(),
                 flags,
-                status.silentMs() / 1_000 * 1_000,
+                status.silentMs() / SILENT_STEP_MS * SILENT_STEP_MS,
                 idleMs,
                 status.speed(),
                 status.unclaimedUse()[0],
@@ -220,11 +225,12 @@
         }
     }
 
-    /** Whether a key is a job ID, a slash and a number of up to 6 digits; input from peers is validated only here. */
+    /** Whether a key is a job ID, a slash and a number of at most {@link #MAX_TASK_INDEX_DIGITS} digits; keys from peers are validated only
+     * here. */
     private static boolean isTaskKey(String key) {
         int slash = key.lastIndexOf('/');
         return slash > 0
-                && key.length() - slash - 1 <= 6
+                && key.length() - slash - 1 <= MAX_TASK_INDEX_DIGITS
                 && key.length() > slash + 1
                 && key.chars().skip(slash + 1).allMatch(c -> c >= '0' && c <= '9');
     }
--- a/src/main/java/birchusher/workers/OutcomeRecorder.java
+++ b/src/main/java/birchusher/workers/OutcomeRecorder.java
@@ -53,12 +53,17 @@
     /** How long the job scheduler may take to write an outcome before the owner does. */
     private static final long SCHEDULER_TIMEOUT_MS = 4_000;
     /**
-     * The same for tasks dropped with their machine. A thousand tasks dropped at once take longer; when their owners wrote them meanwhile, each
-     * loss cost a row write of its own.
+     * The same for tasks dropped with their machine. A thousand tasks dropped at once take longer; when their owners wrote the outcomes
+     * in the meantime, each of them took a row write of its own.
      */
     private static final long BULK_TIMEOUT_MS = 12_000;
 
+    /** How long a job scheduler tries to write an outcome that another controller has proof of. */
+    private static final long CHANGE_TIMEOUT_MS = 10_000;
+
     private static final int MAX_ITEMS_PER_RECORD = 400;
+    /** After the claims of gangs and services and before those of arrays. */
+    private static final int RELEASE_RANK = 3;
     /** Just above the ranks of new claims, which go up to 4 plus the last priority. */
     private static final int RANK_AFTER_CLAIMS = 4 + Priority.values().length;
     /**
@@ -75,14 +80,14 @@
      * An outcome that is not yet visible in the store.
      *
      * @param writeByMs when the owner writes it itself
-     * @param queued whether it is with the store client already
+     * @param queued whether its change is queued in the store client
      */
     private record Pending(Claim claim, Outcome outcome, long writeByMs, boolean queued) {}
 
     /** Sends records to other controllers. */
     public interface PeerSender {
         /** Sends a record to a member, by its index. */
-        void send(int member, PeerRecord r);
+        void send(int member, PeerRecord record);
     }
 
     private final Effects effects;
@@ -91,7 +96,7 @@
     private final Membership membership;
     private final Counters counters;
     private final PeerSender peers;
-    private final LostTasks losses;
+    private final LostTasks lostTasks;
     private final Map<String, Pending> pending = new LinkedHashMap<>();
     private final Map<Integer, List<PeerRecord.AttemptOutcome>> outbox = new LinkedHashMap<>();
 
@@ -101,14 +106,14 @@
             StoreClient store,
             Membership membership,
             Counters counters,
-            LostTasks losses,
+            LostTasks lostTasks,
             PeerSender peers) {
         this.effects = effects;
         this.view = view;
         this.store = store;
         this.membership = membership;
         this.counters = counters;
-        this.losses = losses;
+        this.lostTasks = lostTasks;
         this.peers = peers;
     }
 
@@ -171,9 +176,9 @@
             return;
         }
         if (ownJob) {
-            losses.recordDropped(claim.job().spec.id(), claim.task(), claim.machine(), effects.now());
+            lostTasks.recordDropped(claim.job().spec.id(), claim.task(), claim.machine(), effects.now());
         } else {
-            losses.recordDroppedForPeer(claim.job().spec.id(), claim.task(), claim.machine(), effects.now());
+            lostTasks.recordDroppedForPeer(claim.job().spec.id(), claim.task(), claim.machine(), effects.now());
         }
     }
 
@@ -299,7 +304,7 @@
             this.term = term;
             this.outcome = outcome;
             this.ownProof = ownProof;
-            expiresAtMs = effects.now() + (outcome.isDroppedWithMachine() ? BULK_TIMEOUT_MS : 10_000);
+            expiresAtMs = effects.now() + (outcome.isDroppedWithMachine() ? BULK_TIMEOUT_MS : CHANGE_TIMEOUT_MS);
             Job job = view.job(jobId);
             isArray = job != null && job.spec.shape() == Shape.ARRAY;
             // The last tasks (2 % and one more) end the job, and its user waits for that: they are written without
@@ -311,9 +316,9 @@
 
         @Override
         public int rank() {
-            // A dropped task's old claim is removed by the same change as makes the new one. Ranked first, the
-            // removals used up the write limit that the new claims needed.
-            return outcome.isDroppedWithMachine() ? RANK_AFTER_CLAIMS : 3;
+            // A dropped task's old claim is removed by the change that writes its new one. When removals were ranked
+            // first, they used up the write limit that the new claims needed.
+            return outcome.isDroppedWithMachine() ? RANK_AFTER_CLAIMS : RELEASE_RANK;
         }
 
         @Override
--- a/src/main/java/birchusher/workers/OwnerRedirect.java
+++ b/src/main/java/birchusher/workers/OwnerRedirect.java
@@ -14,15 +14,15 @@
  * and one of them answers a probe, they can't reach their owner, and the shard is taken over. Not thread-safe: called on the controller's thread.
  */
 final class OwnerRedirect {
-    /** Time-out of a probe; within this time one worker of a shard is probed at most. */
-    private static final int PROBE_MS = 3_000;
+    /** Time-out of a probe; within this time at most one worker of a shard is probed. */
+    private static final int PROBE_TIMEOUT_MS = 3_000;
     /**
      * If at least {@link #MIN_LOST_WORKERS} workers of a shard, and at least one in {@link #LOST_WORKERS_DIVISOR}, report here within this time,
      * they have lost their owner together.
      */
     private static final long LOST_OWNER_WINDOW_MS = 8_000;
     /** Three heartbeats: after this time a crashed owner is no longer connected, and its shards are taken over in the ordinary way. */
-    private static final long OWNER_DEATH_DETECTION_MS = 1_500;
+    private static final long OWNER_CRASH_DETECTION_MS = 1_500;
 
     private static final int MIN_LOST_WORKERS = 3;
     private static final int LOST_WORKERS_DIVISOR = 10;
@@ -30,6 +30,7 @@
     private static final long REDIRECT_MEMORY_MS = 15_000;
 
     private static final int MAX_REDIRECTED = 5_000;
+    private static final int RETRY_AFTER_S = 1;
 
     /** When a worker was first and last redirected to one owner, in ms of the steady clock. */
     private record Redirect(long firstAtMs, long lastAtMs) {}
@@ -39,7 +40,7 @@
     private final MachineStatusExchange statusExchange;
     /** Per shard: until when a probe of one of its workers is in flight. */
     private final Map<Integer, Long> probeUntilMs = new HashMap<>();
-    /** Per shard: machines that its owner publishes and that lately reported here nevertheless, and when they first did. */
+    /** Per shard: machines that its owner publishes and that recently reported here nevertheless, and when they first did. */
     private final Map<Integer, Map<String, Long>> workersThatLostOwner = new HashMap<>();
 
     private final Map<String, Redirect> redirects = new LinkedHashMap<>(64, 0.75f, true) {
@@ -62,7 +63,7 @@
         int owner = membership.aliveOwner(shard);
         if (owner <= 0) {
             membership.workerWithoutOwner(shard);
-            effects.refuseWithRetry(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S);
             return;
         }
         long now = effects.now();
@@ -73,7 +74,7 @@
                 (key, old) -> new Redirect(
                         old == null || now - old.lastAtMs > REDIRECT_MEMORY_MS ? now : old.firstAtMs, now));
         if (severalLostOwner(shard, owner, report.machine(), now)
-                || now - redirect.firstAtMs > PROBE_MS && isSilent(report.machine())) {
+                || now - redirect.firstAtMs > PROBE_TIMEOUT_MS && isSilent(report.machine())) {
             // After its redirect the worker could not report to the owner and is back; where connections are refused
             // at once, it is back after a second each time.
             probe(shard, report);
@@ -106,7 +107,7 @@
         long published = statusExchange.statuses().values().stream()
                 .filter(status -> status.shard() == shard)
                 .count();
-        return now - oldestMs >= OWNER_DEATH_DETECTION_MS && reportedHere.size() * LOST_WORKERS_DIVISOR >= published;
+        return now - oldestMs >= OWNER_CRASH_DETECTION_MS && reportedHere.size() * LOST_WORKERS_DIVISOR >= published;
     }
 
     /**
@@ -118,9 +119,15 @@
         if (effects.now() < probeUntilMs.getOrDefault(shard, 0L)) {
             return;
         }
-        probeUntilMs.put(shard, effects.now() + PROBE_MS);
+        probeUntilMs.put(shard, effects.now() + PROBE_TIMEOUT_MS);
         effects.call(
-                Destination.WORKER, report.address(), "GET", Wire.WORKER_STATUS, null, PROBE_MS, (status, body) -> {
+                Destination.WORKER,
+                report.address(),
+                "GET",
+                Wire.WORKER_STATUS,
+                null,
+                PROBE_TIMEOUT_MS,
+                (status, body) -> {
                     if (status != 200) {
                         return;
                     }
--- a/src/main/java/birchusher/workers/ReportedTask.java
+++ b/src/main/java/birchusher/workers/ReportedTask.java
@@ -35,7 +35,7 @@
         NO_ROOM,
         /** Another attempt of the task has not exited on the machine. */
         BUSY,
-        /** The API knows no such job or task. */
+        /** The controller's API has no such job or task. */
         UNKNOWN
     }
 
--- a/src/main/java/birchusher/workers/Tombstones.java
+++ b/src/main/java/birchusher/workers/Tombstones.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * The last message of each machine that is no longer tracked. Whether a report is newer can be told only by comparing it with the last message.
+ * The last message of each machine that is no longer tracked. Whether a report is newer can be determined only by comparing it with the last message.
  * Without this, a duplicate that arrived long after its machine was returned showed the machine as up, free and under the present term, and
  * the machine got tasks. Bounded: the machines removed longest ago are dropped first, when duplicates of theirs no longer arrive.
  */
--- a/src/main/java/birchusher/workers/WorkerRegistry.java
+++ b/src/main/java/birchusher/workers/WorkerRegistry.java
@@ -35,6 +35,21 @@
     private static final Logger LOG = LoggerFactory.getLogger(WorkerRegistry.class);
     /** Ticks come many times a second; a longer gap between two of them counts as a process pause. */
     private static final long PAUSE_THRESHOLD_MS = 2_000;
+
+    private static final int RETRY_AFTER_S = 1;
+    /** After an interruption notice, tasks that should end in time run on while more than this time is left. */
+    private static final long MIN_TIME_TO_RUN_ON_MS = 2_500;
+    /** Added to the time that writing a checkpoint takes, for the grace period after an interruption notice. */
+    private static final double NOTICE_SAVE_MARGIN_S = 1;
+    /** The same at the lease cap. */
+    private static final double CAP_SAVE_MARGIN_S = 4;
+    /** A fetch that takes longer than expected is published as ending after this time. */
+    private static final long MIN_FETCH_REMAINING_MS = 1_000;
+    /** A task whose lease expired counts for the machine's speed as one that took this many times its expected run time. */
+    private static final double EXPIRED_LEASE_SLOWDOWN = 4;
+    /** The state of attempts that are no longer needed is dropped when a machine has this many more than its reported tasks. */
+    private static final int MAX_UNREPORTED_ATTEMPTS = 8;
+
     /** Stops gangs; implemented by the job scheduler, as the tasks of a gang may run on machines of several owners. */
     public interface GangStopper {
         void stopGang(Job job, double graceS, String reason);
@@ -51,7 +66,7 @@
     private final Counters counters;
     private final GangStopper gangStopper;
     private final OutcomeRecorder outcomes;
-    /** Holds the statuses that previous owners published, so that a new owner of a machine starts from what the old one knew. */
+    /** Holds the statuses that previous owners published, for a new owner of a machine to start from. */
     private final MachineStatusExchange statusExchange;
 
     private final MachineCapacity capacity;
@@ -165,7 +180,7 @@
         Report report = Report.read(body);
         int zone = catalog.zones.find(report.zone());
         if (!store.loaded() || !membership.canAct() || zone < 0) {
-            effects.refuseWithRetry(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S);
             return;
         }
         int shard = membership.shardOf(report.machine(), zone);
@@ -177,7 +192,7 @@
         if (report.fencingToken() > term) {
             // Another controller holds a higher term than is known here. The worker would drop a response with a
             // lower token, and would keep reporting to this controller.
-            effects.refuseWithRetry(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S);
             return;
         }
         if (!machines.containsKey(report.machine()) && !tombstones.admits(report)) {
@@ -240,8 +255,8 @@
         }
         reachability.onMessage(machine, report, membership.term(machine.shard), direct, effects.now());
         boolean newSession = report.session() > machine.session;
-        boolean followed = machine.lastMessageAtMs >= 0;
-        if (!followed) {
+        boolean knownBefore = machine.lastMessageAtMs >= 0;
+        if (!knownBefore) {
             LOG.info(
                     "first report of machine {}: type {}, zone {}, session {}, {} tasks",
                     machine.name,
@@ -277,7 +292,7 @@
                     : Math.min(machine.interruptionAtMs, interruptionAtMs);
         }
         if (newSession) {
-            view.claims(machine.name).values().forEach(claim -> rememberImage(machine, claim, followed));
+            view.claims(machine.name).values().forEach(claim -> rememberImage(machine, claim, knownBefore));
         }
         machine.reportedTasks = report.tasks();
         reconcile(machine);
@@ -285,15 +300,15 @@
     }
 
     /**
-     * Adds the image of a claim to the machine's known cache. A worker keeps its images when its lease ends, and a new owner learns of them
-     * only from the claims of what ran there. Without this, all images were fetched again after a crash of all controllers, although the
+     * Adds the image of a claim to the machine's known cache. A worker keeps its images when its lease ends, and the claims of what ran there
+     * are all that shows them to a new owner. Without this, all images were fetched again after a crash of all controllers, although the
      * machines still had them.
      *
-     * @param followed whether this controller received messages of the machine before
+     * @param knownBefore whether this controller received messages of the machine before
      */
-    private void rememberImage(Machine machine, Claim claim, boolean followed) {
+    private void rememberImage(Machine machine, Claim claim, boolean knownBefore) {
         ReportedTask reported = machine.reportedTasks.get(claim.attemptKey());
-        if (reported == null ? !followed : reported.phase() != ReportedTask.Phase.FETCHING) {
+        if (reported == null ? !knownBefore : reported.phase() != ReportedTask.Phase.FETCHING) {
             machine.recordImageUse(claim.job().spec.image(), catalog);
         }
     }
@@ -349,7 +364,7 @@
         machine.startsInResponses
                 .values()
                 .removeIf(sentAtMs -> now - sentAtMs > Settings.WORKER_RESPONSE_TIMEOUT_MS * 2);
-        if (machine.attempts.size() > 8 + machine.reportedTasks.size()) {
+        if (machine.attempts.size() > MAX_UNREPORTED_ATTEMPTS + machine.reportedTasks.size()) {
             // Drops the state of attempts that are neither reported nor claimed any more.
             machine.attempts
                     .keySet()
@@ -420,7 +435,7 @@
         machine.speed.observe(
                 spec.estimateS() * estimateBias.bias(spec.jobClass()), (now - attempt.lease.runningSinceMs()) / 1000.0);
         if (spec.isCheckpointed()) {
-            stopTaskOrGang(claim, spec.checkpointWriteS() + 4, "at cap");
+            stopTaskOrGang(claim, spec.checkpointWriteS() + CAP_SAVE_MARGIN_S, "at cap");
         }
     }
 
@@ -428,7 +443,7 @@
         if (!attempt.expiryHandled) {
             attempt.expiryHandled = true;
             counters.lapsed++;
-            machine.speed.observe(1, 4);
+            machine.speed.observe(1, EXPIRED_LEASE_SLOWDOWN);
             LOG.info("lease of task {} attempt {} on {} expired", claim.taskKey(), claim.attempt(), machine.name);
             stopTaskOrGang(claim, 0, "lapsed");
         }
@@ -494,7 +509,8 @@
 
     /**
      * Decides after the quarantine whether the machine is faulty. During the quarantine the same jobs may fail on other machines too.
-     * Decided at the first error of the second job, machines were given up with all their replicas because of two jobs that failed everywhere.
+     * When it was decided at the first error of the second job, machines were returned with all their replicas because of two jobs that failed
+     * everywhere.
      */
     private void checkForFault(Machine machine) {
         machine.faultCheckAtMs = -1;
@@ -571,9 +587,10 @@
                     && attempt != null
                     && attempt.lease.runningSinceMs() >= 0
                     && attempt.lease.runningSinceMs() + expectedMs < machine.interruptionAtMs
-                    && leftMs > 2_500;
+                    && leftMs > MIN_TIME_TO_RUN_ON_MS;
             if (!endsInTime) {
-                stopTaskOrGang(claim, spec.isCheckpointed() ? spec.checkpointWriteS() + 1 : 0, "notice");
+                stopTaskOrGang(
+                        claim, spec.isCheckpointed() ? spec.checkpointWriteS() + NOTICE_SAVE_MARGIN_S : 0, "notice");
             }
         }
     }
@@ -608,10 +625,10 @@
      * Checks the offer of a task to an owned machine and reserves capacity for it.
      *
      * @param session the worker session that the job scheduler saw
-     * @param makesRoom whether the capacity of tasks that yield to this one counts as free
+     * @param withPreemption whether the capacity of tasks that yield to this one counts as free
      * @return null if the capacity is reserved, else the reason of the refusal
      */
-    public String reserve(JobSpec spec, int task, String machineName, long session, boolean makesRoom) {
+    public String reserve(JobSpec spec, int task, String machineName, long session, boolean withPreemption) {
         Machine machine = machines.get(machineName);
         if (machine == null || !isUsable(machine)) {
             return "not usable";
@@ -628,7 +645,7 @@
                 return "still here";
             }
         }
-        if (!capacity.fits(machine, spec, makesRoom)) {
+        if (!capacity.fits(machine, spec, withPreemption)) {
             return "no room";
         }
         capacity.reserve(machine, taskKey, spec);
@@ -885,7 +902,7 @@
             }
             long fetchMs = attempt == null || attempt.fetchEndMs < 0
                     ? expectedFetchMs(machine, claim.job().spec)
-                    : Math.max(1_000, attempt.fetchEndMs - now);
+                    : Math.max(MIN_FETCH_REMAINING_MS, attempt.fetchEndMs - now);
             remainingMs.merge(image, (int) fetchMs, Math::min);
         }
         int[] pairs = new int[remainingMs.size() * 2];
