--- a/src/main/java/birchusher/placement/JobScheduler.java
+++ b/src/main/java/birchusher/placement/JobScheduler.java
@@ -50,14 +50,34 @@
     private static final int MAX_OFFERED_TASKS = 400;
     /** Open batches that are always allowed during restart recovery, however few rows can be written. */
     private static final int MIN_OPEN_BATCHES = 8;
-    /** Waiting jobs for which one plan searches for tasks to preempt. */
-    private static final int MAX_PREEMPTION_REQUESTS = 12;
+    /** Waiting jobs for which one plan searches for tasks to preempt. A search may find none worth it. */
+    private static final int MAX_PREEMPTION_SEARCHES_PER_PLAN = 12;
 
-    private static final int MAX_PREEMPTIONS_PER_PLAN = 8;
+    private static final int MAX_PREEMPTION_REQUESTS_PER_PLAN = 8;
     /**
      * Time between two preemption requests of one job, so that the effect of the first is visible before the second.
      */
     private static final long PREEMPTION_RETRY_MS = 3_000;
+    /** A plan older than this is replaced even if the view has not changed. */
+    private static final long MAX_PLAN_AGE_MS = 1_000;
+
+    private static final long EXPIRY_INTERVAL_MS = 100;
+    /** How long a task is not planned again while its claim is queued or sent. */
+    private static final long CLAIM_HOLD_MS = 30_000;
+    /** Added to the expected run time of a task in the expected end of its claim. */
+    private static final double RUN_TIME_MARGIN_MS = 3_000;
+    /** A task is expected to run for at least this share of the time it has run already. */
+    private static final double MIN_LEFT_SHARE = 0.4;
+
+    private static final long MIN_BACKOFF_MS = 500;
+    private static final long MAX_BACKOFF_MS = 60_000;
+    private static final int MAX_BACKOFF_DOUBLINGS = 7;
+    /** Consecutive errors after which the back-off of a job doubles; as many as it has tasks if these are fewer. */
+    private static final int ERRORS_PER_DOUBLING = 8;
+
+    private static final int GANG_AND_SERVICE_RANK = 2;
+    /** Rank of an array's claims with the highest priority. */
+    private static final int FIRST_ARRAY_RANK = 4;
 
     private static final String JOB_NOT_IN_VIEW = "job not known yet";
 
@@ -88,7 +108,7 @@
 
     /**
      * A job whose tasks would start late. {@code guaranteed}: it lies within its team's guarantee; {@code delayS}: by
-     * how much it would start late, {@code Double.MAX_VALUE} without any capacity in sight.
+     * how much it would start late, {@code Double.MAX_VALUE} if no capacity is expected.
      */
     private record PreemptionRequest(Job job, boolean guaranteed, double delayS) {}
 
@@ -220,7 +240,7 @@
         return store.loaded()
                 && catalog.typesKnown()
                 && now >= nextPlanMs
-                && (plannedViewChanges != view.changeCount() || now - plannedAtMs >= 1_000);
+                && (plannedViewChanges != view.changeCount() || now - plannedAtMs >= MAX_PLAN_AGE_MS);
     }
 
     /**
@@ -260,7 +280,7 @@
 
     private void removeExpired(long now) {
         if (now >= nextExpiryMs) {
-            nextExpiryMs = now + 100;
+            nextExpiryMs = now + EXPIRY_INTERVAL_MS;
             heldTasks.values().removeIf(byKey -> {
                 byKey.values().removeIf(until -> now > until);
                 return byKey.isEmpty();
@@ -346,15 +366,15 @@
             return Long.MAX_VALUE;
         }
         long ranMs = runningMs(claim);
-        double leftMs = planner.expectedRunS(claim.job().spec) * 1000 + 3_000 - ranMs;
+        double leftMs = planner.expectedRunS(claim.job().spec) * 1000 + RUN_TIME_MARGIN_MS - ranMs;
         // The longer a task is overdue, the less certain is its end: expecting it at any moment kept other tasks
         // waiting for minutes.
-        return effects.now() + Math.round(Math.max(leftMs, 0.4 * ranMs));
+        return effects.now() + Math.round(Math.max(leftMs, MIN_LEFT_SHARE * ranMs));
     }
 
     /**
-     * Whether a job with failing tasks is in its back-off. The back-off grows with the errors, up to 60 s, so that the
-     * job does not occupy machines with restarts.
+     * Whether a job with failing tasks is in its back-off. The back-off grows with the errors, up to
+     * {@link #MAX_BACKOFF_MS}, so that the job does not occupy machines with restarts.
      */
     private boolean backingOff(Job job) {
         long errors = job.consecutiveErrors();
@@ -366,7 +386,12 @@
         if (backoff[0] != errors) {
             backoff[0] = errors;
             backoff[1] = effects.now()
-                    + Math.min(60_000, 500L << Math.min(7, errors / Math.max(1, Math.min(8, job.spec.tasks()))));
+                    + Math.min(
+                            MAX_BACKOFF_MS,
+                            MIN_BACKOFF_MS
+                                    << Math.min(
+                                            MAX_BACKOFF_DOUBLINGS,
+                                            errors / Math.max(1, Math.min(ERRORS_PER_DOUBLING, job.spec.tasks()))));
         }
         return effects.now() < backoff[1];
     }
@@ -557,7 +582,7 @@
             long id = nextOfferId++;
             pendingOffers.put(id, new PendingOffer(batch, placements));
             List<PeerRecord.OfferedTask> tasks = new ArrayList<>();
-            placements.forEach(placement -> tasks.add(offerItem(placement)));
+            placements.forEach(placement -> tasks.add(toOfferedTask(placement)));
             PeerRecord.Offer offer = new PeerRecord.Offer(
                     id, batch.job.spec.isGang() || batch.withPreemption, batch.withPreemption, tasks);
             if (owner == 0) {
@@ -607,7 +632,7 @@
         for (Planner.Placement placement : placements) {
             int owner = membership.owns(placement.slot().shard) ? 0 : membership.connectedOwner(placement.slot().shard);
             if (owner >= 0) {
-                byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(offerItem(placement));
+                byOwner.computeIfAbsent(owner, k -> new ArrayList<>()).add(toOfferedTask(placement));
             }
         }
         byOwner.forEach((owner, tasks) -> {
@@ -620,13 +645,13 @@
         });
     }
 
-    private static PeerRecord.OfferedTask offerItem(Planner.Placement placement) {
+    private static PeerRecord.OfferedTask toOfferedTask(Planner.Placement placement) {
         return new PeerRecord.OfferedTask(
                 placement.job().spec.id(), placement.task(), placement.slot().machine, placement.slot().session);
     }
 
     /**
-     * As job scheduler: takes an owner's reply. Once all owners of a batch have replied, it is claimed or withdrawn.
+     * As job scheduler: handles an owner's reply. Once all owners of a batch have replied, it is claimed or withdrawn.
      */
     public void handleReply(PeerRecord.OfferReply reply) {
         PendingOffer offer = pendingOffers.remove(reply.id());
@@ -705,7 +730,7 @@
             shardKeys.add(membership.shardKey(placement.slot().shard));
             accepted.add(placement);
             pendingClaims.put(taskKey(placement), placement);
-            holdTask(placement, effects.now() + 30_000);
+            holdTask(placement, effects.now() + CLAIM_HOLD_MS);
         }
         withdrawOffers(overflow);
         boolean queued = store.enqueue(new Change() {
@@ -719,7 +744,9 @@
              */
             @Override
             public int rank() {
-                return spec.shape() == Shape.ARRAY ? 4 + spec.priority().ordinal() : 2;
+                return spec.shape() == Shape.ARRAY
+                        ? FIRST_ARRAY_RANK + spec.priority().ordinal()
+                        : GANG_AND_SERVICE_RANK;
             }
 
             @Override
@@ -851,7 +878,7 @@
         Job job = view.job(spec.id());
         if (job == null
                 || job.state() != Job.State.OPEN
-                || spec.isGang() && job.claimCount() > replaceable(job)
+                || spec.isGang() && job.claimCount() > replaceableCount(job)
                 || tx.writes(Keys.JOB + spec.id())) {
             return List.of();
         }
@@ -911,7 +938,7 @@
     }
 
     /** Number of a job's claims that may be replaced. */
-    private int replaceable(Job job) {
+    private int replaceableCount(Job job) {
         int count = 0;
         for (Job.ReleasedClaim released : job.released()) {
             count += replaceable(released.claim()) ? 1 : 0;
@@ -1007,8 +1034,8 @@
         }
         requests.addAll(lateJobs.values());
         List<Slot> slots = null;
-        int requestsLeft = MAX_PREEMPTIONS_PER_PLAN;
-        int searchesLeft = MAX_PREEMPTION_REQUESTS;
+        int requestsLeft = MAX_PREEMPTION_REQUESTS_PER_PLAN;
+        int searchesLeft = MAX_PREEMPTION_SEARCHES_PER_PLAN;
         for (PreemptionRequest request : requests) {
             Job job = request.job();
             if (!membership.schedules(job.spec.id()) || preemptionRetryAtMs.containsKey(job.spec.id())) {
--- a/src/main/java/birchusher/placement/Planner.java
+++ b/src/main/java/birchusher/placement/Planner.java
@@ -151,8 +151,22 @@
      * returned.
      */
     private static final double EMPTY_MACHINE_PENALTY_MS = 2_500;
-    /** Factor by which the time that a job would occupy all machines moves its due time back. */
+    /** Factor by which the time that a job would occupy all machines makes it due later. */
     private static final double JOB_SIZE_WEIGHT = 10;
+    /** A task is taken to run for at least 80 % of its expected run time, here in ms per second. */
+    private static final double MIN_RUN_MS_PER_EXPECTED_S = 800;
+    /** Penalty for capacity that is not available yet, besides the time until it is expected. */
+    private static final double EXPECTED_CAPACITY_PENALTY_MS = 2_000;
+    /** Additional weight of the time until capacity is expected. */
+    private static final double EXPECTED_CAPACITY_DELAY_WEIGHT = 0.5;
+    /** Penalty for a machine on which the task may exceed its lease cap. */
+    private static final double LEASE_CAP_PENALTY_MS = 3_600_000;
+    /** Penalty for a machine that is not a spot machine, for jobs that may use spot machines. */
+    private static final double ON_DEMAND_PENALTY_MS = 300;
+    /** Penalty for each task of a spread job that is in the zone already. */
+    private static final double SAME_ZONE_PENALTY_MS = 500.0;
+    /** Lower bound of a machine's speed in scores. */
+    private static final double MIN_SPEED = 0.05;
     /**
      * Maximum number of a job's tasks that one plan places: more than are offered before the next plan. Planning tens
      * of thousands of tasks of one job cost more than all other jobs.
@@ -234,7 +248,7 @@
      * -1 if none can be kept any more. Such a job yields to those that can still be in time.
      */
     private long nextStartDeadlineMs(Job job, long wallTime) {
-        long runMs = Math.round(expectedRunS(job.spec) * 800);
+        long runMs = Math.round(expectedRunS(job.spec) * MIN_RUN_MS_PER_EXPECTED_S);
         long nextMs = Long.MAX_VALUE;
         boolean hasDeadline = false;
         List<ClassObjective> objectives = objectivesByClass.get(job.spec.jobClass());
@@ -363,8 +377,8 @@
             return byPriority;
         }
         if (a.restoring != b.restoring) {
-            // A dropped task starts at once where it ran. If others got that capacity first, they would wait there for
-            // their images, and the dropped task elsewhere for its own.
+            // A dropped task starts at once where it ran. If others got that capacity first, their images would have
+            // to be fetched there, and the image of the dropped task elsewhere.
             return a.restoring ? -1 : 1;
         }
         if (a.dueMs < 0 != b.dueMs < 0) {
@@ -853,10 +867,10 @@
                         * slot.fetchSlowdownMs(spec);
         if (!slot.available) {
             // Expected capacity may become available late or be taken by another task.
-            score += 2_000 + 0.5 * slot.etaMs;
+            score += EXPECTED_CAPACITY_PENALTY_MS + EXPECTED_CAPACITY_DELAY_WEIGHT * slot.etaMs;
         }
         double expectedS = expectedRunS(spec);
-        double runS = expectedS / Math.max(0.05, slot.speed);
+        double runS = expectedS / Math.max(MIN_SPEED, slot.speed);
         score += (runS - expectedS) * 1000;
         if (!spec.isService()) {
             // Long tasks avoid machines that are often reclaimed by the cloud or whose tasks are often preempted.
@@ -868,17 +882,17 @@
         }
         if (!leaseSettings.fitsCap(spec, expectedS, slot.speed)) {
             // A machine on which the task may exceed its lease cap is used only if no faster one has capacity.
-            score += 3_600_000;
+            score += LEASE_CAP_PENALTY_MS;
         }
         double leftShare = Math.max(
                 (slot.freeCpus - spec.cpus()) / slot.type.cpus(),
                 slot.type.gpus() > 0 ? (slot.freeGpus - spec.gpus()) / slot.type.gpus() : 0);
         score += leftShare * EMPTY_MACHINE_PENALTY_MS;
         if (spec.allowsSpot() && !slot.spot) {
-            score += 300;
+            score += ON_DEMAND_PENALTY_MS;
         }
         if (spec.spread()) {
-            score += tasksByZone.getOrDefault(slot.zone, 0) * 500.0;
+            score += tasksByZone.getOrDefault(slot.zone, 0) * SAME_ZONE_PENALTY_MS;
         }
         return score;
     }
--- a/src/main/java/birchusher/placement/Preemption.java
+++ b/src/main/java/birchusher/placement/Preemption.java
@@ -18,13 +18,21 @@
 public final class Preemption {
     /** Cost, in seconds of lost work, of a placement that makes a whole gang miss an objective. */
     private static final double LATE_START_PENALTY_S = 60;
+    /** Cost of stopping and restarting any task. */
+    private static final double RESTART_COST_S = 3;
+    /** Share of the time that a task without checkpoints has run that counts as its cost. */
+    private static final double LOST_RUN_WEIGHT = 0.5;
+    /** Share of the delay without preemption that a preemption may cost, before {@link #MIN_GAIN_S} is deducted. */
+    private static final double MAX_COST_SHARE = 0.7;
+
+    private static final double MIN_GAIN_S = 2;
 
     private final StoreView view;
     private final ToDoubleFunction<Claim> runningMs;
 
-    Preemption(StoreView view, ToDoubleFunction<Claim> ranMs) {
+    Preemption(StoreView view, ToDoubleFunction<Claim> runningMs) {
         this.view = view;
-        this.runningMs = ranMs;
+        this.runningMs = runningMs;
     }
 
     /**
@@ -37,7 +45,10 @@
         double share = Math.max(
                 preemptor.cpus() > 0 ? spec.cpus() / preemptor.cpus() : 0,
                 preemptor.gpus() > 0 ? spec.gpus() / preemptor.gpus() : 0);
-        return share * (spec.isCheckpointed() ? 3 + spec.checkpointWriteS() : 3 + ranS * 0.5);
+        return share
+                * (spec.isCheckpointed()
+                        ? RESTART_COST_S + spec.checkpointWriteS()
+                        : RESTART_COST_S + ranS * LOST_RUN_WEIGHT);
     }
 
     /** Claims on a machine that may be preempted for a job, the cheapest first. */
@@ -88,7 +99,7 @@
 
     /** Cost in seconds up to which preemption is clearly better than the delay without it. */
     private static double maxCostS(double delayS) {
-        return delayS == Double.MAX_VALUE ? delayS : delayS * 0.7 - 2;
+        return delayS == Double.MAX_VALUE ? delayS : delayS * MAX_COST_SHARE - MIN_GAIN_S;
     }
 
     private static boolean usable(Slot slot, JobSpec spec, Set<String> refusedMachines) {
--- a/src/main/java/birchusher/placement/Quotas.java
+++ b/src/main/java/birchusher/placement/Quotas.java
@@ -74,8 +74,8 @@
 
     /**
      * Adds the conditions and writes for claims to a transaction if the team's limit certainly allows them. GRANTED: it
-     * does. REFUSED: it does not, or not yet. SERIALIZED: not now, and the transaction makes the row serialized so that
-     * use becomes exact. What is granted stays used even if the transaction then fails: a transaction without a
+     * does. REFUSED: it does not, or not yet. SERIALIZED: it does not under the shared row, and the transaction makes
+     * the row serialized so that use becomes exact. What is granted stays used even if the transaction then fails: a transaction without a
      * response may still be applied.
      *
      * @param tasks number of tasks to claim
--- a/src/main/java/birchusher/placement/RestorePlanner.java
+++ b/src/main/java/birchusher/placement/RestorePlanner.java
@@ -28,7 +28,7 @@
     }
 
     private final LostTasks lostTasks;
-    /** Slots of the machines that can take tasks now, by name; empty while no task is lost. */
+    /** Slots with available capacity, by machine name; empty while no task is lost. */
     private final Map<String, Slot> usableSlots = new HashMap<>();
 
     private final Map<String, Obstacle> obstacles = new HashMap<>();
--- a/src/main/java/birchusher/placement/Slot.java
+++ b/src/main/java/birchusher/placement/Slot.java
@@ -24,10 +24,10 @@
     final long session;
     final int shard;
     final double speed;
-    /** Pairs of an image and the time in ms until its fetch ends. */
-    final int[] fetching;
+    /** Pairs of an image being fetched and the time in ms until its fetch ends. */
+    final int[] fetchingImages;
 
-    final int[] images;
+    final int[] cachedImages;
     /** Time in ms until the capacity is available; 0 if it is available now. */
     final long etaMs;
 
@@ -53,8 +53,8 @@
             long session,
             int shard,
             double speed,
-            int[] fetching,
-            int[] images,
+            int[] fetchingImages,
+            int[] cachedImages,
             long etaMs,
             boolean available,
             double freeCpus,
@@ -67,8 +67,8 @@
         this.session = session;
         this.shard = shard;
         this.speed = speed;
-        this.fetching = fetching;
-        this.images = images;
+        this.fetchingImages = fetchingImages;
+        this.cachedImages = cachedImages;
         this.etaMs = etaMs;
         this.available = available;
         this.freeCpus = freeCpus;
@@ -186,7 +186,7 @@
 
     /** Whether the machine has the image, or a task planned here will fetch it. */
     boolean hasImage(int image) {
-        for (int present : images) {
+        for (int present : cachedImages) {
             if (present == image) {
                 return true;
             }
@@ -206,11 +206,11 @@
         }
         double ownMs = fetchMs(spec);
         double slowdownMs = ownMs * Math.max(0, plannedFetches);
-        for (int i = 0; i < fetching.length; i += 2) {
-            if (fetching[i] == spec.image()) {
+        for (int i = 0; i < fetchingImages.length; i += 2) {
+            if (fetchingImages[i] == spec.image()) {
                 return 0;
             }
-            slowdownMs += Math.min(ownMs, fetching[i + 1]);
+            slowdownMs += Math.min(ownMs, fetchingImages[i + 1]);
         }
         return slowdownMs;
     }
@@ -222,13 +222,13 @@
         }
         // Concurrent fetches share the bandwidth.
         double otherFetchesMs = 0;
-        for (int i = 0; i < fetching.length; i += 2) {
-            if (fetching[i] == spec.image()) {
-                return Math.max(etaMs, fetching[i + 1]);
+        for (int i = 0; i < fetchingImages.length; i += 2) {
+            if (fetchingImages[i] == spec.image()) {
+                return Math.max(etaMs, fetchingImages[i + 1]);
             }
-            otherFetchesMs += fetching[i + 1];
+            otherFetchesMs += fetchingImages[i + 1];
         }
         double ownMs = fetchMs(spec);
-        return etaMs + ownMs * (1 + plannedFetches) + Math.min(otherFetchesMs, ownMs * (fetching.length / 2));
+        return etaMs + ownMs * (1 + plannedFetches) + Math.min(otherFetchesMs, ownMs * (fetchingImages.length / 2));
     }
 }
--- a/src/test/java/birchusher/PlannerTest.java
+++ b/src/test/java/birchusher/PlannerTest.java
@@ -393,7 +393,7 @@
     }
 
     /**
-     * A task that is proven gone frees the capacity of its machine and its place in its zone at once; it counts as its
+     * A task that is proven gone frees the capacity that it used on its machine and in its zone at once; it counts as its
      * team's use until its claim is removed.
      */
     @Test
