--- a/src/main/java/birchusher/fleet/Autoscaler.java
+++ b/src/main/java/birchusher/fleet/Autoscaler.java
@@ -59,6 +59,41 @@
      */
     private static final int MIN_SILENT_FOR_SHARD_FAULT = 4;
 
+    private static final long TICK_INTERVAL_MS = 250;
+    private static final long TYPES_RETRY_MS = 1_000;
+    private static final long TYPES_REFRESH_MS = 60_000;
+    /** How long this controller does not take the role again after it lost it. */
+    private static final long ROLE_BACKOFF_MS = 20_000;
+    /** How long nothing is requested after this controller has taken the role. */
+    private static final long FIRST_REQUEST_DELAY_MS = 1_500;
+    /** How long a kind of machine is not requested after the cloud rented fewer machines of it than requested. */
+    private static final long PARTIAL_RENTAL_BACKOFF_MS = 15_000;
+    /** The same after the cloud rented none. */
+    private static final long NO_CAPACITY_BACKOFF_MS = 20_000;
+
+    /** Time until a rental request without a clear outcome is sent again. */
+    private static final long REQUEST_RETRY_MS = 1_500;
+    /** The same if the limit of requests to the cloud did not allow the call. */
+    private static final long UNSENT_REQUEST_RETRY_MS = 500;
+    /** How long the owner of a machine is not asked again whether it may be returned. */
+    private static final long RETURN_RETRY_MS = 5_000;
+    /** How long a confirmed deletion is announced to owners and the machine counts as deleted recently. */
+    private static final long RECENTLY_DELETED_MS = 30_000;
+    /** How long an idle machine of unknown type is kept. */
+    private static final long DEFAULT_IDLE_TIMEOUT_MS = 60_000;
+    /** Tasks of one job for which machines are rented at a time. */
+    private static final int MAX_RENTAL_TASKS_PER_JOB = 400;
+
+    private static final int MAX_NEW_MACHINES = 100;
+    private static final int MAX_MACHINES_PER_REQUEST = 50;
+    private static final int MAX_DELETIONS_PER_CALL = 100;
+    /** Factor on the price of spot machines when prices are compared. */
+    private static final double SPOT_PRICE_FACTOR = 1.1;
+    /** Added to the price for each machine in the zone, to prefer the zone with the fewest at equal prices. */
+    private static final double PRICE_PER_MACHINE_IN_ZONE = 1e-4;
+    /** Rank of all changes of the autoscaler in the store client's queue. */
+    private static final int CHANGE_RANK = 3;
+
     /**
      * A rental request as stored in its row. {@code type} and {@code zone} are indexes in the {@link Catalog},
      * {@code requestedAtMs} is wall-clock time, and {@code hosts} is null until the cloud has answered.
@@ -138,7 +173,7 @@
             CloudClient cloud,
             Counters counters,
             ActionCounters actionCounters,
-            BooleanSupplier inventoryComplete,
+            BooleanSupplier fleetKnown,
             IntSupplier tasksToRestore,
             Tuning tuning,
             BiConsumer<String, Boolean> requestReturn,
@@ -154,7 +189,7 @@
         this.cloud = cloud;
         this.counters = counters;
         this.actionCounters = actionCounters;
-        this.fleetKnown = inventoryComplete;
+        this.fleetKnown = fleetKnown;
         this.tasksToRestore = tasksToRestore;
         this.requestReturn = requestReturn;
         this.onDeleted = onDeleted;
@@ -210,7 +245,7 @@
     }
 
     /**
-     * Whether this controller has the autoscaler role: the role's row names its present incarnation, and its member
+     * Whether this controller has the autoscaler role: the role's row names its current incarnation, and its member
      * lease holds.
      */
     public boolean isActive() {
@@ -223,7 +258,7 @@
 
     /** Returns the machines whose deletion the cloud confirmed within the last 30 s, for notifying their owners. */
     public List<String> recentlyDeleted() {
-        recentlyDeleted.values().removeIf(deletedAtMs -> effects.now() - deletedAtMs > 30_000);
+        recentlyDeleted.values().removeIf(deletedAtMs -> effects.now() - deletedAtMs > RECENTLY_DELETED_MS);
         return List.copyOf(recentlyDeleted.keySet());
     }
 
@@ -239,7 +274,7 @@
         if (!store.loaded() || nowMs < nextTickMs) {
             return;
         }
-        nextTickMs = nowMs + 250;
+        nextTickMs = nowMs + TICK_INTERVAL_MS;
         refreshTypes(nowMs);
         boolean active = isActive();
         if (active && !wasActive) {
@@ -268,7 +303,7 @@
             return;
         }
         returnMachines(statuses, nowMs);
-        if (catalog.typesKnown() && !recordingRequests && nowMs - activeSinceMs > 1_500) {
+        if (catalog.typesKnown() && !recordingRequests && nowMs - activeSinceMs > FIRST_REQUEST_DELAY_MS) {
             requestMachines(plan, statuses, nowMs);
         }
         consolidation.tick(plan, statuses, nowMs);
@@ -286,12 +321,12 @@
         if (!wanted || nowMs < nextTypesMs) {
             return;
         }
-        nextTypesMs = nowMs + 1_000;
+        nextTypesMs = nowMs + TYPES_RETRY_MS;
         cloud.call("GET", Wire.MACHINE_TYPES, null, (status, reply) -> {
             if (status != 200) {
                 return;
             }
-            nextTypesMs = effects.now() + 60_000;
+            nextTypesMs = effects.now() + TYPES_REFRESH_MS;
             List<?> list = Fields.list(reply, Wire.TYPE_LIST);
             learnTypes(list);
             if (view.row(Keys.MACHINE_TYPES) == null && !list.isEmpty()) {
@@ -316,7 +351,7 @@
 
     private void tryTakeRole() {
         Map<String, Object> row = view.row(Keys.AUTOSCALER);
-        if (takingRole || !membership.canAct() || !store.healthy() || effects.now() - roleLostAtMs < 20_000) {
+        if (takingRole || !membership.canAct() || !store.healthy() || effects.now() - roleLostAtMs < ROLE_BACKOFF_MS) {
             return;
         }
         int holder = row == null ? -1 : membership.memberIndex(String.valueOf(row.get("m")));
@@ -333,7 +368,7 @@
         }
         takingRole = true;
         store.enqueue(new FunctionChange(
-                3,
+                CHANGE_RANK,
                 1,
                 tx -> {
                     Map<String, Object> current = view.row(Keys.AUTOSCALER);
@@ -350,7 +385,7 @@
 
     private void putRow(String key, Map<String, Object> value) {
         store.enqueue(new FunctionChange(
-                3,
+                CHANGE_RANK,
                 1,
                 tx -> {
                     tx.put(key, value);
@@ -484,7 +519,7 @@
                 }
             } else if (allUp && requestsInProgress.add(request.name())) {
                 store.enqueue(new FunctionChange(
-                        3,
+                        CHANGE_RANK,
                         1,
                         tx -> {
                             if (view.row(Keys.RENTAL_REQUEST + request.name()) == null) {
@@ -519,7 +554,8 @@
                         hosts);
                 if (hosts.size() < request.count()) {
                     refusedUntilMs.put(
-                            new MachineKind(request.type(), request.zone(), request.spot()), effects.now() + 15_000);
+                            new MachineKind(request.type(), request.zone(), request.spot()),
+                            effects.now() + PARTIAL_RENTAL_BACKOFF_MS);
                 }
                 recordOutcome(request, hosts);
             } else if (status == 503 && "no capacity".equals(reply.get("error"))) {
@@ -529,7 +565,8 @@
                         catalog.zones.name(request.zone()),
                         request.spot() ? " (spot)" : "");
                 refusedUntilMs.put(
-                        new MachineKind(request.type(), request.zone(), request.spot()), effects.now() + 20_000);
+                        new MachineKind(request.type(), request.zone(), request.spot()),
+                        effects.now() + NO_CAPACITY_BACKOFF_MS);
                 recordOutcome(request, List.of());
             } else if (status == 400) {
                 LOG.error("cloud refused rental request {} as malformed", request.name());
@@ -538,12 +575,12 @@
                 // The outcome is unknown, or the cloud asked to retry later: retried under the same name, so that
                 // nothing is rented twice.
                 requestsInProgress.remove(request.name());
-                retryAtMs.put(request.name(), effects.now() + 1_500);
+                retryAtMs.put(request.name(), effects.now() + REQUEST_RETRY_MS);
             }
         });
         if (!sent) {
             requestsInProgress.remove(request.name());
-            retryAtMs.put(request.name(), effects.now() + 500);
+            retryAtMs.put(request.name(), effects.now() + UNSENT_REQUEST_RETRY_MS);
         }
     }
 
@@ -563,7 +600,7 @@
 
     private void recordOutcome(RentalRequest request, List<Object> hosts) {
         store.enqueue(new FunctionChange(
-                3,
+                CHANGE_RANK,
                 1,
                 tx -> {
                     String key = Keys.RENTAL_REQUEST + request.name();
@@ -619,7 +656,7 @@
                     rentalPolicy.limitFor(unplaced.job(), unplaced.taskCount(), effects.wallTime());
             int restored = Math.min(limit.tasks(), expectedRestores);
             expectedRestores -= restored;
-            for (int task = restored; task < Math.min(limit.tasks(), 400); task++) {
+            for (int task = restored; task < Math.min(limit.tasks(), MAX_RENTAL_TASKS_PER_JOB); task++) {
                 int machineIndex = -1;
                 for (int i = 0; i < freeCapacity.size() && machineIndex < 0; i++) {
                     double[] free = freeCapacity.get(i);
@@ -635,7 +672,7 @@
                 }
                 if (machineIndex < 0) {
                     MachineKind kind = cheapestKind(spec, zones, machinesByZone, limit.spotOnly());
-                    if (kind == null || newMachines >= 100) {
+                    if (kind == null || newMachines >= MAX_NEW_MACHINES) {
                         break;
                     }
                     Catalog.MachineType type = catalog.type(kind.type);
@@ -667,7 +704,7 @@
     }
 
     /**
-     * Returns the kind of machine with the lowest price per task that the cloud has not refused lately, or null; at
+     * Returns the kind of machine with the lowest price per task that the cloud has not refused recently, or null; at
      * equal prices the one in the zone with the fewest machines.
      */
     private MachineKind cheapestKind(
@@ -697,12 +734,12 @@
                     }
                     // Kinds whose machines rarely come up are requested less, but not abandoned: a few that come up
                     // restore the share.
-                    double price = (kind.spot ? type.spotPricePerHour() * 1.1 : type.pricePerHour())
+                    double price = (kind.spot ? type.spotPricePerHour() * SPOT_PRICE_FACTOR : type.pricePerHour())
                                     / tasksPerMachine
                                     / Math.max(
                                             MIN_BOOTED_SHARE,
                                             bootStatistics.bootedShare(kindIndex(kind.type, kind.zone, kind.spot)))
-                            + machinesByZone[zone] * 1e-4;
+                            + machinesByZone[zone] * PRICE_PER_MACHINE_IN_ZONE;
                     if (price < lowestPrice) {
                         lowestPrice = price;
                         cheapest = kind;
@@ -720,7 +757,7 @@
         int maxRequests = Math.max(1, settings.maxTransactionOps() - 1);
         long[] firstNumber = {-1};
         store.enqueue(new FunctionChange(
-                3,
+                CHANGE_RANK,
                 Math.min(settings.maxTransactionOps(), wanted.size() + 1),
                 tx -> {
                     if (!isActive() || tx.writes(Keys.AUTOSCALER)) {
@@ -745,7 +782,7 @@
                                 kind.type,
                                 kind.zone,
                                 kind.spot,
-                                Math.min(50, entry.getValue()),
+                                Math.min(MAX_MACHINES_PER_REQUEST, entry.getValue()),
                                 requestedAtMs,
                                 null);
                         tx.put(Keys.RENTAL_REQUEST + request.name(), requestRow(request, null));
@@ -780,7 +817,7 @@
             } else if (idle
                     || status.faulty()
                     || status.beingReturned() && view.claims(status.machine()).isEmpty()) {
-                returnPendingUntilMs.put(status.machine(), nowMs + 5_000);
+                returnPendingUntilMs.put(status.machine(), nowMs + RETURN_RETRY_MS);
                 requestReturn.accept(status.machine(), false);
             }
         }
@@ -793,7 +830,7 @@
     private double idleTimeoutMs(MachineStatus status) {
         Catalog.MachineType type = catalog.type(status.type());
         if (type == null) {
-            return 60_000;
+            return DEFAULT_IDLE_TIMEOUT_MS;
         }
         double fetchS = meanImageGb / type.fetchGbPerS();
         // Idle time costs more on expensive machines: cheap ones (spot) are kept longer, expensive ones are returned
@@ -864,7 +901,8 @@
         if (deletionQueue.isEmpty()) {
             return;
         }
-        List<String> machines = new ArrayList<>(deletionQueue.subList(0, Math.min(100, deletionQueue.size())));
+        List<String> machines =
+                new ArrayList<>(deletionQueue.subList(0, Math.min(MAX_DELETIONS_PER_CALL, deletionQueue.size())));
         boolean sent = cloud.call("POST", Wire.RENTALS_DELETE, Map.of(Wire.MACHINES, machines), (status, reply) -> {
             if (status == 200) {
                 counters.returns += machines.size();
--- a/src/main/java/birchusher/fleet/BootStatistics.java
+++ b/src/main/java/birchusher/fleet/BootStatistics.java
@@ -19,13 +19,17 @@
     private static final int MIN_SAMPLES = 4;
     /** In boot times; by the cloud's protocol most machines are up by then. */
     private static final double DEFAULT_OVERDUE_BOOTS = 1.5;
+    /** A machine is overdue when it takes this many times as long as nine in ten machines of its kind. */
+    private static final double OVERDUE_MARGIN = 1.1;
+    /** The remaining boot time of a late machine is estimated as at least this share of the time that it is late. */
+    private static final double MIN_LEFT_SHARE = 0.4;
 
     private static final double NEVER_BOOTED = -1;
     private static final int MAX_COUNTED_MACHINES = 4_000;
 
     private final double giveUpBoots;
     private final Map<Integer, ArrayDeque<Double>> bootRatios = new HashMap<>();
-    /** Machines that have given their sample, oldest first. */
+    /** Machines whose sample is recorded, oldest first. */
     private final Set<String> countedMachines = new LinkedHashSet<>();
 
     /** @param giveUpBoots boot times after which a machine is deleted, the upper bound of {@link #overdueBoots} */
@@ -55,7 +59,7 @@
         }
     }
 
-    /** Records that a machine was given up; only the first record of a machine counts. */
+    /** Records that a machine is deleted because it did not come up; only the first record of a machine counts. */
     void recordNeverBooted(int kind, String machine) {
         if (markCounted(machine)) {
             addSample(kind, NEVER_BOOTED);
@@ -87,7 +91,7 @@
         double[] ratios = bootedRatios(kind);
         double limit = ratios.length < MIN_SAMPLES
                 ? DEFAULT_OVERDUE_BOOTS
-                : Math.max(DEFAULT_OVERDUE_BOOTS, 1.1 * ratios[ratios.length - 1 - ratios.length / 10]);
+                : Math.max(DEFAULT_OVERDUE_BOOTS, OVERDUE_MARGIN * ratios[ratios.length - 1 - ratios.length / 10]);
         return Math.min(giveUpBoots, limit);
     }
 
@@ -104,6 +108,6 @@
                                 .skip(ratios.length / 2)
                                 .findFirst()
                                 .orElse(1));
-        return Math.max(1, Math.max(typicalS - ageS, 0.4 * (ageS - typicalS)));
+        return Math.max(1, Math.max(typicalS - ageS, MIN_LEFT_SHARE * (ageS - typicalS)));
     }
 }
--- a/src/main/java/birchusher/fleet/Consolidation.java
+++ b/src/main/java/birchusher/fleet/Consolidation.java
@@ -24,6 +24,10 @@
 final class Consolidation {
     private static final Logger LOG = LoggerFactory.getLogger(Consolidation.class);
 
+    private static final long CHECK_INTERVAL_MS = 2_000;
+    /** One machine is drained at a time, and one more for each so many machines of the fleet. */
+    private static final int MACHINES_PER_DRAIN = 50;
+
     private final Catalog catalog;
     private final StoreView view;
     private final long moveAfterMs;
@@ -62,10 +66,10 @@
         if (nowMs < nextCheckMs) {
             return;
         }
-        nextCheckMs = nowMs + 2_000;
+        nextCheckMs = nowMs + CHECK_INTERVAL_MS;
         if (!plan.unplaced().isEmpty()) {
-            // Capacity is short and all that is free is needed, but machines that were sparsely used before still
-            // are: their times stay.
+            // Capacity is short and all that is free is needed. Machines that were sparsely used before still are,
+            // so their times are kept.
             return;
         }
         List<Slot> slots = freeSlots.apply(statuses);
@@ -92,7 +96,7 @@
         for (MachineStatus status : candidates) {
             // In a large fleet, several machines are drained at once; the replicas of each machine still move one
             // after the other.
-            if (beingReturnedCount >= 1 + statuses.size() / 50) {
+            if (beingReturnedCount >= 1 + statuses.size() / MACHINES_PER_DRAIN) {
                 return;
             }
             if (fitsElsewhere(status, slots, true)) {
@@ -125,11 +129,11 @@
     }
 
     /**
-     * Whether all replicas of a machine find capacity and their images on other machines. If so and {@code take} is
-     * set, that capacity is taken from {@code slots}, and the machine's own slots are removed; else {@code slots}
-     * stays as it was.
+     * Whether all replicas of a machine find capacity and their images on other machines. If so and
+     * {@code allocate} is set, that capacity is allocated in {@code slots}, and the machine's own slots are removed;
+     * else {@code slots} is unchanged.
      */
-    private boolean fitsElsewhere(MachineStatus status, List<Slot> slots, boolean take) {
+    private boolean fitsElsewhere(MachineStatus status, List<Slot> slots, boolean allocate) {
         Map<Slot, Slot.Snapshot> snapshots = new LinkedHashMap<>();
         boolean allFit = true;
         for (Claim claim : view.claims(status.machine()).values()) {
@@ -153,7 +157,7 @@
             snapshots.putIfAbsent(target, target.snapshot());
             target.allocate(spec);
         }
-        if (allFit && take) {
+        if (allFit && allocate) {
             slots.removeIf(slot -> slot.machine().equals(status.machine()));
         } else {
             snapshots.forEach(Slot::restore);
--- a/src/main/java/birchusher/fleet/GangReserve.java
+++ b/src/main/java/birchusher/fleet/GangReserve.java
@@ -19,7 +19,7 @@
 /**
  * Keeps idle machines, although no task needs them at present, for gangs of several tasks that are to start sooner
  * than a machine boots: such gangs need all their machines at once. The reserve has capacity for as many tasks as
- * such gangs lately had in one boot time, plus one more gang. Capacity taken by tasks that yield to the gang counts,
+ * such gangs recently had in one boot time, plus one more gang. Capacity taken by tasks that yield to the gang counts,
  * so nothing is kept while the fleet is busy. No machine is rented for the reserve.
  */
 final class GangReserve {
--- a/src/main/java/birchusher/fleet/MachineList.java
+++ b/src/main/java/birchusher/fleet/MachineList.java
@@ -21,8 +21,15 @@
  */
 final class MachineList {
     private static final Logger LOG = LoggerFactory.getLogger(MachineList.class);
+    private static final long MIN_LIST_INTERVAL_MS = 4_000;
+    /** The list is read again after half of the time by which it lags, here in ms per second. */
+    private static final double LIST_INTERVAL_MS_PER_LAG_S = 500;
+    /** Lower bound of the boot time assumed for a listed machine, whose type is not known. */
+    private static final double MIN_BOOT_S = 60;
+    /** Added to the workers' lease before a machine that is listed as running and does not report is deleted. */
+    private static final double UNREPORTED_MARGIN_S = 20;
 
-    /** What the autoscaler knows of machines. */
+    /** The autoscaler's state of the machines. */
     interface FleetState {
         /** Whether the machine was deleted recently or is about to be. */
         boolean isBeingDeleted(String machine);
@@ -81,7 +88,8 @@
             return;
         }
         listInProgress = true;
-        nextListMs = effects.now() + Math.max(4_000, Math.round(settings.cloudListLagS() * 500));
+        nextListMs = effects.now()
+                + Math.max(MIN_LIST_INTERVAL_MS, Math.round(settings.cloudListLagS() * LIST_INTERVAL_MS_PER_LAG_S));
         requestPage("", new HashSet<>());
     }
 
@@ -145,12 +153,12 @@
         if (state.equals("running")) {
             unreportedRunning.add(machine);
         }
-        double bootS = 60;
+        double bootS = MIN_BOOT_S;
         for (Catalog.MachineType type : catalog.types()) {
             bootS = Math.max(bootS, type.bootS());
         }
-        long timeoutMs =
-                Math.round(1000 * (state.equals("running") ? settings.workerLeaseS() + 20 : bootS * giveUpBoots));
+        long timeoutMs = Math.round(
+                1000 * (state.equals("running") ? settings.workerLeaseS() + UNREPORTED_MARGIN_S : bootS * giveUpBoots));
         if (nowMs - sinceMs > timeoutMs && view.claims(machine).isEmpty()) {
             LOG.info("machine {} is listed as {} but reports to no controller, deleting it", machine, state);
             fleet.delete(machine);
--- a/src/main/java/birchusher/recovery/Inventory.java
+++ b/src/main/java/birchusher/recovery/Inventory.java
@@ -35,6 +35,8 @@
     private static final int TOLERATED_OPEN_ONE_IN = 50;
     /** A plan may be this old, and one made before the last machine was confirmed lacks that machine's capacity. */
     private static final long MAX_PLAN_AGE_MS = 1_000;
+    /** The wait for fewer machines than this is not logged. */
+    private static final int MIN_LOGGED_MACHINES = 10;
 
     /** What the published status of a machine shows. */
     public enum MachineEvidence {
@@ -68,8 +70,8 @@
      */
     private final Map<String, Long> openSinceMs = new HashMap<>();
     /**
-     * Machines that were confirmed since their status was first published; what happens to them later is no concern
-     * here.
+     * Machines that were confirmed since their status was first published. They are not awaited again while a status
+     * is published.
      */
     private final Set<String> confirmed = new HashSet<>();
 
@@ -127,7 +129,7 @@
         openSinceMs.clear();
         expectedMachines = 0;
         if (confirmed.size() > MAX_CONFIRMED) {
-            // Most of them are gone for long; those that still exist are added again by this update.
+            // Most of these machines no longer exist; those that do are added again by this update.
             confirmed.clear();
         }
         for (String machine : view.claimedMachines()) {
@@ -174,7 +176,7 @@
             fleetKnownFromMs = now + MAX_PLAN_AGE_MS;
         }
         wasFleetKnown = next != Phase.READING && (wasFleetKnown || next != Phase.HEARING);
-        if (phase == Phase.HEARING && maxAwaitedMachines >= 10) {
+        if (phase == Phase.HEARING && maxAwaitedMachines >= MIN_LOGGED_MACHINES) {
             LOG.info(
                     "recovery: {} machines were waited for, {} of them in vain, for {} ms; {} losses to be written",
                     maxAwaitedMachines,
--- a/src/main/java/birchusher/recovery/LostTasks.java
+++ b/src/main/java/birchusher/recovery/LostTasks.java
@@ -28,6 +28,8 @@
      */
     private static final long MACHINE_WAIT_MS = 1_500;
 
+    private static final long CLEANUP_INTERVAL_MS = 1_000;
+
     /** Lower than every session: after a proven loss, any session of the machine is a later one. */
     private static final long BEFORE_ANY_SESSION = -1;
 
@@ -149,12 +151,12 @@
         return machines;
     }
 
-    /** Forgets old losses and updates the counts, once a second. */
+    /** Forgets old losses and updates the counts, at most once per {@link #CLEANUP_INTERVAL_MS}. */
     public void tick(long now) {
         if (now < nextCleanupMs) {
             return;
         }
-        nextCleanupMs = now + 1_000;
+        nextCleanupMs = now + CLEANUP_INTERVAL_MS;
         lostRuns.values().removeIf(runsOfJob -> {
             runsOfJob.values().removeIf(run -> now - run.seenAtMs > RETENTION_MS);
             return runsOfJob.isEmpty();
@@ -182,8 +184,8 @@
 
     /**
      * Returns how many tasks the whole cluster has to restore. Nothing is rented for that many tasks: the capacity
-     * that they left is for them, or for tasks that preempt them, but only their job schedulers know that before the
-     * claims are written.
+     * that they left is for them, or for tasks that preempt them, but before the claims are written only their job
+     * schedulers account for it.
      */
     public int tasksToRestoreOfAll(long now) {
         int total = tasksToRestore;
--- a/src/main/java/birchusher/recovery/Reconciliation.java
+++ b/src/main/java/birchusher/recovery/Reconciliation.java
@@ -40,7 +40,7 @@
     }
 
     /**
-     * What else the machine's owner knows.
+     * What else the machine's owner has recorded of an attempt.
      *
      * @param reportedBefore an earlier report to this owner showed the attempt
      * @param startUnanswered a start sent directly to the worker has not been answered and may still arrive
--- a/src/test/java/birchusher/fleet/RentalPolicyTest.java
+++ b/src/test/java/birchusher/fleet/RentalPolicyTest.java
@@ -62,9 +62,10 @@
 
     private long revision;
 
-    private Job addJob(StoreView view, String id, String team, String rank, String cls) {
+    private Job addJob(StoreView view, String id, String team, String rank, String jobClass) {
         Map<String, Object> fields = TestJobs.job();
-        fields.putAll(Map.of("name_id", id, "crew", team, "rank", rank, "lane", cls, "pieces", 9L, "loaners", true));
+        fields.putAll(
+                Map.of("name_id", id, "crew", team, "rank", rank, "lane", jobClass, "pieces", 9L, "loaners", true));
         view.put(Keys.JOB + id, new HashMap<>(Map.of("s", "OPEN", "k", 100L, "t", 0L, "j", fields)), ++revision);
         return view.job(id);
     }
--- a/src/test/java/birchusher/recovery/RecoveryStateTest.java
+++ b/src/test/java/birchusher/recovery/RecoveryStateTest.java
@@ -80,40 +80,40 @@
 
     @Test
     void droppedTasksAreAwaitedForTheReconnectTimeAndForgottenAfterAMinute() {
-        LostTasks losses = new LostTasks(10_000, 3);
-        losses.recordDropped("wk-1", 0, "n-1", 0);
-        losses.recordDropped("wk-1", 4, "n-2", 0);
-        losses.tick(100);
-        losses.handlePeerReport(2, 5, 100);
-        assertThat(losses.tasksToRestoreOfAll(200)).isEqualTo(7);
-        assertThat(losses.awaitedMachine("wk-1", 4, 1_000)).isEqualTo("n-2");
-        assertThat(losses.awaitedMachine("wk-1", 4, 2_000)).isNull();
-        losses.tick(10_500);
-        assertThat(losses.tasksToRestoreOfAll(10_500)).isZero();
-        assertThat(losses.machinesByTask("wk-1")).containsEntry(0, "n-1").containsEntry(4, "n-2");
-        losses.tick(60_200);
-        assertThat(losses.hasLostTasks("wk-1")).isFalse();
-        assertThat(losses.size()).isZero();
+        LostTasks lostTasks = new LostTasks(10_000, 3);
+        lostTasks.recordDropped("wk-1", 0, "n-1", 0);
+        lostTasks.recordDropped("wk-1", 4, "n-2", 0);
+        lostTasks.tick(100);
+        lostTasks.handlePeerReport(2, 5, 100);
+        assertThat(lostTasks.tasksToRestoreOfAll(200)).isEqualTo(7);
+        assertThat(lostTasks.awaitedMachine("wk-1", 4, 1_000)).isEqualTo("n-2");
+        assertThat(lostTasks.awaitedMachine("wk-1", 4, 2_000)).isNull();
+        lostTasks.tick(10_500);
+        assertThat(lostTasks.tasksToRestoreOfAll(10_500)).isZero();
+        assertThat(lostTasks.machinesByTask("wk-1")).containsEntry(0, "n-1").containsEntry(4, "n-2");
+        lostTasks.tick(60_200);
+        assertThat(lostTasks.hasLostTasks("wk-1")).isFalse();
+        assertThat(lostTasks.size()).isZero();
     }
 
     @Test
     void contradictingActionsAreCountedOnce() {
-        ActionCounters orders = new ActionCounters();
-        orders.recordStart("wk-1/0#1", false, 0);
-        orders.recordStart("wk-1/1#2", true, 0);
-        orders.recordStart("wk-1/2#1", false, 0);
-        orders.recordStop("wk-1/0#1", "makes room for wk-9", 29_000);
-        orders.recordStop("wk-1/0#1", "makes room for wk-8", 29_500);
-        orders.recordStop("wk-1/1#2", "notice", 29_000);
-        orders.recordStop("wk-1/2#1", "moves", 31_000);
-        assertThat(orders.stoppedSoon()).isEqualTo(1);
-        assertThat(orders.count("stop makes room")).isEqualTo(2);
-        orders.recordReturn(4, 0);
-        orders.recordReturn(4, 50_000);
-        orders.recordReturn(5, 50_000);
-        orders.recordRental(4, 3, 40_000, 60_000);
-        orders.recordRental(4, 3, 40_000, 61_000);
-        assertThat(orders.rentedAgain()).isEqualTo(1);
-        assertThat(orders.count("rent")).isEqualTo(6);
+        ActionCounters actionCounters = new ActionCounters();
+        actionCounters.recordStart("wk-1/0#1", false, 0);
+        actionCounters.recordStart("wk-1/1#2", true, 0);
+        actionCounters.recordStart("wk-1/2#1", false, 0);
+        actionCounters.recordStop("wk-1/0#1", "makes room for wk-9", 29_000);
+        actionCounters.recordStop("wk-1/0#1", "makes room for wk-8", 29_500);
+        actionCounters.recordStop("wk-1/1#2", "notice", 29_000);
+        actionCounters.recordStop("wk-1/2#1", "moves", 31_000);
+        assertThat(actionCounters.stoppedSoon()).isEqualTo(1);
+        assertThat(actionCounters.count("stop makes room")).isEqualTo(2);
+        actionCounters.recordReturn(4, 0);
+        actionCounters.recordReturn(4, 50_000);
+        actionCounters.recordReturn(5, 50_000);
+        actionCounters.recordRental(4, 3, 40_000, 60_000);
+        actionCounters.recordRental(4, 3, 40_000, 61_000);
+        assertThat(actionCounters.rentedAgain()).isEqualTo(1);
+        assertThat(actionCounters.count("rent")).isEqualTo(6);
     }
 }
