--- a/src/main/java/birchusher/cloud/CloudClient.java
+++ b/src/main/java/birchusher/cloud/CloudClient.java
@@ -8,6 +8,11 @@
 /** Client of the cloud's HTTP interface that keeps its calls within the cloud's request limit. Not thread-safe. */
 public final class CloudClient {
     private static final int TIMEOUT_MS = 4_000;
+    /** The part of the cloud's request limit that this controller uses. */
+    private static final double REQUEST_SHARE = 0.6;
+    /** Pause of all calls after the cloud has refused one for now. */
+    private static final long REFUSAL_PAUSE_MS = 700;
+
     private final Effects effects;
     private final String address;
     private final TokenBucket rateLimit;
@@ -16,7 +21,7 @@
     public CloudClient(Effects effects, Settings settings) {
         this.effects = effects;
         address = settings.cloudAddress().toString();
-        rateLimit = new TokenBucket(settings.cloudRequestsPerS() * 0.6, settings.cloudRequestsPerS());
+        rateLimit = new TokenBucket(settings.cloudRequestsPerS() * REQUEST_SHARE, settings.cloudRequestsPerS());
     }
 
     /**
@@ -31,7 +36,7 @@
         }
         effects.call(Destination.CLOUD, address, method, path, body, TIMEOUT_MS, (status, fields) -> {
             if (status == 429 || status == 503 && "trouble".equals(fields.get("error"))) {
-                rateLimit.block(effects.now(), effects.now() + 700);
+                rateLimit.block(effects.now(), effects.now() + REFUSAL_PAUSE_MS);
             }
             reply.onReply(status, fields);
         });
--- a/src/main/java/birchusher/core/Effects.java
+++ b/src/main/java/birchusher/core/Effects.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * The core's clock and output: holds the time of the present step, collects its effects, and passes the replies to
+ * The core's clock and output: holds the time of the current step, collects its effects, and passes the replies to
  * calls on to their handlers. Not thread-safe.
  */
 public final class Effects {
@@ -27,7 +27,7 @@
     private long now;
     private long wallTime;
 
-    /** Returns the steady time of the present step in ms. */
+    /** Returns the steady time of the current step in ms. */
     public long now() {
         return now;
     }
--- a/src/main/java/birchusher/core/Fields.java
+++ b/src/main/java/birchusher/core/Fields.java
@@ -17,6 +17,10 @@
         }
     }
 
+    private static final int MAX_TEXT_LENGTH = 200;
+    /** A floating-point number is accepted as a count only below this. */
+    private static final double MAX_FLOATING_POINT_COUNT = 1e15;
+
     private Fields() {}
 
     /**
@@ -34,7 +38,7 @@
 
     /** Returns a text of 1 to 200 characters. */
     public static String text(Map<String, Object> fields, String key) {
-        if (fields.get(key) instanceof String text && !text.isEmpty() && text.length() <= 200) {
+        if (fields.get(key) instanceof String text && !text.isEmpty() && text.length() <= MAX_TEXT_LENGTH) {
             return text;
         }
         throw new InvalidInputException(key + ": missing, empty, too long or not text");
@@ -47,8 +51,8 @@
 
     /** Returns a boolean. */
     public static boolean flag(Map<String, Object> fields, String key) {
-        if (fields.get(key) instanceof Boolean b) {
-            return b;
+        if (fields.get(key) instanceof Boolean flag) {
+            return flag;
         }
         throw new InvalidInputException(key + ": missing or not a boolean");
     }
@@ -75,7 +79,10 @@
         if ((value instanceof Long || value instanceof Integer) && ((Number) value).longValue() >= 0) {
             return ((Number) value).longValue();
         }
-        if (value instanceof Double number && number >= 0 && number == Math.rint(number) && number < 1e15) {
+        if (value instanceof Double number
+                && number >= 0
+                && number == Math.rint(number)
+                && number < MAX_FLOATING_POINT_COUNT) {
             return number.longValue();
         }
         throw new InvalidInputException(key + ": missing or not a count");
--- a/src/main/java/birchusher/core/TokenBucket.java
+++ b/src/main/java/birchusher/core/TokenBucket.java
@@ -9,8 +9,10 @@
 public final class TokenBucket {
     private static final double GROWTH_FRACTION_PER_MS = 0.00002;
     private static final double SHRINK_FACTOR = 0.75;
-    private final double minPerMs;
-    private final double maxPerMs;
+    private static final long MIN_SHRINK_INTERVAL_MS = 500;
+
+    private final double minTokensPerMs;
+    private final double maxTokensPerMs;
     private double tokensPerMs;
     private final double burst;
     private long lastShrinkMs = -1_000_000;
@@ -33,8 +35,8 @@
      */
     public TokenBucket(double perSecond, double minPerSecond, double maxPerSecond, double burst) {
         this.tokensPerMs = perSecond / 1000.0;
-        this.minPerMs = minPerSecond / 1000.0;
-        this.maxPerMs = maxPerSecond / 1000.0;
+        this.minTokensPerMs = minPerSecond / 1000.0;
+        this.maxTokensPerMs = maxPerSecond / 1000.0;
         this.burst = Math.max(1, burst);
         this.tokens = this.burst;
     }
@@ -46,7 +48,8 @@
     public boolean canTake(long now, double amount) {
         if (now > lastRefillMs) {
             tokens = Math.min(burst, tokens + (now - lastRefillMs) * tokensPerMs);
-            tokensPerMs = Math.min(maxPerMs, tokensPerMs + maxPerMs * GROWTH_FRACTION_PER_MS * (now - lastRefillMs));
+            tokensPerMs = Math.min(
+                    maxTokensPerMs, tokensPerMs + maxTokensPerMs * GROWTH_FRACTION_PER_MS * (now - lastRefillMs));
             lastRefillMs = now;
         }
         return now >= blockedUntilMs && tokens >= Math.min(amount, burst);
@@ -70,9 +73,9 @@
     /** Handles a "too many requests" reply: blocks the bucket until the given time and lowers its rate. */
     public void block(long now, long untilMs) {
         blockedUntilMs = Math.max(blockedUntilMs, untilMs);
-        if (now - lastShrinkMs > 500) {
+        if (now - lastShrinkMs > MIN_SHRINK_INTERVAL_MS) {
             lastShrinkMs = now;
-            tokensPerMs = Math.max(minPerMs, tokensPerMs * SHRINK_FACTOR);
+            tokensPerMs = Math.max(minTokensPerMs, tokensPerMs * SHRINK_FACTOR);
         }
     }
 
@@ -82,7 +85,7 @@
         return Math.max(0, Math.min(1, 1 - tokens / burst));
     }
 
-    /** Returns the present rate. */
+    /** Returns the current rate. */
     public double tokensPerSecond() {
         return tokensPerMs * 1000;
     }
--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -35,6 +35,14 @@
 public final class JobApi {
     private static final Logger LOG = LoggerFactory.getLogger(JobApi.class);
     private static final long COMMIT_TIMEOUT_MS = 2_500;
+    private static final long SWEEP_INTERVAL_MS = 200;
+    private static final int MAX_ENDING_JOBS = 100;
+    private static final int MIN_CHUNK_SIZE = 16;
+    private static final int MAX_CHUNK_SIZE = 500;
+    /** Bytes of a placement row's value that are not used for claims. */
+    private static final int PLACEMENT_ROW_OVERHEAD_BYTES = 512;
+    /** Longest time for which the archiving of a job waits for other changes. */
+    private static final long MAX_ARCHIVING_DELAY_MS = 1_000;
 
     private final Effects effects;
     private final Catalog catalog;
@@ -43,7 +51,7 @@
     private final StoreClient store;
     private final Membership membership;
     private final int chunkSize;
-    private final int txnOps;
+    private final int maxTransactionOps;
     private final boolean confirmsCancelWhenStopped;
     private final Set<String> endingJobs = new HashSet<>();
     private long nextSweepMs;
@@ -62,7 +70,7 @@
         this.view = view;
         this.store = store;
         this.membership = membership;
-        txnOps = settings.maxTransactionOps();
+        maxTransactionOps = settings.maxTransactionOps();
         confirmsCancelWhenStopped = settings.confirmsCancelWhenStopped();
         if (confirmsCancelWhenStopped) {
             LOG.warn(
@@ -70,8 +78,12 @@
                     settings.cancelLimitS(),
                     settings.workerLeaseS());
         }
-        // A claim row must fit the store's limit on values even when all tasks in it are placed.
-        chunkSize = (int) Math.max(16, Math.min(500, (settings.maxValueKb() * 1024 - 512) / Chunk.CLAIM_BYTES));
+        // A placement row must fit the store's limit on values even when all tasks in it are placed.
+        chunkSize = (int) Math.max(
+                MIN_CHUNK_SIZE,
+                Math.min(
+                        MAX_CHUNK_SIZE,
+                        (settings.maxValueKb() * 1024 - PLACEMENT_ROW_OVERHEAD_BYTES) / Chunk.CLAIM_BYTES));
     }
 
     private static Map<String, Object> stateBody(String id, String state, int done, int running) {
@@ -83,8 +95,8 @@
         return body;
     }
 
-    static Map<String, Object> endedBody(String id, StoreView.EndedJob end) {
-        return end.done() ? stateBody(id, Wire.DONE, end.tasks(), 0) : stateBody(id, Wire.CANCELLED, 0, 0);
+    static Map<String, Object> endedBody(String id, StoreView.EndedJob ended) {
+        return ended.done() ? stateBody(id, Wire.DONE, ended.tasks(), 0) : stateBody(id, Wire.CANCELLED, 0, 0);
     }
 
     /**
@@ -92,14 +104,14 @@
      * final states never change; null if the job has none yet.
      */
     private Map<String, Object> finalState(String id) {
-        StoreView.EndedJob end = view.endedJob(id);
-        if (end != null) {
-            return endedBody(id, end);
+        StoreView.EndedJob ended = view.endedJob(id);
+        if (ended != null) {
+            return endedBody(id, ended);
         }
         Job job = view.job(id);
         if (job != null
                 && (job.state() == Job.State.DONE
-                        || job.state() == Job.State.OPEN && job.allDone() && viewCoversClaimRows(job))) {
+                        || job.state() == Job.State.OPEN && job.allDone() && viewCoversPlacementRows(job))) {
             return stateBody(id, Wire.DONE, job.spec.tasks(), 0);
         }
         return job != null && job.state() == Job.State.CANCELLED && mayConfirmCancel(job)
@@ -113,10 +125,10 @@
      * controller's own write of the last end enters the view ahead of the changes of other controllers, and a
      * cancellation that this controller has not seen may precede it. Without this check, one controller reported to
      * its user "cancelled" and another one then "done". Once the view has everything up to the last end, the job's
-     * row shows which came first; no cancellation is written after it, as each requires a claim row that was not
+     * row shows which came first; no cancellation is written after it, as each requires a placement row that was not
      * full.
      */
-    private boolean viewCoversClaimRows(Job job) {
+    private boolean viewCoversPlacementRows(Job job) {
         for (int i = 0; i < job.chunks.size(); i++) {
             if (view.version(Keys.placement(job.spec.id(), i)) > view.appliedRevision()) {
                 return false;
@@ -172,7 +184,7 @@
         answerFromFreshView(exchange, id, job -> effects.answer(exchange, 200, openBody(job)), unknown);
     }
 
-    /** Like the method without {@code unfinished}, to which this one passes a job that has no final state. */
+    /** As above, except that a job without a final state is passed to {@code unfinished} instead of being answered. */
     private void answerFromFreshView(long exchange, String id, Consumer<Job> unfinished, Runnable unknown) {
         boolean queued = store.whenUpToDate(ok -> {
             if (!ok) {
@@ -199,7 +211,7 @@
             }
             boolean sent = store.get(Keys.ENDED_JOB + id, (status, reply) -> {
                 if (status == 200) {
-                    // Kept in the view, so that every state reported to users by this controller is also known to it.
+                    // Kept in the view, so that every state reported to users by this controller stays in its view.
                     view.put(Keys.ENDED_JOB + id, reply.get(Wire.VALUE), Fields.count(reply, Wire.VERSION));
                     Map<String, Object> storedBody = finalState(id);
                     if (storedBody != null) {
@@ -276,7 +288,7 @@
         }
     }
 
-    /** Writes the row of a new job, on condition that the id has neither a job row nor an end row. */
+    /** Writes the row of a new job, on condition that the id has neither a job row nor the row of an ended job. */
     private final class AcceptJob implements Change {
         private final long exchange;
         private final JobSpec spec;
@@ -454,7 +466,7 @@
     // ---- endings
 
     /**
-     * Writes final states, and archives ended jobs once none of their tasks is on any machine: one end row replaces
+     * Writes final states, and archives ended jobs once none of their tasks is on any machine: one row with the final state replaces
      * the rows of the job.
      */
     public void tick() {
@@ -462,14 +474,14 @@
         if (!store.loaded() || !store.healthy() || !membership.canAct() || nowMs < nextSweepMs) {
             return;
         }
-        nextSweepMs = nowMs + 200;
+        nextSweepMs = nowMs + SWEEP_INTERVAL_MS;
         for (Job job : view.jobs()) {
             boolean ended = (job.state() != Job.State.OPEN || job.allDone()) && job.claimCount() == 0;
             if (ended
                     && membership.schedules(job.spec.id())
-                    && endingJobs.size() < 100
+                    && endingJobs.size() < MAX_ENDING_JOBS
                     && endingJobs.add(job.spec.id())) {
-                if (!store.enqueue(new EndJob(job.spec.id(), Math.min(txnOps, job.chunks.size() + 2)))) {
+                if (!store.enqueue(new EndJob(job.spec.id(), Math.min(maxTransactionOps, job.chunks.size() + 2)))) {
                     endingJobs.remove(job.spec.id());
                 }
             }
@@ -477,7 +489,7 @@
     }
 
     /**
-     * Records that a job is done, or archives an ended job. The claim rows of a large job are deleted in several
+     * Records that a job is done, or archives an ended job. The placement rows of a large job are deleted in several
      * transactions.
      */
     private final class EndJob implements Change {
@@ -499,7 +511,7 @@
         /** Can wait: polls are answered from the set of done tasks already, and this change only archives rows. */
         @Override
         public long maxDelayMs() {
-            return 1_000;
+            return MAX_ARCHIVING_DELAY_MS;
         }
 
         @Override
@@ -517,11 +529,11 @@
             if (!done && job.state() != Job.State.CANCELLED) {
                 return false;
             }
-            int claimRows = 0;
+            int placementRows = 0;
             for (Chunk chunk : job.chunks) {
-                claimRows += chunk == null ? 0 : 1;
+                placementRows += chunk == null ? 0 : 1;
             }
-            archives = job.claimCount() == 0 && claimRows + 2 <= txnOps;
+            archives = job.claimCount() == 0 && placementRows + 2 <= maxTransactionOps;
             if (archives) {
                 for (Chunk chunk : job.chunks) {
                     if (chunk != null) {
@@ -535,7 +547,7 @@
             if (job.state() == Job.State.OPEN) {
                 for (Chunk chunk : job.chunks) {
                     tx.requireUnchanged(Keys.placement(id, chunk.index));
-                    if (tx.conditionCount() > 3 * txnOps) {
+                    if (tx.conditionCount() > 3 * maxTransactionOps) {
                         break;
                     }
                 }
@@ -547,7 +559,7 @@
             }
             int removed = 0;
             for (Chunk chunk : job.chunks) {
-                if (chunk != null && removed++ < txnOps - 1) {
+                if (chunk != null && removed++ < maxTransactionOps - 1) {
                     tx.remove(Keys.placement(id, chunk.index));
                 }
             }
--- a/src/main/java/birchusher/jobs/QueryApi.java
+++ b/src/main/java/birchusher/jobs/QueryApi.java
@@ -59,10 +59,10 @@
         this.events = events;
     }
 
-    private void withFreshView(long exchange, Runnable then) {
+    private void withFreshView(long exchange, Runnable answer) {
         boolean queued = store.whenUpToDate(ok -> {
             if (ok) {
-                then.run();
+                answer.run();
             } else {
                 effects.refuseWithRetry(exchange, 503, 2);
             }
@@ -154,7 +154,8 @@
                     }
                     if (hasMore) {
                         rows.tailMap(lastId, false).clear();
-                        // The page may contain no job of the requested state; its last id tells where to continue.
+                        // The page may contain no job of the requested state; the next page continues after its last
+                        // id.
                         rows.putIfAbsent(lastId, Map.of());
                     }
                     sendPage(exchange, rows, limit, hasMore);
--- a/src/main/java/birchusher/membership/Membership.java
+++ b/src/main/java/birchusher/membership/Membership.java
@@ -38,9 +38,25 @@
     private static final long ROW_HEARTBEAT_INTERVAL_MS = 2_500;
 
     private static final long ROW_HEARTBEAT_TIMEOUT_MS = 6_500;
+    /** How long before its end, clock drift taken into account, the member lease counts as expired. */
+    private static final long LEASE_MARGIN_MS = 250;
+
+    private static final long LEASE_RETRY_DELAY_MS = 1_000;
+    private static final long MIN_RENEWAL_INTERVAL_MS = 1_000;
+    private static final int RENEWALS_PER_LEASE = 9;
+    /** Once the rows are loaded, all members count as alive for the suspicion time-out and this time. */
+    private static final long START_MARGIN_MS = 500;
+    /** How long the report of a worker without an owner counts as evidence that its owner has failed. */
+    private static final long WORKER_WITHOUT_OWNER_MS = 6_000;
+    /** A member that the state service has not answered for longer loses its shards to their preferred owners. */
+    private static final long MAX_UNSERVED_MS = 4_000;
+    /** Least time between two takeovers of a shard whose workers cannot reach their owner. */
+    private static final long UNREACHABLE_TAKEOVER_INTERVAL_MS = 15_000;
+
+    private static final long RAISE_TERM_INTERVAL_MS = 2_000;
     /** How long a controller whose peer heartbeats cease has to write its first row heartbeat. */
     private static final long FIRST_ROW_HEARTBEAT_GRACE_MS = 1_200;
-    /** Two heartbeats. */
+    /** Two heartbeat intervals. */
     private static final long RECENT_HEARTBEAT_MS = 1_000;
     /**
      * A shard that was taken over because its workers could not reach the owner is kept for one member lease; the time
@@ -57,8 +73,8 @@
     private final long suspicionTimeoutMs;
     private final long settleMs;
     private final int shardsPerZone;
-    /** When the state service's rows were first read completely; -1: not yet. */
-    private long storeReadAtMs = -1;
+    /** When all live rows of the state service were first loaded; -1: not yet. */
+    private long storeLoadedAtMs = -1;
 
     private final List<Settings.Peer> members = new ArrayList<>();
     private final long[] heartbeatAtMs;
@@ -319,7 +335,7 @@
         return member.equals(row.member) && row.incarnation == incarnation;
     }
 
-    /** Returns the term of a shard's present owner, 0 if it never had one. */
+    /** Returns the term of a shard's current owner, 0 if it never had one. */
     public long term(int shard) {
         return shardRow(shard).term;
     }
@@ -346,7 +362,7 @@
         return index >= 0 && isOwnerMember(shard) && isAlive(index) ? index : -1;
     }
 
-    /** Returns when this controller's present ownership of a shard was first seen in the view. */
+    /** Returns when this controller's current ownership of a shard was first seen in the view. */
     public long ownedSinceMs(int shard) {
         return ownedSinceMs[shard];
     }
@@ -392,8 +408,7 @@
     }
 
     /**
-     * Whether a heartbeat arrived just before, and the same incarnation has been connected for longer than {@code
-     * ms}.
+     * Whether the last heartbeat is recent and the same incarnation has been connected for longer than {@code ms}.
      */
     public boolean isConnectedFor(int member, long ms) {
         return effects.now() - heartbeatAtMs[member] < RECENT_HEARTBEAT_MS && effects.now() - aliveSinceMs[member] > ms;
@@ -478,19 +493,19 @@
 
     /**
      * Handles a peer's heartbeat. The terms that the peer has seen also show who may still answer workers: a member
-     * that knows a shard's newer term no longer answers under an older one.
+     * that has seen a shard's newer term no longer answers under an older one.
      *
      * @param member the peer's index
-     * @param itsStoreHealthy whether the state service answers the peer
-     * @param itsIncarnation the peer's incarnation
+     * @param peerStoreHealthy whether the state service answers the peer
+     * @param peerIncarnation the peer's incarnation
      * @param terms per shard the highest term that the peer has seen, 0 where it owns the shard itself
      * @param owned per shard the term under which the peer owns it, else 0
      * @return whether the peer was not connected before, or with another incarnation
      */
     public boolean handleHeartbeat(
-            int member, boolean itsStoreHealthy, long itsIncarnation, List<Long> terms, List<Long> owned) {
-        boolean reconnected = !isConnected(member) || seenIncarnation[member] != itsIncarnation;
-        seenIncarnation[member] = itsIncarnation;
+            int member, boolean peerStoreHealthy, long peerIncarnation, List<Long> terms, List<Long> owned) {
+        boolean reconnected = !isConnected(member) || seenIncarnation[member] != peerIncarnation;
+        seenIncarnation[member] = peerIncarnation;
         if (terms.size() == handingOver.length) {
             for (int shard = 0; shard < handingOver.length; shard++) {
                 termsSeenByMember[member][shard] = terms.get(shard);
@@ -506,8 +521,8 @@
             LOG.info("peer {} connected", memberName(member));
         }
         heartbeatAtMs[member] = effects.now();
-        storeHealthy[member] = itsStoreHealthy;
-        if (itsStoreHealthy) {
+        storeHealthy[member] = peerStoreHealthy;
+        if (peerStoreHealthy) {
             storeUnhealthySinceMs[member] = -1;
         } else if (storeUnhealthySinceMs[member] < 0) {
             storeUnhealthySinceMs[member] = effects.now();
@@ -520,11 +535,11 @@
      * delayed on its way. A lower incarnation of a member that is not connected is accepted, as the member may have
      * restarted with its clock set back.
      */
-    public boolean isEarlierIncarnation(int member, long itsIncarnation) {
-        return itsIncarnation > 0 && itsIncarnation < seenIncarnation[member] && isConnected(member);
+    public boolean isEarlierIncarnation(int member, long peerIncarnation) {
+        return peerIncarnation > 0 && peerIncarnation < seenIncarnation[member] && isConnected(member);
     }
 
-    /** Returns per shard the highest term known here, 0 where this controller may still answer under its own term. */
+    /** Returns per shard the highest term in the view, 0 where this controller may still answer under its own term. */
     public List<Long> highestTerms() {
         List<Long> terms = new ArrayList<>();
         for (int shard = 0; shard < handingOver.length; shard++) {
@@ -534,7 +549,7 @@
     }
 
     /** Notes that a worker of a shard whose owner does not appear alive has reported to this controller. */
-    public void workerWithoutOwner(int shard) {
+    public void onWorkerWithoutOwner(int shard) {
         workerWithoutOwnerAtMs[shard] = effects.now();
     }
 
@@ -602,7 +617,7 @@
         if (!store.loaded()) {
             return;
         }
-        storeReadAtMs = storeReadAtMs < 0 ? now : storeReadAtMs;
+        storeLoadedAtMs = storeLoadedAtMs < 0 ? now : storeLoadedAtMs;
         if (leaseId == 0) {
             if (!leaseCallPending && now >= nextLeaseCallMs) {
                 requestLease();
@@ -637,7 +652,7 @@
         leaseCallPending = true;
         raiseIncarnation();
         long sentMs = effects.now();
-        nextLeaseCallMs = sentMs + 1_000;
+        nextLeaseCallMs = sentMs + LEASE_RETRY_DELAY_MS;
         store.callLease("POST", Wire.LEASES, Map.of(Wire.TTL_MS, leaseMs), (status, body) -> {
             leaseCallPending = false;
             if (status == 200) {
@@ -648,14 +663,14 @@
     }
 
     private void leaseRenewed(long sentMs) {
-        leaseValidUntilMs = sentMs + (long) (leaseMs * (1 - 2 * Settings.MAX_CLOCK_DRIFT)) - 250;
-        nextLeaseCallMs = sentMs + Math.max(1_000, leaseMs / 9);
+        leaseValidUntilMs = sentMs + (long) (leaseMs * (1 - 2 * Settings.MAX_CLOCK_DRIFT)) - LEASE_MARGIN_MS;
+        nextLeaseCallMs = sentMs + Math.max(MIN_RENEWAL_INTERVAL_MS, leaseMs / RENEWALS_PER_LEASE);
     }
 
     private void renewLease() {
         leaseCallPending = true;
         long sentMs = effects.now();
-        nextLeaseCallMs = sentMs + 1_000;
+        nextLeaseCallMs = sentMs + LEASE_RETRY_DELAY_MS;
         long id = leaseId;
         store.callLease("POST", Wire.LEASES + "/" + id + Wire.RENEW, Map.of(), (status, body) -> {
             leaseCallPending = false;
@@ -763,10 +778,10 @@
 
     /**
      * Whether none of these earlier owners can answer a shard's workers any more: each is this incarnation itself, or
-     * has seen a term of the present ownership.
+     * has seen a term of the current ownership.
      */
-    private boolean arePriorOwnersFenced(List<Object> priors, int shard, long sinceTerm) {
-        for (Object owner : priors) {
+    private boolean arePriorOwnersFenced(List<Object> priorOwners, int shard, long sinceTerm) {
+        for (Object owner : priorOwners) {
             String[] parts = String.valueOf(owner).split("#");
             int index = memberIndex(parts[0]);
             boolean self = index == 0 && parts[1].equals(String.valueOf(incarnation));
@@ -820,10 +835,10 @@
         if (takeoverPending) {
             return;
         }
-        // Counted from when the rows were read, not from the process start. After a start during an outage, the
-        // controller that read the rows first, 0.1 s before the others, took over all shards and handed them over 6 s
+        // Counted from when the rows were loaded, not from the process start. After a start during an outage, the
+        // controller that loaded the rows first, 0.1 s before the others, took over all shards and handed them over 6 s
         // later, while their workers' reports were being reconciled.
-        boolean starting = now - storeReadAtMs < suspicionTimeoutMs + 500;
+        boolean starting = now - storeLoadedAtMs < suspicionTimeoutMs + START_MARGIN_MS;
         List<Integer> shards = new ArrayList<>();
         for (int shard = 0; shard < handingOver.length; shard++) {
             if (owns(shard) || handingOver[shard] || preferredOwner(shard, starting) != 0) {
@@ -833,13 +848,14 @@
             int ownerIndex = owner == null ? -1 : memberIndex(owner);
             boolean ownerless = owner == null || !isOwnerMember(shard) || ownerIndex == 0;
             // Unless a worker has lost its owner, only the peer connections may have failed; a takeover would then
-            // start
-            // a series of mutual takeovers.
-            boolean silent =
-                    ownerIndex > 0 && !isAlive(ownerIndex) && !starting && now - workerWithoutOwnerAtMs[shard] < 6_000;
+            // start a series of mutual takeovers.
+            boolean silent = ownerIndex > 0
+                    && !isAlive(ownerIndex)
+                    && !starting
+                    && now - workerWithoutOwnerAtMs[shard] < WORKER_WITHOUT_OWNER_MS;
             boolean unserved = ownerIndex > 0
                     && storeUnhealthySinceMs[ownerIndex] >= 0
-                    && now - storeUnhealthySinceMs[ownerIndex] > 4_000;
+                    && now - storeUnhealthySinceMs[ownerIndex] > MAX_UNSERVED_MS;
             if (ownerless || silent || unserved) {
                 shards.add(shard);
             }
@@ -852,9 +868,13 @@
     /**
      * Takes over a shard of another member whose workers keep reporting here because they cannot reach their owner.
      */
-    public void ownerUnreachable(int shard) {
+    public void onOwnerUnreachable(int shard) {
         long now = effects.now();
-        if (!takeoverPending && store.healthy() && canAct() && !owns(shard) && now - lastTakeoverMs[shard] > 15_000) {
+        if (!takeoverPending
+                && store.healthy()
+                && canAct()
+                && !owns(shard)
+                && now - lastTakeoverMs[shard] > UNREACHABLE_TAKEOVER_INTERVAL_MS) {
             LOG.info("taking over shard {}: its workers cannot reach their owner", shard);
             lastTakeoverMs[shard] = now;
             ownerUnreachableAtMs[shard] = now;
@@ -867,7 +887,7 @@
      * Takes an owned shard under a higher term, which fences commands that may still be on their way to its workers.
      */
     public void raiseTerm(int shard) {
-        if (!takeoverPending && owns(shard) && effects.now() - lastTakeoverMs[shard] > 2_000) {
+        if (!takeoverPending && owns(shard) && effects.now() - lastTakeoverMs[shard] > RAISE_TERM_INTERVAL_MS) {
             takeOver(List.of(shard));
         }
     }
@@ -936,7 +956,7 @@
             @Override
             void finished(boolean committed) {
                 takeoverPending = false;
-                // A transaction of unknown outcome was carried out if a shard is seen to have a new row that names
+                // A transaction of unknown outcome was applied if a shard has a new row in the view that names
                 // this controller.
                 if (committed
                         || unknownOutcome
@@ -966,10 +986,9 @@
             }
             int preferred = preferredOwner(shard, false);
             Map<String, Object> memberRow = preferred <= 0 ? null : view.row(Keys.MEMBER_LEASE + memberName(preferred));
-            // An owner that its workers could not reach looks healthy from here, unless it was restarted. Handed back
-            // to
-            // it after 6 s, the shard changed hands for as long as such a network partition lasted, and its workers'
-            // leases expired.
+            // An owner that its workers could not reach looks healthy to this controller, unless it was restarted. When
+            // the shard was handed back to it after 6 s, ownership alternated for as long as such a network partition
+            // lasted, and the workers' leases expired.
             boolean recentlyUnreachable = aliveSinceMs[preferred] <= ownerUnreachableAtMs[shard]
                     && now - ownerUnreachableAtMs[shard] < handoverDelayMs(shard, preferred);
             if (memberRow == null
@@ -1064,13 +1083,13 @@
     }
 
     private static Map<String, Object> encodeShardRow(
-            String member, long incarnation, long term, long sinceTerm, List<Object> priors) {
+            String member, long incarnation, long term, long sinceTerm, List<Object> priorOwners) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("m", member);
         row.put("i", incarnation);
         row.put("t", term);
         row.put("o", sinceTerm);
-        row.put("p", priors);
+        row.put("p", priorOwners);
         return row;
     }
 
@@ -1084,7 +1103,7 @@
 
         abstract boolean write(Transaction tx);
 
-        abstract void finished(boolean ok);
+        abstract void finished(boolean committed);
 
         @Override
         public int rank() {
--- a/src/main/java/birchusher/membership/Staleness.java
+++ b/src/main/java/birchusher/membership/Staleness.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * Determines up to which moment this controller's view is up to date: every cancellation that a user had been told of
- * by then is known here. Whoever answers workers renews the leases of whatever they run, so a controller may answer
+ * Determines up to which moment this controller's view is up to date: every cancellation that had been confirmed to a
+ * user by then is in the view. A controller that answers workers renews the leases of whatever they run, so it may answer
  * them only for a bounded time after this moment.
  *
  * <p>Two kinds of evidence move the moment forward, each counted from when the request was sent, as replies may be
@@ -20,9 +20,9 @@
  *
  * <ul>
  *   <li>a read from the state service that confirms the view;
- *   <li>while the state service answers nobody, replies of all other members that nothing is known to them that is not
- *       known here. That the state service answers nobody now does not suffice: it may have answered one of them since
- *       it last answered this controller.
+ *   <li>while the state service answers no member, replies of all other members that their views contain nothing that
+ *       is missing in this one. That the state service answers no member does not suffice: it may have answered one of
+ *       them since it last answered this controller.
  * </ul>
  *
  * <p>Times are in ms of the steady clock. Not thread-safe.
@@ -37,7 +37,7 @@
     private final StoreView view;
     private final StoreClient store;
     private final long maxAgeMs;
-    /** Per member: all that it knew at this moment, by this controller's clock, is known here. */
+    /** Per member: all that its view contained at this moment, by this controller's clock, is in this view. */
     private final long[] peerCoveredAtMs;
 
     Staleness(Effects effects, Settings settings, StoreView view, StoreClient store) {
@@ -47,11 +47,11 @@
         maxAgeMs = settings.stalenessLimitMs();
         peerCoveredAtMs = new long[1 + settings.peers().size()];
         Arrays.fill(peerCoveredAtMs, Long.MIN_VALUE / 2);
-        // All that this controller itself told users is known here.
+        // All that this controller itself reported to users is in its view.
         peerCoveredAtMs[0] = Long.MAX_VALUE;
     }
 
-    /** Returns the moment before which every change that a user was told of is known here. */
+    /** Returns the moment before which every change that was reported to a user is in the view. */
     long upToDateAtMs() {
         long coveredAtMs = Arrays.stream(peerCoveredAtMs).min().getAsLong();
         return Math.max(store.upToDateAsOfMs(), Math.min(coveredAtMs, effects.now()));
@@ -81,8 +81,9 @@
      */
     public RevisionReply answerQuery(RevisionQuery query, long querierIncarnation) {
         if (!store.loaded()) {
-            // Until the rows are read, what an earlier incarnation of this controller told users may not be known
-            // here.
+            // Until the rows are loaded, what an earlier incarnation of this controller reported to users may be
+            // missing
+            // in the view.
             return new RevisionReply(query.sentAtMs(), querierIncarnation, false, -1, -1, List.of());
         }
         List<Cancellation> cancellations = view.cancellations().since(query.appliedRevision(), MAX_CANCELLATIONS_SENT);
@@ -97,8 +98,8 @@
 
     /**
      * Handles a peer's reply. Its cancellations are always added to the view. It moves the moment forward only if it
-     * answers a query of this incarnation, the state service does not answer the peer, and the peer knows nothing that
-     * is unknown here.
+     * answers a query of this incarnation, the state service does not answer the peer, and the peer's view contains
+     * nothing that is missing in this one.
      *
      * @param member the peer's index
      * @param incarnation this controller's incarnation
--- a/src/main/java/birchusher/mesh/PeerRecord.java
+++ b/src/main/java/birchusher/mesh/PeerRecord.java
@@ -11,14 +11,14 @@
      * The status of one machine as its owner publishes it. Types, zones and images are given by name, as indices differ between
      * processes.
      *
-     * @param session the worker session that the owner knows
+     * @param session the worker session that the owner has recorded
      * @param flags the sum of {@link #USABLE} and the other flags
      * @param silentMs time without reports beyond what is normal, else 0
      * @param idleMs time without work, negative while there is work
      * @param speed mean ratio of expected to observed run time
      * @param unclaimedCpus capacity used by tasks without a claim, as are {@code unclaimedGpus} and {@code unclaimedMemoryGb}
      * @param fetchRemainingMs expected remaining time for each of {@code fetchingImages}
-     * @param images images on the machine
+     * @param cachedImages images on the machine
      * @param reservedTasks keys of the tasks for which capacity is reserved until they are claimed
      */
     record Machine(
@@ -51,7 +51,7 @@
          */
         public static final int PENDING_CONFIRMATION = 8;
 
-        /** Returns whether another record has no news for a peer. Idle and fetch times that merely advance are not news. */
+        /** Returns whether another status differs in nothing that peers need. Idle and fetch times that merely advance do not count. */
         public boolean sameStatus(Machine other) {
             return type.equals(other.type)
                     && zone.equals(other.zone)
@@ -139,7 +139,7 @@
     record Cancellation(String job, long revision) {}
 
     /**
-     * Asks every member whether it knows of any revision after {@code appliedRevision}; sent by a member that the state service does not
+     * Asks every member whether its view contains any revision after {@code appliedRevision}; sent by a member that the state service does not
      * answer. {@code sentAtMs} is the sender's steady time. Controllers of the previous version reject it, so they send no reply.
      */
     record RevisionQuery(long sentAtMs, long appliedRevision) implements PeerRecord {}
@@ -149,8 +149,8 @@
      *
      * @param querySentAtMs echo of the query's time
      * @param querierIncarnation echo of the incarnation that sent the query
-     * @param storeHealthy the state service answers the replying member, as far as it knows
-     * @param knownRevision the highest revision that the replying member knows, -1: none
+     * @param storeHealthy the state service answers the replying member, by its latest requests
+     * @param knownRevision the highest revision in the replying member's view, -1: none
      * @param sinceRevision the revision after which {@code cancellations} are complete, -1: they are unknown
      * @param cancellations all cancellations known after {@code sinceRevision}
      */
--- a/src/main/java/birchusher/store/Chunk.java
+++ b/src/main/java/birchusher/store/Chunk.java
@@ -26,12 +26,12 @@
     /** Errors since a task of the chunk last succeeded; the more, the longer the job scheduler delays further starts. */
     public long consecutiveErrors;
 
-    /** Size allowed for one claim in the text of a row. */
+    /** Upper bound for the size of one claim in a row. */
     public static final int CLAIM_BYTES = 42;
 
-    /** Size allowed for 64 bits of the done set. */
+    /** Upper bound for the size of 64 bits of the done set in a row. */
     private static final int DONE_WORD_BYTES = 17;
-    /** Size allowed for the rest of a row. */
+    /** Upper bound for the size of the rest of a row. */
     private static final int ROW_OVERHEAD_BYTES = 100;
 
     public Chunk(Job job, int index) {
--- a/src/main/java/birchusher/store/Job.java
+++ b/src/main/java/birchusher/store/Job.java
@@ -32,7 +32,7 @@
     public final List<Chunk> chunks = new ArrayList<>();
 
     private int doneTasks;
-    private int standingClaims;
+    private int totalClaims;
     /** Released claims by task. Few, as they are kept only from the proof until the row without the claim is written. */
     private final Map<Integer, ReleasedClaim> released = new HashMap<>(2);
 
@@ -77,7 +77,7 @@
         Chunk previous = chunks.set(index, chunk);
         doneTasks +=
                 (chunk == null ? 0 : chunk.done.cardinality()) - (previous == null ? 0 : previous.done.cardinality());
-        standingClaims += (chunk == null ? 0 : chunk.claims.size()) - (previous == null ? 0 : previous.claims.size());
+        totalClaims += (chunk == null ? 0 : chunk.claims.size()) - (previous == null ? 0 : previous.claims.size());
     }
 
     /**
@@ -106,7 +106,7 @@
 
     /** Returns the number of claims that are not released. */
     public int placedCount() {
-        return standingClaims - released.size();
+        return totalClaims - released.size();
     }
 
     void addReleased(ReleasedClaim releasedClaim) {
@@ -130,7 +130,7 @@
 
     /** Returns the number of claims, released ones included. */
     public int claimCount() {
-        return standingClaims;
+        return totalClaims;
     }
 
     /** Returns the highest attempt number given out in any chunk, 0 if none was. */
--- a/src/main/java/birchusher/store/StoreClient.java
+++ b/src/main/java/birchusher/store/StoreClient.java
@@ -30,6 +30,35 @@
     private static final int MAX_QUEUE_LENGTH = 4000;
     private static final long WATCH_WAIT_MS = 10_000;
     private static final long TXN_TIMEOUT_MS = 2_500;
+    private static final int READ_TIMEOUT_MS = 2_000;
+    private static final int LOAD_TIMEOUT_MS = 3_000;
+    private static final int LEASE_CALL_TIMEOUT_MS = 3_000;
+    /** Time that the state service has, on top of the wait itself, to answer a watch. */
+    private static final int WATCH_TIMEOUT_MARGIN_MS = 3_000;
+
+    private static final int LOAD_RETRY_DELAY_MS = 300;
+    private static final int ENDED_JOBS_PAGE_GAP_MS = 50;
+    private static final int ENDED_JOBS_RETRY_DELAY_MS = 500;
+    private static final int WATCH_RETRY_DELAY_MS = 500;
+    private static final int FRESHNESS_CHECK_RETRY_DELAY_MS = 250;
+    private static final int TXN_RETRY_DELAY_MS = 250;
+    private static final int UNANSWERED_TXN_DELAY_MS = 100;
+    /** The state service counts as healthy until its requests have failed for this long. */
+    private static final int MAX_FAILING_MS = 1_500;
+    /** The end of an outage of the state service is logged if it lasted longer than this. */
+    private static final int MIN_LOGGED_OUTAGE_MS = 3_000;
+
+    private static final int MAX_FRESHNESS_WAIT_MS = 1_200;
+    /** The part of this controller's request rate that its watches may use. */
+    private static final double WATCH_REQUEST_SHARE = 0.4;
+    /** The initial rates, as a multiple of this controller's fair share of the published limits. */
+    private static final double INITIAL_SHARE_FACTOR = 1.5;
+    /** The lowest rates, as a multiple of this controller's fair share of the published limits. */
+    private static final double MIN_SHARE_FACTOR = 0.8;
+    /** The requests that may be sent in a burst, in seconds of the initial request rate. */
+    private static final double REQUEST_BURST_S = 0.6;
+    /** Conditions per transaction, as a multiple of the writes that the settings allow. */
+    private static final int CONDITIONS_PER_WRITE = 4;
     /**
      * After this long without a confirmation that the view is up to date, a separate read is sent: a pending watch confirms nothing
      * before it is answered.
@@ -39,6 +68,7 @@
     private static final int ROWS_PER_PAGE = 500;
     private static final int ENDED_JOBS_PER_PAGE = 1_000;
     private static final long MAX_BATCH_DELAY_MS = 2_000;
+    private static final long MIN_BATCH_DELAY_MS = 50;
     private static final int MAX_CHANGES_PER_TXN = 64;
     private static final int MAX_TXN_BYTES = 64 * 1024;
     /** A user or a controller waits for changes up to this rank. */
@@ -122,15 +152,15 @@
         // The published limits hold for all controllers together: each starts near its fair share and adapts.
         double share = Math.min(1, tuning.value("store.share"));
         double fairShare = 1.0 / (1 + settings.peers().size());
-        double initialShare = Math.min(share, 1.5 * fairShare);
+        double initialShare = Math.min(share, INITIAL_SHARE_FACTOR * fairShare);
         requestLimit = new TokenBucket(
                 settings.stateRequestsPerS() * initialShare,
-                settings.stateRequestsPerS() * Math.min(share, fairShare * 0.8),
+                settings.stateRequestsPerS() * Math.min(share, fairShare * MIN_SHARE_FACTOR),
                 settings.stateRequestsPerS() * share,
-                settings.stateRequestsPerS() * initialShare * 0.6);
+                settings.stateRequestsPerS() * initialShare * REQUEST_BURST_S);
         writeLimit = new TokenBucket(
                 settings.stateWritesPerS() * initialShare,
-                settings.stateWritesPerS() * Math.min(share, fairShare * 0.8),
+                settings.stateWritesPerS() * Math.min(share, fairShare * MIN_SHARE_FACTOR),
                 settings.stateWritesPerS() * share,
                 Math.max(settings.maxTransactionOps(), settings.stateWritesPerS() * initialShare));
         watchGapMs = tuning.durationMs("store.watch-gap-s");
@@ -144,9 +174,9 @@
         return loaded;
     }
 
-    /** Returns whether the rows are loaded and requests to the state service have not been failing for 1.5 s or longer. */
+    /** Returns whether the rows are loaded and requests to the state service have been failing for less than 1.5 s, if at all. */
     public boolean healthy() {
-        return loaded && (failingSinceMs < 0 || effects.now() - failingSinceMs < 1_500);
+        return loaded && (failingSinceMs < 0 || effects.now() - failingSinceMs < MAX_FAILING_MS);
     }
 
     /**
@@ -190,7 +220,7 @@
         if (!requestLimit.tryTake(effects.now(), 1)) {
             return false;
         }
-        call("GET", Wire.STORE + "/" + key, null, 2_000, replyHandler);
+        call("GET", Wire.STORE + "/" + key, null, READ_TIMEOUT_MS, replyHandler);
         return true;
     }
 
@@ -199,7 +229,7 @@
         if (!requestLimit.tryTake(effects.now(), 1)) {
             return false;
         }
-        call("GET", pagePath(prefix, afterKey, limit), null, 2_000, replyHandler);
+        call("GET", pagePath(prefix, afterKey, limit), null, READ_TIMEOUT_MS, replyHandler);
         return true;
     }
 
@@ -211,7 +241,7 @@
     /** Sends a lease request, regardless of the rate limit, as a late renewal would end this controller's membership. */
     public void callLease(String method, String path, Object body, Effects.ReplyHandler replyHandler) {
         requestLimit.overdraw(effects.now(), 1);
-        call(method, path, body, 3_000, replyHandler);
+        call(method, path, body, LEASE_CALL_TIMEOUT_MS, replyHandler);
     }
 
     private void call(String method, String path, Object body, int timeoutMs, Effects.ReplyHandler replyHandler) {
@@ -231,7 +261,7 @@
                 failingSinceMs = effects.now();
             }
         } else {
-            if (failingSinceMs >= 0 && effects.now() - failingSinceMs > 3_000) {
+            if (failingSinceMs >= 0 && effects.now() - failingSinceMs > MIN_LOGGED_OUTAGE_MS) {
                 LOG.info("state service reachable again after {} ms", effects.now() - failingSinceMs);
             }
             failingSinceMs = -1;
@@ -283,7 +313,7 @@
 
     private void expireWaiting(long now) {
         for (int i = 0; i < freshnessRequests.size(); ) {
-            if (now - freshnessRequests.get(i).requestedAtMs > 1_200 || !healthy()) {
+            if (now - freshnessRequests.get(i).requestedAtMs > MAX_FRESHNESS_WAIT_MS || !healthy()) {
                 freshnessRequests.remove(i).callback.accept(false);
             } else {
                 i++;
@@ -331,7 +361,7 @@
                 return;
             }
             loadingEndedJobs = false;
-            nextEndedJobsLoadMs = effects.now() + (status == 200 ? 50 : 500);
+            nextEndedJobsLoadMs = effects.now() + (status == 200 ? ENDED_JOBS_PAGE_GAP_MS : ENDED_JOBS_RETRY_DELAY_MS);
             if (status != 200) {
                 return;
             }
@@ -361,13 +391,13 @@
      */
     private void loadPage(String afterKey, long firstRevision, long generation) {
         requestLimit.overdraw(effects.now(), 1);
-        call("GET", pagePath(Keys.LIVE, afterKey, ROWS_PER_PAGE), null, 3_000, (status, response) -> {
+        call("GET", pagePath(Keys.LIVE, afterKey, ROWS_PER_PAGE), null, LOAD_TIMEOUT_MS, (status, response) -> {
             if (generation != loadGeneration) {
                 return;
             }
             if (status != 200) {
                 loading = false;
-                nextLoadMs = effects.now() + 300;
+                nextLoadMs = effects.now() + LOAD_RETRY_DELAY_MS;
                 loadResumeKey = firstRevision >= 0 ? afterKey : null;
                 loadResumeRevision = firstRevision;
                 return;
@@ -399,21 +429,29 @@
         boolean meetsRequiredCheck = freshnessCheckRequired;
         Effects.ReplyHandler replyHandler = (status, response) -> {
             watchPending = false;
-            // Every change completes the watches of all controllers: the gap limits the watches to 40 % of the
-            // request rate of this controller.
+            // Every change completes the watches of all controllers: the gap limits the watches to a share of this
+            // controller's request rate.
             nextWatchMs = effects.now()
                     + (status == 200
-                            ? Math.max(watchGapMs, Math.round(1_000 / (0.4 * requestLimit.tokensPerSecond())))
-                            : 500);
+                            ? Math.max(
+                                    watchGapMs,
+                                    Math.round(1_000 / (WATCH_REQUEST_SHARE * requestLimit.tokensPerSecond())))
+                            : WATCH_RETRY_DELAY_MS);
             if (generation == loadGeneration) {
                 applyWatchResponse(status, response, sentAtMs, sequence, meetsRequiredCheck);
             }
         };
         if (waitMs > 0) {
             effects.call(
-                    Destination.WATCH, address, "GET", watchPath(waitMs), null, (int) waitMs + 3_000, replyHandler);
+                    Destination.WATCH,
+                    address,
+                    "GET",
+                    watchPath(waitMs),
+                    null,
+                    (int) waitMs + WATCH_TIMEOUT_MARGIN_MS,
+                    replyHandler);
         } else {
-            call("GET", watchPath(0), null, 2_000, replyHandler);
+            call("GET", watchPath(0), null, READ_TIMEOUT_MS, replyHandler);
         }
     }
 
@@ -460,14 +498,14 @@
         long sequence = nextRequestSequence++;
         long generation = loadGeneration;
         boolean meetsRequiredCheck = freshnessCheckRequired;
-        call("GET", watchPath(0), null, 2_000, (status, response) -> {
+        call("GET", watchPath(0), null, READ_TIMEOUT_MS, (status, response) -> {
             freshnessCheckPending = false;
             if (generation != loadGeneration) {
                 return;
             }
             applyWatchResponse(status, response, now, sequence, meetsRequiredCheck);
             if (status != 200) {
-                nextFreshnessCheckMs = Math.max(nextFreshnessCheckMs, effects.now() + 250);
+                nextFreshnessCheckMs = Math.max(nextFreshnessCheckMs, effects.now() + FRESHNESS_CHECK_RETRY_DELAY_MS);
             }
             sendDueRequests();
         });
@@ -518,7 +556,9 @@
                 ? queued.queuedAtMs
                 : queued.queuedAtMs
                         + Math.min(
-                                maxDelayMs, 50 + Math.round(MAX_BATCH_DELAY_MS * writeLimit.shortage(effects.now())));
+                                maxDelayMs,
+                                MIN_BATCH_DELAY_MS
+                                        + Math.round(MAX_BATCH_DELAY_MS * writeLimit.shortage(effects.now())));
     }
 
     /** Returns how many rows this controller can expect to write within a time at its current write rate. */
@@ -570,7 +610,7 @@
                     || !batch.isEmpty()
                             && (writesAfter > settings.maxTransactionOps()
                                     || tx.conditionCount() + queued.change.maxConditions(tx)
-                                            > settings.maxTransactionOps() * 4
+                                            > settings.maxTransactionOps() * CONDITIONS_PER_WRITE
                                     || !writeLimit.canTake(now, writesAfter + rowsKeptForAwaited(queued.change))
                                     || !fitsMaxBytes(tx, queued.change.maxWrites())
                                     || batch.size() >= MAX_CHANGES_PER_TXN);
@@ -585,7 +625,8 @@
         for (QueuedChange queued : deferred) {
             if (!batch.isEmpty()
                     && batch.size() < MAX_CHANGES_PER_TXN
-                    && tx.conditionCount() + queued.change.maxConditions(tx) <= settings.maxTransactionOps() * 4
+                    && tx.conditionCount() + queued.change.maxConditions(tx)
+                            <= settings.maxTransactionOps() * CONDITIONS_PER_WRITE
                     && queued.change.addsNoWrites(tx)
                     && fitsMaxBytes(tx, 1)) {
                 if (queued.change.build(tx)) {
@@ -637,7 +678,7 @@
                     });
                 }
                 case 400 -> {
-                    nextTxnMs = effects.now() + 250;
+                    nextTxnMs = effects.now() + TXN_RETRY_DELAY_MS;
                     LOG.error(
                             "transaction rejected as invalid: {} ({} rows, {} conditions)",
                             response,
@@ -659,13 +700,13 @@
                     batch.forEach(this::requeue);
                 }
                 case 503 -> {
-                    nextTxnMs = effects.now() + 250;
+                    nextTxnMs = effects.now() + TXN_RETRY_DELAY_MS;
                     batch.forEach(this::requeue);
                 }
                 default -> {
                     // No response: it may still be applied, so nothing is built before the view is up to date.
                     freshnessCheckRequired = true;
-                    nextTxnMs = effects.now() + 100;
+                    nextTxnMs = effects.now() + UNANSWERED_TXN_DELAY_MS;
                     batch.forEach(this::requeueOutcomeUnknown);
                 }
             }
--- a/src/main/java/birchusher/store/StoreView.java
+++ b/src/main/java/birchusher/store/StoreView.java
@@ -30,6 +30,8 @@
 public final class StoreView {
     private static final Logger LOG = LoggerFactory.getLogger(StoreView.class);
     private static final int MAX_ENDED_JOBS = 20_000;
+    /** Versions of removed rows are kept up to this number before those that the view has passed are discarded. */
+    private static final int MAX_REMOVED_VERSIONS = 4_096;
 
     /** The final state of a job of so many tasks; {@code done} false: it was cancelled. */
     public record EndedJob(boolean done, int tasks) {}
@@ -63,13 +65,13 @@
     private long appliedRevision;
     private long knownRevision;
     private long changeCount;
-    private long rentalRequestChanges;
+    private long rentalRequestChangeCount;
     private long otherRowChangeCount;
-    private int standingClaims;
-    private int releasedClaims;
-    private Consumer<String> machineListener = m -> {};
+    private int totalClaims;
+    private int releasedClaimCount;
+    private Consumer<String> machineListener = machine -> {};
     private LongSupplier steadyClock = () -> 0;
-    private ToIntFunction<String> machineKindLookup = m -> -1;
+    private ToIntFunction<String> machineKindLookup = machine -> -1;
     private ClaimRemovedListener claimRemovedListener = (claim, taskRemains) -> {};
     private Consumer<Claim> claimAddedListener = claim -> {};
 
@@ -193,13 +195,13 @@
         if (revision > appliedRevision) {
             appliedRevision = revision;
             cancellations.discardReportedUpTo(revision);
-            if (removedVersions.size() > 4096) {
+            if (removedVersions.size() > MAX_REMOVED_VERSIONS) {
                 removedVersions.object2LongEntrySet().removeIf(entry -> entry.getLongValue() <= appliedRevision);
             }
         }
     }
 
-    /** Returns a number that rises with each change of the view, by which planning sees whether anything is new. */
+    /** Returns a number that rises with each change of the view, by which planning detects that something has changed. */
     public long changeCount() {
         return changeCount;
     }
@@ -258,17 +260,17 @@
 
     /** Returns the number of claims in all rows. */
     public int claimCount() {
-        return standingClaims;
+        return totalClaims;
     }
 
     /** Returns the number of claims whose tasks are proven gone while their rows still hold them. */
     public int releasedClaimCount() {
-        return releasedClaims;
+        return releasedClaimCount;
     }
 
     /** Returns a number that rises with each change of rental request rows. */
     public long rentalRequestChangeCount() {
-        return rentalRequestChanges;
+        return rentalRequestChangeCount;
     }
 
     /** Returns a number that rises with each change of rows other than jobs and placements, so that values derived from them can be cached. */
@@ -324,7 +326,7 @@
             } else {
                 rows.put(key, value);
                 otherRowChangeCount++;
-                rentalRequestChanges += key.startsWith(Keys.RENTAL_REQUEST) ? 1 : 0;
+                rentalRequestChangeCount += key.startsWith(Keys.RENTAL_REQUEST) ? 1 : 0;
             }
         } catch (Fields.InvalidInputException | JobCodec.UnrunnableJobException | IllegalArgumentException e) {
             LOG.error("state row {} ignored: {}", key, e.getMessage());
@@ -374,7 +376,7 @@
         } else {
             rows.remove(key);
             otherRowChangeCount++;
-            rentalRequestChanges += key.startsWith(Keys.RENTAL_REQUEST) ? 1 : 0;
+            rentalRequestChangeCount += key.startsWith(Keys.RENTAL_REQUEST) ? 1 : 0;
         }
     }
 
@@ -387,15 +389,15 @@
         rows.clear();
         claimsByMachine.clear();
         cancellations.loadStarted();
-        standingClaims = 0;
-        releasedClaims = 0;
+        totalClaims = 0;
+        releasedClaimCount = 0;
         orphanedPlacements.clear();
         java.util.Arrays.fill(cpusByTeam, 0);
         java.util.Arrays.fill(gpusByTeam, 0);
         appliedRevision = 0;
         changeCount++;
         otherRowChangeCount++;
-        rentalRequestChanges++;
+        rentalRequestChangeCount++;
     }
 
     private void putJob(String id, Map<String, Object> value, long version) {
@@ -467,8 +469,8 @@
         claim.markSeen(steadyClock.getAsLong(), machineKindLookup.applyAsInt(claim.machine()));
         cpusByTeam[spec.team()] += spec.cpus();
         gpusByTeam[spec.team()] += spec.gpus();
-        MachineClaims machineClaims = claimsByMachine.computeIfAbsent(claim.machine(), k -> new MachineClaims());
-        standingClaims++;
+        MachineClaims machineClaims = claimsByMachine.computeIfAbsent(claim.machine(), key -> new MachineClaims());
+        totalClaims++;
         machineClaims.claims.put(claim.taskKey(), claim);
         machineClaims.recomputeUsed();
         machineListener.accept(claim.machine());
@@ -483,7 +485,7 @@
         Job job = claim.job();
         if (jobs.get(job.spec.id()) == job && job.claim(claim.task()) == claim) {
             // A later proof replaces an earlier one, whose owner may have lost the shard since.
-            releasedClaims += job.released(claim.task()) == null ? 1 : 0;
+            releasedClaimCount += job.released(claim.task()) == null ? 1 : 0;
             job.addReleased(released);
             changeCount++;
             recomputeUsedOn(claim);
@@ -493,7 +495,7 @@
     /** Removes the mark of {@link #markReleased}, if it is set. */
     public void unmarkReleased(Claim claim) {
         if (claim.job().removeReleased(claim)) {
-            releasedClaims--;
+            releasedClaimCount--;
             changeCount++;
             recomputeUsedOn(claim);
         }
@@ -509,8 +511,8 @@
 
     private void removeClaim(Claim claim) {
         JobSpec spec = claim.job().spec;
-        releasedClaims -= claim.job().removeReleased(claim) ? 1 : 0;
-        standingClaims--;
+        releasedClaimCount -= claim.job().removeReleased(claim) ? 1 : 0;
+        totalClaims--;
         cpusByTeam[spec.team()] -= spec.cpus();
         gpusByTeam[spec.team()] -= spec.gpus();
         MachineClaims machineClaims = claimsByMachine.get(claim.machine());
--- a/src/main/java/birchusher/store/Transaction.java
+++ b/src/main/java/birchusher/store/Transaction.java
@@ -20,7 +20,7 @@
     private final List<String> removals = new ArrayList<>();
     private final Map<String, Chunk> chunks = new LinkedHashMap<>();
     private final Map<Integer, double[]> claimedByTeam = new HashMap<>();
-    /** Upper bound for a key and the field names around it in a condition or a write. */
+    /** Upper bound in bytes for a key and the field names around it in a condition or a write. */
     private static final int ENTRY_OVERHEAD_BYTES = 120;
 
     private int putBytes;
@@ -123,8 +123,8 @@
 
     /** Encodes the working copies of chunks and returns the body of the request; nothing may be added to the transaction after that. */
     public Map<String, Object> toRequestBody() {
-        List<Object> checks = new ArrayList<>();
-        conditions.forEach((key, version) -> checks.add(Map.of(Wire.KEY, key, Wire.VERSION, version)));
+        List<Object> encodedConditions = new ArrayList<>();
+        conditions.forEach((key, version) -> encodedConditions.add(Map.of(Wire.KEY, key, Wire.VERSION, version)));
         List<Object> writes = new ArrayList<>();
         encodeChunks();
         puts.forEach((key, row) -> {
@@ -137,7 +137,7 @@
             writes.add(write);
         });
         removals.forEach(key -> writes.add(Map.of(Wire.DELETE, key)));
-        return Map.of(Wire.CONDITIONS, checks, Wire.WRITES, writes);
+        return Map.of(Wire.CONDITIONS, encodedConditions, Wire.WRITES, writes);
     }
 
     private void encodeChunks() {
--- a/src/main/java/birchusher/workers/OwnerRedirect.java
+++ b/src/main/java/birchusher/workers/OwnerRedirect.java
@@ -61,7 +61,7 @@
     void redirect(long exchange, Report report, int shard) {
         int owner = membership.aliveOwner(shard);
         if (owner <= 0) {
-            membership.workerWithoutOwner(shard);
+            membership.onWorkerWithoutOwner(shard);
             effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
@@ -130,7 +130,7 @@
                     if (answer.machine().equals(report.machine())
                             && answer.session() == report.session()
                             && answer.seq() <= report.seq() + 2) {
-                        membership.ownerUnreachable(shard);
+                        membership.onOwnerUnreachable(shard);
                     }
                 });
     }
--- a/src/test/java/birchusher/membership/StalenessTest.java
+++ b/src/test/java/birchusher/membership/StalenessTest.java
@@ -79,10 +79,10 @@
     private final TestController peer = new TestController(40);
 
     /**
-     * The reply, to a query sent at that time, of a peer that the state service does not answer and that knows
-     * nothing newer.
+     * The reply, to a query sent at that time, of a peer that the state service does not answer and whose view
+     * contains nothing newer.
      */
-    private static RevisionReply replyWithoutNews(long querySentAtMs) {
+    private static RevisionReply replyWithNothingNewer(long querySentAtMs) {
         return new RevisionReply(querySentAtMs, INCARNATION, false, 40, 40, List.of());
     }
 
@@ -106,11 +106,11 @@
     @Test
     void repliesOfAllPeersAreNeededAndCountFromTheirQueries() {
         controller.refuseStoreCalls(20_000);
-        controller.staleness.handleReply(1, replyWithoutNews(controller.now - 300), INCARNATION);
+        controller.staleness.handleReply(1, replyWithNothingNewer(controller.now - 300), INCARNATION);
         assertThat(controller.staleness.upToDateAtMs())
                 .as("one of two is not enough")
                 .isEqualTo(100_000);
-        controller.staleness.handleReply(2, replyWithoutNews(controller.now - 7_000), INCARNATION);
+        controller.staleness.handleReply(2, replyWithNothingNewer(controller.now - 7_000), INCARNATION);
         assertThat(controller.staleness.upToDateAtMs())
                 .as("a reply that was delayed")
                 .isEqualTo(controller.now - 7_000);
@@ -122,7 +122,7 @@
     @Test
     void repliesThatDoNotProveTheViewAreIgnored() {
         controller.refuseStoreCalls(20_000);
-        controller.staleness.handleReply(2, replyWithoutNews(controller.now), INCARNATION);
+        controller.staleness.handleReply(2, replyWithNothingNewer(controller.now), INCARNATION);
         for (RevisionReply reply : List.of(
                 new RevisionReply(controller.now, INCARNATION, true, 40, 40, List.of()),
                 new RevisionReply(controller.now, INCARNATION - 1, false, 40, 40, List.of()),
@@ -158,7 +158,7 @@
 
     /**
      * A controller that read all rows cannot list the cancellations among them with their revisions, though an earlier
-     * incarnation may have told users of them: ended jobs are read last.
+     * incarnation may have reported them to users: ended jobs are read last.
      */
     @Test
     void peerCannotListCancellationsFromBeforeItsFullRead() {
@@ -200,7 +200,7 @@
         assertThat(reply.sinceRevision()).isEqualTo(-1);
         assertThat(reply.cancellations()).isEmpty();
         controller.refuseStoreCalls(20_000);
-        controller.staleness.handleReply(2, replyWithoutNews(controller.now), INCARNATION);
+        controller.staleness.handleReply(2, replyWithNothingNewer(controller.now), INCARNATION);
         for (int round = 0; round < 5; round++) {
             List<Cancellation> many = new ArrayList<>();
             for (int j = 0; j < 450; j++) {
@@ -212,7 +212,7 @@
                     .as("round %s", round)
                     .isEqualTo(round < 4);
             controller.refuseStoreCalls(100);
-            controller.staleness.handleReply(2, replyWithoutNews(controller.now), INCARNATION);
+            controller.staleness.handleReply(2, replyWithNothingNewer(controller.now), INCARNATION);
         }
     }
 
--- a/src/test/java/birchusher/store/StoreClientTest.java
+++ b/src/test/java/birchusher/store/StoreClientTest.java
@@ -137,7 +137,7 @@
 
     /**
      * A read sent in the same millisecond as a request for an up-to-date view, but before it, does not answer the request: its result may
-     * be older than what another controller has told the user.
+     * be older than what another controller has reported to the user.
      */
     @Test
     void readInProgressDoesNotAnswerALaterRequest() {
