--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -243,7 +243,7 @@
     public void submit(long exchange, byte[] body) {
         JobSpec spec = null;
         InvalidInputException malformed = null;
-        JobCodec.UnrunnableJobException impossible = null;
+        JobCodec.UnrunnableJobException unrunnable = null;
         String id = null;
         try {
             Map<String, Object> fields = Fields.map(MessagePackCodec.decode(body), "body");
@@ -254,7 +254,7 @@
         } catch (InvalidInputException failure) {
             malformed = failure;
         } catch (JobCodec.UnrunnableJobException failure) {
-            impossible = failure;
+            unrunnable = failure;
         }
         Map<String, Object> finalBody = id == null ? null : finalState(id);
         if (finalBody != null) {
@@ -270,13 +270,13 @@
             effects.answer(exchange, 400, Map.of("error", malformed.getMessage()));
             return;
         }
-        if (spec == null && malformed == null && impossible == null || !store.healthy()) {
+        if (spec == null && malformed == null && unrunnable == null || !store.healthy()) {
             effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
         String reason = malformed != null
                 ? malformed.getMessage()
-                : impossible != null ? impossible.getMessage() : catalog.unschedulableReason(spec);
+                : unrunnable != null ? unrunnable.getMessage() : catalog.unschedulableReason(spec);
         if (reason != null) {
             // A repeated submission of an accepted id is answered with the job's state, whatever its body has become.
             int status = malformed != null ? 400 : 422;
--- a/src/main/java/birchusher/membership/Staleness.java
+++ b/src/main/java/birchusher/membership/Staleness.java
@@ -20,8 +20,8 @@
  *
  * <ul>
  *   <li>a read from the state service that confirms the view;
- *   <li>while the state service answers no member, replies of all other members that their views contain nothing that
- *       is missing in this one. That the state service answers no member does not suffice: it may have answered one of
+ *   <li>while the state service answers no member, replies of all other members by which their views contain no
+ *       cancellation that is missing in this one. That the state service answers no member does not suffice: it may have answered one of
  *       them since it last answered this controller.
  * </ul>
  *
@@ -37,7 +37,7 @@
     private final StoreView view;
     private final StoreClient store;
     private final long maxAgeMs;
-    /** Per member: all that its view contained at this moment, by this controller's clock, is in this view. */
+    /** Per member: every cancellation in its view at this moment, by this controller's clock, is in this view. */
     private final long[] peerCoveredAtMs;
 
     Staleness(Effects effects, Settings settings, StoreView view, StoreClient store) {
@@ -51,20 +51,20 @@
         peerCoveredAtMs[0] = Long.MAX_VALUE;
     }
 
-    /** Returns the moment before which every change that was reported to a user is in the view. */
-    long upToDateAtMs() {
+    /** Returns the moment before which every cancellation that was confirmed to a user is in the view. */
+    long upToDateAsOfMs() {
         long coveredAtMs = Arrays.stream(peerCoveredAtMs).min().getAsLong();
         return Math.max(store.upToDateAsOfMs(), Math.min(coveredAtMs, effects.now()));
     }
 
     /** Returns the age of the view in ms: how long ago it was last known to be up to date. */
     public long ageMs() {
-        return effects.now() - upToDateAtMs();
+        return effects.now() - upToDateAsOfMs();
     }
 
     /** Whether the view's age is within the bound from the settings. */
     boolean isUpToDate() {
-        return effects.now() - upToDateAtMs() < maxAgeMs;
+        return effects.now() - upToDateAsOfMs() < maxAgeMs;
     }
 
     /** Returns the query to send to all peers, or null while reads from the state service confirm the view. */
@@ -82,8 +82,7 @@
     public RevisionReply answerQuery(RevisionQuery query, long querierIncarnation) {
         if (!store.loaded()) {
             // Until the rows are loaded, what an earlier incarnation of this controller reported to users may be
-            // missing
-            // in the view.
+            // missing in the view.
             return new RevisionReply(query.sentAtMs(), querierIncarnation, false, -1, -1, List.of());
         }
         List<Cancellation> cancellations = view.cancellations().since(query.appliedRevision(), MAX_CANCELLATIONS_SENT);
@@ -99,7 +98,7 @@
     /**
      * Handles a peer's reply. Its cancellations are always added to the view. It moves the moment forward only if it
      * answers a query of this incarnation, the state service does not answer the peer, and the peer's view contains
-     * nothing that is missing in this one.
+     * no cancellation that is missing in this one.
      *
      * @param member the peer's index
      * @param incarnation this controller's incarnation
--- a/src/main/java/birchusher/store/Change.java
+++ b/src/main/java/birchusher/store/Change.java
@@ -7,7 +7,10 @@
  * the conditions of the transaction make one that is applied late harmless.
  */
 public interface Change {
-    /** Returns the position in the queue: changes of lower rank go first. */
+    /**
+     * Returns the position in the queue: changes of lower rank are sent first. Ranks up to 3 are for changes that a user or a
+     * controller waits for.
+     */
     int rank();
 
     /** Returns the highest number of rows that the change may write. */
--- a/src/main/java/birchusher/store/StoreClient.java
+++ b/src/main/java/birchusher/store/StoreClient.java
@@ -254,6 +254,7 @@
     private void recordStatus(int status) {
         if (status == 429) {
             throttledRequests++;
+            // A pause of 100 to 249 ms that varies from call to call.
             requestLimit.block(
                     effects.now(), effects.now() + 100 + (effects.now() * 31 + nextChangeSequence * 17) % 150);
         } else if (status == 0 || status == 503) {
@@ -696,6 +697,7 @@
                     });
                 }
                 case 429 -> {
+                    // A pause of 150 to 349 ms that varies from call to call.
                     writeLimit.block(effects.now(), effects.now() + 150 + (effects.now() * 13) % 200);
                     batch.forEach(this::requeue);
                 }
--- a/src/test/java/birchusher/membership/StalenessTest.java
+++ b/src/test/java/birchusher/membership/StalenessTest.java
@@ -97,21 +97,21 @@
         controller.effects.setTime(controller.now, controller.now);
         controller.store.callLease("POST", "/leases/1/extend", Map.of(), (status, body) -> {});
         controller.answerCalls("/leases", 200, Map.of());
-        assertThat(controller.staleness.upToDateAtMs()).isEqualTo(100_000);
+        assertThat(controller.staleness.upToDateAsOfMs()).isEqualTo(100_000);
         reads.forEach(
                 call -> controller.effects.completeCall(call.id(), 200, Map.of("events", List.of(), "epoch", 41L)));
-        assertThat(controller.staleness.upToDateAtMs()).isEqualTo(sentAtMs);
+        assertThat(controller.staleness.upToDateAsOfMs()).isEqualTo(sentAtMs);
     }
 
     @Test
     void repliesOfAllPeersAreNeededAndCountFromTheirQueries() {
         controller.refuseStoreCalls(20_000);
         controller.staleness.handleReply(1, replyWithNothingNewer(controller.now - 300), INCARNATION);
-        assertThat(controller.staleness.upToDateAtMs())
+        assertThat(controller.staleness.upToDateAsOfMs())
                 .as("one of two is not enough")
                 .isEqualTo(100_000);
         controller.staleness.handleReply(2, replyWithNothingNewer(controller.now - 7_000), INCARNATION);
-        assertThat(controller.staleness.upToDateAtMs())
+        assertThat(controller.staleness.upToDateAsOfMs())
                 .as("a reply that was delayed")
                 .isEqualTo(controller.now - 7_000);
         assertThat(controller.staleness.isUpToDate()).isTrue();
@@ -131,13 +131,13 @@
                 new RevisionReply(controller.now, INCARNATION, false, 41, 41, List.of()),
                 new RevisionReply(controller.now, INCARNATION, false, -1, -1, List.of()))) {
             controller.staleness.handleReply(1, reply, INCARNATION);
-            assertThat(controller.staleness.upToDateAtMs()).as("%s", reply).isEqualTo(100_000);
+            assertThat(controller.staleness.upToDateAsOfMs()).as("%s", reply).isEqualTo(100_000);
         }
         controller.staleness.handleReply(
                 1,
                 new RevisionReply(controller.now, INCARNATION, false, 44, 40, List.of(new Cancellation("wk-7", 43))),
                 INCARNATION);
-        assertThat(controller.staleness.upToDateAtMs()).isEqualTo(controller.now);
+        assertThat(controller.staleness.upToDateAsOfMs()).isEqualTo(controller.now);
         assertThat(controller.view.isCancelled("wk-7")).isTrue();
     }
 
@@ -208,7 +208,7 @@
             }
             controller.staleness.handleReply(
                     1, new RevisionReply(controller.now, INCARNATION, false, 1_000, 40, many), INCARNATION);
-            assertThat(controller.staleness.upToDateAtMs() == controller.now)
+            assertThat(controller.staleness.upToDateAsOfMs() == controller.now)
                     .as("round %s", round)
                     .isEqualTo(round < 4);
             controller.refuseStoreCalls(100);
