--- a/src/main/java/birchusher/http/Acceptor.java
+++ b/src/main/java/birchusher/http/Acceptor.java
@@ -38,7 +38,8 @@
 
     @Override
     public void failed(Throwable error, Void attachment) {
-        // For example, no free file descriptors. Retried through the loop, so that this thread does not spin.
+        // For example, no free file descriptors. Retried through the loop, so that the thread of the channels does not
+        // spin.
         if (listener.isOpen()) {
             loop.post(this::accept);
         }
--- a/src/main/java/birchusher/http/EventLoop.java
+++ b/src/main/java/birchusher/http/EventLoop.java
@@ -14,6 +14,8 @@
 public final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final long TICK_INTERVAL_MS = 50;
+    /** After the first task of a pass, at most this many more run before the next tick is considered. */
+    private static final int MAX_FURTHER_TASKS_PER_PASS = 200;
 
     /** Called about every 50 ms on the loop's thread. */
     public interface Ticker {
@@ -48,7 +50,7 @@
         queue.add(task);
     }
 
-    /** Lets {@link #run} return after its present pass. May be called from any thread. */
+    /** Lets {@link #run} return after its current pass. May be called from any thread. */
     public void stop() {
         stopped = true;
     }
@@ -62,7 +64,7 @@
             int count = 0;
             while (task != null) {
                 runGuarded(task);
-                task = count++ < 200 ? queue.poll() : null;
+                task = count++ < MAX_FURTHER_TASKS_PER_PASS ? queue.poll() : null;
             }
             if (nowMs() >= nextTickMs) {
                 long lateMs = nowMs() - nextTickMs;
--- a/src/main/java/birchusher/http/HttpClient.java
+++ b/src/main/java/birchusher/http/HttpClient.java
@@ -24,6 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
     private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
     private static final long IDLE_TIMEOUT_MS = 25_000;
+    private static final int READ_BUFFER_BYTES = 8 * 1024;
     /** The body of a request or a response that has none. */
     public static final byte[] EMPTY_BODY = new byte[0];
 
@@ -70,13 +71,13 @@
             }
         } else {
             if (openConnections >= maxConnections && !idleByAge.isEmpty()) {
-                // With more workers than sockets, the connection idle for longest is closed: a call that is not sent is
-                // reported like one that may still arrive.
+                // With more workers than sockets, the connection idle for longest is closed, as the alternative is
+                // worse: a call that is not sent is reported like one that may still arrive.
                 idleByAge.iterator().next().setIdle(false);
             }
             if (openConnections >= maxConnections) {
-                // Nothing was sent, but the handler can only be told "no response". It has to treat that as an unknown
-                // outcome, which is safe.
+                // Nothing was sent, but the handler can only be passed "no response". It has to treat that as an
+                // unknown outcome, which is safe.
                 loop.post(() -> handler.handleResponse(0, EMPTY_BODY));
                 return;
             }
@@ -103,7 +104,7 @@
     private final class Connection {
         private final String address;
         private final HttpParser parser = new HttpParser(false, MAX_BODY_BYTES);
-        private final ByteBuffer input = ByteBuffer.allocate(8 * 1024);
+        private final ByteBuffer input = ByteBuffer.allocate(READ_BUFFER_BYTES);
         private AsynchronousSocketChannel channel;
         /** The call under way; null while idle or closed. */
         private Call call;
--- a/src/main/java/birchusher/http/HttpServer.java
+++ b/src/main/java/birchusher/http/HttpServer.java
@@ -26,6 +26,11 @@
     private static final long REQUEST_TIMEOUT_MS = 10_000;
 
     private static final long DRAIN_TIMEOUT_MS = 2_000;
+    private static final long SWEEP_INTERVAL_MS = 1_000;
+    /** Connections that the operating system may hold until they are accepted. */
+    private static final int LISTEN_BACKLOG = 256;
+
+    private static final int READ_BUFFER_BYTES = 4 * 1024;
 
     /** Receives requests. Each must get exactly one {@link #answer} or {@link #abort}, at once or later. */
     public interface RequestHandler {
@@ -64,7 +69,7 @@
     public void open() throws IOException {
         listener = AsynchronousServerSocketChannel.open(loop.channelGroup());
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        listener.bind(new InetSocketAddress(host, port), 256);
+        listener.bind(new InetSocketAddress(host, port), LISTEN_BACKLOG);
         LOG.info("serving on {}:{}", host, port);
         new Acceptor(loop, listener, this::handleAccepted).accept();
     }
@@ -114,7 +119,7 @@
         if (now < nextSweepMs) {
             return;
         }
-        nextSweepMs = now + 1_000;
+        nextSweepMs = now + SWEEP_INTERVAL_MS;
         for (Connection connection : Set.copyOf(connections)) {
             if (connection.draining && now - connection.activeAtMs > DRAIN_TIMEOUT_MS
                     || connection.exchange == 0
@@ -130,7 +135,7 @@
     private final class Connection {
         private final AsynchronousSocketChannel channel;
         private final HttpParser parser = new HttpParser(true, maxBodyBytes);
-        private final ByteBuffer input = ByteBuffer.allocate(4 * 1024);
+        private final ByteBuffer input = ByteBuffer.allocate(READ_BUFFER_BYTES);
         /** The request being handled; 0 if there is none. */
         private long exchange;
 
--- a/src/main/java/birchusher/http/RequestTarget.java
+++ b/src/main/java/birchusher/http/RequestTarget.java
@@ -55,16 +55,16 @@
         return new RequestTarget(target.substring(0, questionMark), Map.copyOf(parameters));
     }
 
-    /** Returns a parameter's value, or {@code absent} if it is missing. */
-    public String text(String name, String absent) {
-        return parameters.getOrDefault(name, absent);
+    /** Returns a parameter's value, or {@code defaultValue} if it is missing. */
+    public String text(String name, String defaultValue) {
+        return parameters.getOrDefault(name, defaultValue);
     }
 
-    /** Returns a parameter that is an integer of 0 or more, or {@code absent} if it is missing. */
-    public long count(String name, long absent) throws InvalidTargetException {
+    /** Returns a parameter that is an integer of 0 or more, or {@code defaultValue} if it is missing. */
+    public long count(String name, long defaultValue) throws InvalidTargetException {
         String value = parameters.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             long number = Long.parseLong(value);
--- a/src/main/java/birchusher/server/ControllerServer.java
+++ b/src/main/java/birchusher/server/ControllerServer.java
@@ -21,6 +21,13 @@
 public final class ControllerServer {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
     private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** Sockets reserved for connections with other controllers. */
+    private static final int PEER_SOCKETS = 50;
+
+    private static final int MIN_SERVER_CONNECTIONS = 8;
+    private static final int MIN_OUTBOUND_CONNECTIONS = 16;
+    private static final long LOG_INTERVAL_MS = 30_000;
+    private static final int NS_PER_MS = 1_000_000;
 
     private final EventLoop eventLoop = new EventLoop();
     private final Core core;
@@ -28,12 +35,12 @@
     private final HttpClient client;
     private final PeerConnections peerConnections;
     /**
-     * Time spent in requests, replies, peer records and ticks; with the delay of ticks, what an operator sizes a
-     * controller by.
+     * Time spent in requests, replies, peer records and ticks, in this order. Operators size a controller by these times
+     * and the delay of ticks.
      */
     private final long[] spentNs = new long[4];
 
-    /** Since the last log line of times. */
+    /** The longest delay of a tick since the last log line of times. */
     private long maxTickDelayMs;
 
     private long nextLogMs;
@@ -41,12 +48,14 @@
     /** Prepares the controller; nothing is served before {@link #run}. */
     public ControllerServer(Settings settings, Tuning tuning) throws IOException {
         core = new Core(settings, tuning, EventLoop.nowMs(), System.currentTimeMillis());
-        // Of the sockets, 50 are reserved for connections with other controllers, and some for outbound calls.
+        // Some of the sockets are reserved for connections with other controllers, and some for outbound calls.
         server = new HttpServer(
                 eventLoop,
                 settings.listenAddress().host(),
                 settings.listenAddress().port(),
-                Math.max(8, settings.maxConnections() - maxOutboundConnections(settings) - 50),
+                Math.max(
+                        MIN_SERVER_CONNECTIONS,
+                        settings.maxConnections() - maxOutboundConnections(settings) - PEER_SOCKETS),
                 MAX_BODY_BYTES,
                 this::handleRequest);
         client = new HttpClient(eventLoop, maxOutboundConnections(settings));
@@ -58,7 +67,7 @@
      * workers.
      */
     static int maxOutboundConnections(Settings settings) {
-        return Math.max(16, settings.maxConnections() / 4);
+        return Math.max(MIN_OUTBOUND_CONNECTIONS, settings.maxConnections() / 4);
     }
 
     private void handleRequest(long exchange, String method, String target, byte[] body) {
@@ -89,13 +98,13 @@
         peerConnections.tick();
         spentNs[3] += System.nanoTime() - startNs;
         if (EventLoop.nowMs() >= nextLogMs) {
-            nextLogMs = EventLoop.nowMs() + 30_000;
+            nextLogMs = EventLoop.nowMs() + LOG_INTERVAL_MS;
             LOG.info(
                     "time spent in ms: requests={} replies={} peers={} ticks={}, latest tick {} ms late",
-                    spentNs[0] / 1_000_000,
-                    spentNs[1] / 1_000_000,
-                    spentNs[2] / 1_000_000,
-                    spentNs[3] / 1_000_000,
+                    spentNs[0] / NS_PER_MS,
+                    spentNs[1] / NS_PER_MS,
+                    spentNs[2] / NS_PER_MS,
+                    spentNs[3] / NS_PER_MS,
                     maxTickDelayMs);
             maxTickDelayMs = 0;
         }
--- a/src/main/java/birchusher/server/PeerConnections.java
+++ b/src/main/java/birchusher/server/PeerConnections.java
@@ -26,6 +26,15 @@
 final class PeerConnections {
     private static final Logger LOG = LoggerFactory.getLogger(PeerConnections.class);
     private static final int MAX_QUEUED_RECORDS = 128;
+    private static final int MAX_QUEUED_WHILE_DISCONNECTED = 8;
+    private static final int LENGTH_BYTES = 4;
+    /** A write takes records from the queue until it has at least this size. */
+    private static final int BATCH_BYTES = 64 * 1024;
+
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    /** Connections that the operating system may hold until they are accepted. */
+    private static final int LISTEN_BACKLOG = 32;
+
     private static final int MAX_INBOUND_CONNECTIONS = 32;
     private static final long RECONNECT_DELAY_MS = 400;
     /** For one connect or one write; the connection is dropped after it. */
@@ -52,7 +61,7 @@
         listener.bind(
                 new InetSocketAddress(
                         settings.meshAddress().host(), settings.meshAddress().port()),
-                32);
+                LISTEN_BACKLOG);
         new Acceptor(eventLoop, listener, this::handleAccepted).accept();
     }
 
@@ -87,7 +96,7 @@
     /** A connection opened by a peer; records are only read from it. */
     private final class InboundConnection {
         private final AsynchronousSocketChannel channel;
-        private ByteBuffer input = ByteBuffer.allocate(16 * 1024);
+        private ByteBuffer input = ByteBuffer.allocate(READ_BUFFER_BYTES);
 
         InboundConnection(AsynchronousSocketChannel channel) {
             this.channel = channel;
@@ -113,16 +122,16 @@
                 return;
             }
             input.flip();
-            while (input.remaining() >= 4) {
+            while (input.remaining() >= LENGTH_BYTES) {
                 int length = input.getInt(input.position());
                 if (length <= 0 || length > PeerCodec.MAX_RECORD_BYTES) {
                     LOG.info("invalid peer record length {} bytes, connection closed", length);
                     close();
                     return;
                 }
-                if (input.remaining() < 4 + length) {
-                    if (input.capacity() < 4 + length) {
-                        input = ByteBuffer.allocate(4 + length + 16 * 1024)
+                if (input.remaining() < LENGTH_BYTES + length) {
+                    if (input.capacity() < LENGTH_BYTES + length) {
+                        input = ByteBuffer.allocate(LENGTH_BYTES + length + READ_BUFFER_BYTES)
                                 .put(input)
                                 .flip();
                     }
@@ -160,13 +169,13 @@
         }
 
         /**
-         * Queues a record; the oldest ones are dropped if the queue is full, which it is sooner while not connected.
+         * Queues a record; the oldest ones are dropped if the queue is full. The queue is shorter while not connected.
          */
         void send(byte[] record) {
             if (record.length > PeerCodec.MAX_RECORD_BYTES) {
                 return;
             }
-            while (queue.size() >= MAX_QUEUED_RECORDS || !connected && queue.size() >= 8) {
+            while (queue.size() >= MAX_QUEUED_RECORDS || !connected && queue.size() >= MAX_QUEUED_WHILE_DISCONNECTED) {
                 queue.pollFirst();
             }
             queue.addLast(record);
@@ -221,9 +230,9 @@
             AsynchronousSocketChannel current = channel;
             int size = 0;
             List<byte[]> batch = new ArrayList<>();
-            while (!queue.isEmpty() && (batch.isEmpty() || size < 64 * 1024)) {
+            while (!queue.isEmpty() && (batch.isEmpty() || size < BATCH_BYTES)) {
                 byte[] record = queue.pollFirst();
-                size += 4 + record.length;
+                size += LENGTH_BYTES + record.length;
                 batch.add(record);
             }
             ByteBuffer output = ByteBuffer.allocate(size);
--- a/src/main/java/birchusher/settings/Settings.java
+++ b/src/main/java/birchusher/settings/Settings.java
@@ -16,9 +16,9 @@
  * @param objectives the service level objectives; may be empty
  * @param reportIntervalS how often a worker reports
  * @param workerLeaseS how long a worker keeps its tasks without a response
- * @param gangWaitTimeoutS how long a gang's task waits for the gang's other tasks before it gives up
- * @param gangPeerTimeoutS a gang's task that is silent for longer is taken to be gone
- * @param cancelLimitS within which the tasks of a job end after its cancellation was confirmed to a user
+ * @param gangWaitTimeoutS how long a gang's task waits for the gang's other tasks before it ends
+ * @param gangPeerTimeoutS after this long without a status, a gang's task is considered lost
+ * @param cancelLimitS within this time after a cancellation was confirmed to a user, the tasks of the job end
  * @param stateRequestsPerS request limit of the state service
  * @param stateWritesPerS limit of written rows of the state service
  * @param maxValueKb largest value of a row
@@ -76,7 +76,7 @@
     /** By the protocol, how long a worker waits for a response to its report. */
     public static final long WORKER_RESPONSE_TIMEOUT_MS = 4_000;
 
-    /** By the protocol, how long a worker without a response waits before it turns to the next controller. */
+    /** By the protocol, how long a worker without a response waits before it reports to the next controller. */
     public static final long WORKER_RETRY_DELAY_MS = 1_000;
 
     /** Largest difference in speed between the monotonic clocks of two machines, as a fraction. */
@@ -98,7 +98,7 @@
 
     /**
      * Returns whether worker leases are too long for that limit. A worker that was answered just before a cancellation
-     * may then keep a cancelled task for too long, whichever controller knows of the cancellation, so it is confirmed
+     * may then keep a cancelled task for too long, whichever controllers have seen the cancellation, so it is confirmed
      * only when the job's tasks are gone.
      */
     public boolean confirmsCancelWhenStopped() {
--- a/src/main/java/birchusher/settings/SettingsReader.java
+++ b/src/main/java/birchusher/settings/SettingsReader.java
@@ -14,6 +14,8 @@
 
 /** Reads the platform's JSON file. Unknown fields are ignored; the error for an invalid field names it. */
 public final class SettingsReader {
+    private static final double DEFAULT_CLOCK_OFFSET_MS = 1_000;
+
     private SettingsReader() {}
 
     /**
@@ -86,7 +88,7 @@
                 positiveNumber(cloud, "rps"),
                 Fields.amount(cloud, "list_lag_s"),
                 (int) positiveNumber(resources, "max_connections"),
-                Fields.amountOr(deployment, "clock_off_ms", 1000));
+                Fields.amountOr(deployment, "clock_off_ms", DEFAULT_CLOCK_OFFSET_MS));
     }
 
     /**
--- a/src/main/java/birchusher/settings/Tuning.java
+++ b/src/main/java/birchusher/settings/Tuning.java
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Applies an operator's file on top of the present values and returns this object. Unknown keys are refused, as
+     * Applies an operator's file on top of the current values and returns this object. Unknown keys are refused, as
      * they are mostly typing errors.
      */
     public Tuning withOverrides(Reader file) throws IOException {
--- a/src/main/java/birchusher/wire/JobCodec.java
+++ b/src/main/java/birchusher/wire/JobCodec.java
@@ -15,6 +15,9 @@
 
 /** Converts between job specs and their wire form, which submissions and the rows of the state service share. */
 public final class JobCodec {
+    private static final int MAX_ID_LENGTH = 64;
+    private static final int MAX_TASKS = 100_000;
+
     private final Catalog catalog;
 
     public JobCodec(Catalog catalog) {
@@ -35,7 +38,9 @@
      * characters in all.
      */
     public static boolean isJobId(String id) {
-        if (!id.startsWith(Wire.JOB_ID_PREFIX) || id.length() > 64 || id.length() == Wire.JOB_ID_PREFIX.length()) {
+        if (!id.startsWith(Wire.JOB_ID_PREFIX)
+                || id.length() > MAX_ID_LENGTH
+                || id.length() == Wire.JOB_ID_PREFIX.length()) {
             return false;
         }
         for (int i = Wire.JOB_ID_PREFIX.length(); i < id.length(); i++) {
@@ -62,7 +67,7 @@
     }
 
     /**
-     * Decodes a row of the state service. A starting controller reads rows before it knows the machine types, so
+     * Decodes a row of the state service. A starting controller reads rows before it has read the machine types, so
      * unknown type names are added to the name table: if they were left out, a job that names its types would fit no
      * machine until the next restart.
      */
@@ -78,8 +83,8 @@
         Shape shape = Wire.parseShape(Fields.text(fields, Wire.SHAPE));
         Priority priority = Wire.parsePriority(Fields.text(fields, Wire.PRIORITY));
         long tasks = Fields.count(fields, Wire.TASKS);
-        if (tasks < 1 || tasks > 100_000) {
-            throw new InvalidInputException(Wire.TASKS + ": outside 1 to 100000");
+        if (tasks < 1 || tasks > MAX_TASKS) {
+            throw new InvalidInputException(Wire.TASKS + ": outside 1 to " + MAX_TASKS);
         }
         double cpus = Fields.amount(fields, Wire.CPUS);
         double gpus = Fields.amount(fields, Wire.GPUS);
--- a/src/main/java/birchusher/wire/Json.java
+++ b/src/main/java/birchusher/wire/Json.java
@@ -41,7 +41,11 @@
         return count[0];
     }
 
-    /** @param pretty whether to indent and break lines */
+    /**
+     * Returns a value as JSON.
+     *
+     * @param pretty whether to indent and break lines
+     */
     public static String toText(Object value, boolean pretty) {
         StringWriter writer = new StringWriter();
         try (JsonGenerator generator = FACTORY.createGenerator(writer)) {
--- a/src/main/java/birchusher/wire/MessagePackCodec.java
+++ b/src/main/java/birchusher/wire/MessagePackCodec.java
@@ -20,7 +20,11 @@
 
     private MessagePackCodec() {}
 
-    /** @throws InvalidInputException if the bytes are not exactly one valid value */
+    /**
+     * Decodes one value.
+     *
+     * @throws InvalidInputException if the bytes are not exactly one valid value
+     */
     public static Object decode(byte[] bytes) {
         try (MessageUnpacker input = MessagePack.newDefaultUnpacker(bytes)) {
             Object value = read(input, 0, bytes.length);
@@ -82,7 +86,11 @@
         return count;
     }
 
-    /** @throws IllegalArgumentException if the value holds an unsupported type */
+    /**
+     * Encodes one value.
+     *
+     * @throws IllegalArgumentException if the value holds an unsupported type
+     */
     public static byte[] encode(Object value) {
         try (MessageBufferPacker output = MessagePack.newDefaultBufferPacker()) {
             write(output, value);
--- a/src/main/java/birchusher/wire/Wire.java
+++ b/src/main/java/birchusher/wire/Wire.java
@@ -110,7 +110,11 @@
 
     private Wire() {}
 
-    /** @throws InvalidInputException if the wire name is unknown */
+    /**
+     * Returns the shape with a value in the protocols.
+     *
+     * @throws InvalidInputException if there is none
+     */
     public static Shape parseShape(String wireName) {
         return switch (wireName) {
             case "sweep" -> Shape.ARRAY;
@@ -120,6 +124,7 @@
         };
     }
 
+    /** Returns the value of a shape in the protocols. */
     public static String wireName(Shape shape) {
         return switch (shape) {
             case ARRAY -> "sweep";
@@ -128,7 +133,11 @@
         };
     }
 
-    /** @throws InvalidInputException if the wire name is unknown */
+    /**
+     * Returns the priority with a value in the protocols.
+     *
+     * @throws InvalidInputException if there is none
+     */
     public static Priority parsePriority(String wireName) {
         return switch (wireName) {
             case "production" -> Priority.PRODUCTION;
@@ -139,6 +148,7 @@
         };
     }
 
+    /** Returns the value of a priority in the protocols. */
     public static String wireName(Priority priority) {
         return switch (priority) {
             case PRODUCTION -> "production";
