--- a/src/main/java/birchusher/cli/ClientCommands.java
+++ b/src/main/java/birchusher/cli/ClientCommands.java
@@ -107,17 +107,18 @@
                     lastId = String.valueOf(response.body().get("last"));
                 }
                 hasMore |= jobs.size() > limit;
-                List<Object> shown = jobs.subList(0, Math.min(limit, jobs.size()));
+                List<Object> printedJobs = jobs.subList(0, Math.min(limit, jobs.size()));
                 if (context.isJson()) {
-                    System.out.println(Json.toText(Map.of("runs", shown, Wire.HAS_MORE, hasMore), false));
+                    System.out.println(Json.toText(Map.of("runs", printedJobs, Wire.HAS_MORE, hasMore), false));
                 } else {
                     ClientContext.printTable(
-                            shown,
+                            printedJobs,
                             new String[] {Wire.ID, Wire.STATE, Wire.DONE, Wire.RUNNING, Wire.TEAM, Wire.JOB_CLASS},
                             new String[] {"ID", "STATE", "DONE", "RUNNING", "TEAM", "CLASS"});
                     if (hasMore) {
                         System.err.println("more: --after "
-                                + Fields.map(shown.get(shown.size() - 1), "row").get(Wire.ID));
+                                + Fields.map(printedJobs.get(printedJobs.size() - 1), "row")
+                                        .get(Wire.ID));
                     }
                 }
                 return 0;
@@ -288,7 +289,7 @@
             });
         }
 
-        /** Whether the job is done or cancelled, or the server refuses to tell its state. */
+        /** Whether the job is done or cancelled, or the server refuses to report its state. */
         private boolean isJobOver() throws Exception {
             RetryingClient.Response response = context.call("GET", Wire.JOBS + "/" + jobId, null);
             Object state = response.body().get(Wire.STATE);
@@ -317,7 +318,7 @@
             return latest;
         }
 
-        /** Prints a log from an offset to its present end, and returns the offset of that end. */
+        /** Prints a log from an offset to its current end, and returns the offset of that end. */
         private long printFrom(String path, Map<String, Object> log, long startOffset) throws Exception {
             long offset = startOffset;
             while (true) {
--- a/src/main/java/birchusher/cli/ClientContext.java
+++ b/src/main/java/birchusher/cli/ClientContext.java
@@ -45,11 +45,17 @@
             description = "output format: ${COMPLETION-CANDIDATES}; json is for scripts (default: ${DEFAULT-VALUE})")
     Output output;
 
+    private static final double MAX_DEADLINE_S = 86_400;
+
     private RetryingClient client;
 
-    /** @param body null for an empty body */
+    /**
+     * Calls the server, with retries until the deadline.
+     *
+     * @param body null for an empty body
+     */
     RetryingClient.Response call(String method, String path, Object body) throws Exception {
-        if (!(deadlineS > 0 && deadlineS <= 86_400)) {
+        if (!(deadlineS > 0 && deadlineS <= MAX_DEADLINE_S)) {
             throw new InvalidInputException("--deadline: must be above 0 and at most 86400 seconds");
         }
         if (client == null) {
--- a/src/main/java/birchusher/cli/OperatorCommands.java
+++ b/src/main/java/birchusher/cli/OperatorCommands.java
@@ -79,7 +79,7 @@
                 DaemonSettings settings = readSettings(propertiesFile);
                 if (checkOnly) {
                     System.out.println("ok: " + settings.hosts().hosts().size() + " hosts, "
-                            + settings.settings().teams().size() + " teams");
+                            + settings.controllerSettings().teams().size() + " teams");
                     return 0;
                 }
                 Daemon daemon = new Daemon(settings);
@@ -123,8 +123,8 @@
                     "--dir",
                     settings.dataDir().resolve("agent-" + host).toString()));
             Process agent = new ProcessBuilder(command).inheritIO().start();
-            // The agent exits at once if one started by an earlier daemon still runs, which can serve the host as well.
-            // It also exits if its address is in use by another process, which cannot.
+            // The agent exits at once if an agent that an earlier daemon started still runs; that one serves the host
+            // as well. It also exits if another process uses its address, and then no agent serves the host.
             agent.onExit()
                     .thenAccept(exited -> System.err.println("birchusher: the local agent exited with status "
                             + exited.exitValue() + "; if 'machines' does not show host " + host
--- a/src/main/java/birchusher/cli/RetryingClient.java
+++ b/src/main/java/birchusher/cli/RetryingClient.java
@@ -24,6 +24,8 @@
     private static final long MIN_RETRY_DELAY_MS = 200;
     private static final long MAX_RETRY_DELAY_MS = 2_000;
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
+    private static final int READ_BUFFER_BYTES = 4_096;
+    private static final int NS_PER_MS = 1_000_000;
 
     /** A complete response that is final for its request. */
     record Response(int status, Map<String, Object> body) {
@@ -66,7 +68,7 @@
      */
     Response call(String method, String path, Object body) throws IOException, InterruptedException {
         byte[] encodedBody = body == null ? new byte[0] : MessagePackCodec.encode(body);
-        long endMs = System.nanoTime() / 1_000_000 + deadlineMs;
+        long endMs = System.nanoTime() / NS_PER_MS + deadlineMs;
         long delayMs = MIN_RETRY_DELAY_MS;
         while (true) {
             String lastError;
@@ -80,7 +82,7 @@
                 lastError = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
             }
             long jitteredDelayMs = delayMs / 2 + random.nextLong(delayMs / 2 + 1);
-            if (System.nanoTime() / 1_000_000 + jitteredDelayMs > endMs) {
+            if (System.nanoTime() / NS_PER_MS + jitteredDelayMs > endMs) {
                 throw new DeadlineExceededException(server + ": " + lastError.trim());
             }
             Thread.sleep(jitteredDelayMs);
@@ -95,7 +97,7 @@
             socket.getOutputStream()
                     .write(HttpWriter.request(method, path, server, body).array());
             HttpParser parser = new HttpParser(false, MAX_RESPONSE_BYTES);
-            byte[] buffer = new byte[4096];
+            byte[] buffer = new byte[READ_BUFFER_BYTES];
             InputStream input = socket.getInputStream();
             while (true) {
                 int count = input.read(buffer);
--- a/src/main/java/birchusher/cli/SubmissionJournal.java
+++ b/src/main/java/birchusher/cli/SubmissionJournal.java
@@ -18,8 +18,8 @@
 import java.util.stream.Stream;
 
 /**
- * The submissions that are not known to be accepted or refused, one file each. A submission is on disk before the first byte of it
- * is sent: after a crash the same job is sent again under the same id, and no second job is created.
+ * A journal of the submissions that are not known to be accepted or refused, one file each. A submission is on disk before the
+ * first byte of it is sent: after a crash the same job is sent again under the same id, and no second job is created.
  */
 final class SubmissionJournal {
     private static final String FILE_SUFFIX = ".json";
@@ -67,6 +67,7 @@
         return ids;
     }
 
+    /** Reads a submission; throws an {@link IOException} that names the file if its content is invalid. */
     Map<String, Object> read(String id) throws IOException {
         try {
             return Fields.map(SettingsReader.parseJson(Files.readAllBytes(dir.resolve(id + FILE_SUFFIX))), id);
--- a/src/main/java/birchusher/daemon/ApiFrontEnd.java
+++ b/src/main/java/birchusher/daemon/ApiFrontEnd.java
@@ -34,9 +34,12 @@
 final class ApiFrontEnd {
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_OUTBOUND_CONNECTIONS = 512;
+    private static final int MAX_CLOUD_CONNECTIONS = 64;
     private static final int CONTROLLER_TIMEOUT_MS = 5_000;
     private static final int LOG_TIMEOUT_MS = 3_000;
     private static final long PROGRAM_SWEEP_INTERVAL_MS = 500;
+    private static final int DEFAULT_LIST_COUNT = 500;
+    private static final int INVALID_RESPONSE_RETRY_S = 5;
 
     private final Settings settings;
     private final String controllerAddress;
@@ -52,7 +55,7 @@
     private long nextSweepMs;
 
     ApiFrontEnd(EventLoop loop, DaemonSettings daemonSettings, DurableStoreRunner storeRunner) {
-        settings = daemonSettings.settings();
+        settings = daemonSettings.controllerSettings();
         controllerAddress = settings.listenAddress().toString();
         this.storeRunner = storeRunner;
         poolStore = new PoolStore(storeRunner);
@@ -67,7 +70,7 @@
                 loop,
                 settings.cloudAddress().host(),
                 settings.cloudAddress().port(),
-                64,
+                MAX_CLOUD_CONNECTIONS,
                 MAX_BODY_BYTES,
                 this::handleCloudRequest);
         client = new HttpClient(loop, MAX_OUTBOUND_CONNECTIONS);
@@ -127,7 +130,11 @@
             try {
                 handler.handleResponse(status, body);
             } catch (InvalidInputException e) {
-                refuse(exchange, 503, "invalid response from another service: " + e.getMessage(), 5);
+                refuse(
+                        exchange,
+                        503,
+                        "invalid response from another service: " + e.getMessage(),
+                        INVALID_RESPONSE_RETRY_S);
             }
         };
     }
@@ -173,6 +180,7 @@
         answer(exchange, status, Map.of("error", message), retryAfterS);
     }
 
+    /** Handles a request whose target or body may be invalid. */
     private interface RouteHandler {
         void handle() throws RequestTarget.InvalidTargetException;
     }
@@ -208,7 +216,7 @@
                         pool.listMachines(
                                 System.currentTimeMillis(),
                                 request.text(Wire.AFTER, ""),
-                                request.count(Wire.LIMIT, 500)),
+                                request.count(Wire.LIMIT, DEFAULT_LIST_COUNT)),
                         0);
             } else {
                 refuse(exchange, 404, "no such path", 0);
@@ -294,8 +302,8 @@
     }
 
     /**
-     * Serves {@code GET /v2/logs/{id}/{index}}: the logs of a task that each host keeps, by attempt, and the names of
-     * hosts that did not answer. With the parameters {@code host}, {@code try} and {@code from}, a part of one
+     * Serves {@code GET /v2/logs/{id}/{index}}: by host, the logs of a task that it keeps, one for each attempt, and the
+     * names of hosts that did not answer. With the parameters {@code host}, {@code try} and {@code from}, a part of one
      * attempt's log on one host.
      */
     private void serveTaskLogs(long exchange, RequestTarget request) {
--- a/src/main/java/birchusher/daemon/Daemon.java
+++ b/src/main/java/birchusher/daemon/Daemon.java
@@ -26,6 +26,8 @@
     /** Only the pool itself writes to its store, so its rates are practically unlimited. */
     private static final Limits POOL_STORE_LIMITS = new Limits(1e6, 1e6, 128, Limits.MAX_TRANSACTION_BYTES);
 
+    private static final int MAX_STATE_CONNECTIONS = 1_000;
+
     /** The main function of one of the threads. */
     private interface ThreadBody {
         void run() throws Exception;
@@ -59,12 +61,12 @@
         }
         stateServer = new StateServer(
                 stateLoop,
-                daemonSettings.settings().stateAddress().host(),
-                daemonSettings.settings().stateAddress().port(),
-                1_000,
+                daemonSettings.controllerSettings().stateAddress().host(),
+                daemonSettings.controllerSettings().stateAddress().port(),
+                MAX_STATE_CONNECTIONS,
                 stateRunner);
         frontEnd = new ApiFrontEnd(frontEndLoop, daemonSettings, poolRunner);
-        controller = new ControllerServer(daemonSettings.settings(), daemonSettings.tuning());
+        controller = new ControllerServer(daemonSettings.controllerSettings(), daemonSettings.tuning());
     }
 
     /** The data directory of the state service; it can be repaired on its own. */
--- a/src/main/java/birchusher/daemon/DaemonSettings.java
+++ b/src/main/java/birchusher/daemon/DaemonSettings.java
@@ -25,8 +25,9 @@
  * The daemon's validated properties. Unknown keys and invalid values are refused with an error that names the key. The
  * file may also contain keys of the controller's {@link Tuning}.
  *
+ * @param dataDir the directory of all durable data
  * @param listenAddress where people and agents reach the daemon
- * @param settings the settings of the daemon's own controller
+ * @param controllerSettings the settings of the daemon's own controller
  * @param hosts the hosts of the pool
  * @param limits the limits of the state service
  * @param snapshotIntervalBytes size of the log after which the state service writes a snapshot
@@ -35,7 +36,7 @@
 public record DaemonSettings(
         Path dataDir,
         Address listenAddress,
-        Settings settings,
+        Settings controllerSettings,
         HostInventory hosts,
         Limits limits,
         Tuning tuning,
@@ -68,6 +69,12 @@
     private static final List<String> HOST_KEYS = List.of("type", "zone");
     private static final int MAX_VALUE_KB = 32;
     private static final int MAX_TRANSACTION_WRITES = 64;
+    private static final double CLOUD_REQUESTS_PER_S = 100;
+    private static final double CLOUD_LIST_LAG_S = 1;
+    private static final double CLOCK_OFFSET_MS = 1_000;
+    private static final double MIN_LEASE_S = 10;
+    private static final int MIN_REPORTS_PER_LEASE = 4;
+    private static final int BYTES_PER_MB = 1 << 20;
 
     /**
      * Reads and validates a file such as {@code deploy/daemon.properties}. Paths in it are relative to the working
@@ -85,6 +92,7 @@
         return new PropertiesReader(properties).read();
     }
 
+    /** Reads and checks one file's properties. */
     private static final class PropertiesReader {
         private final Properties properties;
         private final Set<String> knownKeys = new HashSet<>(DAEMON_KEYS);
@@ -128,7 +136,7 @@
             Tuning tuning = readTuning();
             double leaseS = numberOr("workers.lease-s", 60);
             double reportIntervalS = numberOr("workers.report-s", 2);
-            if (reportIntervalS <= 0 || leaseS < 4 * reportIntervalS || leaseS < 10) {
+            if (reportIntervalS <= 0 || leaseS < MIN_REPORTS_PER_LEASE * reportIntervalS || leaseS < MIN_LEASE_S) {
                 throw new InvalidInputException(
                         "workers.lease-s: must be at least 10 and at least four times workers.report-s, which must be above 0");
             }
@@ -160,7 +168,7 @@
             String member = properties.getProperty("member", "daemon").trim();
             controllers.put(member, addressOr("controller.listen", "127.0.0.1:7071"));
             List<Settings.Peer> peers = readPeers(zones, controllers);
-            Settings settings = new Settings(
+            Settings controllerSettings = new Settings(
                     member,
                     zones.get(0),
                     addressOr("controller.listen", "127.0.0.1:7071"),
@@ -180,18 +188,18 @@
                     limits.maxWritesPerS(),
                     MAX_VALUE_KB,
                     MAX_TRANSACTION_WRITES,
-                    100,
-                    1,
+                    CLOUD_REQUESTS_PER_S,
+                    CLOUD_LIST_LAG_S,
                     (int) numberOr("connections", 2000),
-                    1000);
+                    CLOCK_OFFSET_MS);
             return new DaemonSettings(
                     Path.of(properties.getProperty("data.dir", "data").trim()),
                     addressOr("listen", "127.0.0.1:7070"),
-                    settings,
+                    controllerSettings,
                     hosts,
                     limits,
                     tuning,
-                    Math.round(numberOr("state.snapshot-mb", 64) * (1 << 20)),
+                    Math.round(numberOr("state.snapshot-mb", 64) * BYTES_PER_MB),
                     controllers);
         }
 
@@ -272,14 +280,14 @@
             return numberOr(key, 0);
         }
 
-        private double numberOr(String key, double absent) {
+        private double numberOr(String key, double defaultValue) {
             String value = properties.getProperty(key);
-            return value == null ? absent : Tuning.parseAmount(key, value);
+            return value == null ? defaultValue : Tuning.parseAmount(key, value);
         }
 
-        private Address addressOr(String key, String absent) {
+        private Address addressOr(String key, String defaultValue) {
             return SettingsReader.parseAddress(
-                    properties.getProperty(key, absent).trim(), key);
+                    properties.getProperty(key, defaultValue).trim(), key);
         }
     }
 }
--- a/src/test/java/birchusher/cli/CommandLineTest.java
+++ b/src/test/java/birchusher/cli/CommandLineTest.java
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void exitCodesTellSuccessRefusalWrongUseAndNoAnswer() throws IOException {
+    void exitCodesDistinguishSuccessRefusalInvalidUsageAndNoAnswer() throws IOException {
         EventLoop loop = startServer(1);
         assertThat(runCommand("status", "wk-a")).as("after one refusal").isZero();
         assertThat(consoleOutput).isEqualTo("wk-a cancelled\n");
