--- a/src/test/java/birchusher/membership/StalenessTest.java
+++ b/src/test/java/birchusher/membership/StalenessTest.java
@@ -79,10 +79,10 @@
     private final TestController peer = new TestController(40);
 
     /**
-     * The reply, to a query sent at that time, of a peer that the state service does not answer and that knows
-     * nothing newer.
+     * The reply, to a query sent at that time, of a peer that the state service does not answer and whose view
+     * contains nothing newer.
      */
-    private static RevisionReply replyWithoutNews(long querySentAtMs) {
+    private static RevisionReply replyWithNothingNewer(long querySentAtMs) {
         return new RevisionReply(querySentAtMs, INCARNATION, false, 40, 40, List.of());
     }
 
@@ -97,21 +97,21 @@
         controller.effects.setTime(controller.now, controller.now);
         controller.store.callLease("POST", "/leases/1/extend", Map.of(), (status, body) -> {});
         controller.answerCalls("/leases", 200, Map.of());
-        assertThat(controller.staleness.upToDateAtMs()).isEqualTo(100_000);
+        assertThat(controller.staleness.upToDateAsOfMs()).isEqualTo(100_000);
         reads.forEach(
                 call -> controller.effects.completeCall(call.id(), 200, Map.of("events", List.of(), "epoch", 41L)));
-        assertThat(controller.staleness.upToDateAtMs()).isEqualTo(sentAtMs);
+        assertThat(controller.staleness.upToDateAsOfMs()).isEqualTo(sentAtMs);
     }
 
     @Test
     void repliesOfAllPeersAreNeededAndCountFromTheirQueries() {
         controller.refuseStoreCalls(20_000);
-        controller.staleness.handleReply(1, replyWithoutNews(controller.now - 300), INCARNATION);
-        assertThat(controller.staleness.upToDateAtMs())
+        controller.staleness.handleReply(1, replyWithNothingNewer(controller.now - 300), INCARNATION);
+        assertThat(controller.staleness.upToDateAsOfMs())
                 .as("one of two is not enough")
                 .isEqualTo(100_000);
-        controller.staleness.handleReply(2, replyWithoutNews(controller.now - 7_000), INCARNATION);
-        assertThat(controller.staleness.upToDateAtMs())
+        controller.staleness.handleReply(2, replyWithNothingNewer(controller.now - 7_000), INCARNATION);
+        assertThat(controller.staleness.upToDateAsOfMs())
                 .as("a reply that was delayed")
                 .isEqualTo(controller.now - 7_000);
         assertThat(controller.staleness.isUpToDate()).isTrue();
@@ -122,7 +122,7 @@
     @Test
     void repliesThatDoNotProveTheViewAreIgnored() {
         controller.refuseStoreCalls(20_000);
-        controller.staleness.handleReply(2, replyWithoutNews(controller.now), INCARNATION);
+        controller.staleness.handleReply(2, replyWithNothingNewer(controller.now), INCARNATION);
         for (RevisionReply reply : List.of(
                 new RevisionReply(controller.now, INCARNATION, true, 40, 40, List.of()),
                 new RevisionReply(controller.now, INCARNATION - 1, false, 40, 40, List.of()),
@@ -131,13 +131,13 @@
                 new RevisionReply(controller.now, INCARNATION, false, 41, 41, List.of()),
                 new RevisionReply(controller.now, INCARNATION, false, -1, -1, List.of()))) {
             controller.staleness.handleReply(1, reply, INCARNATION);
-            assertThat(controller.staleness.upToDateAtMs()).as("%s", reply).isEqualTo(100_000);
+            assertThat(controller.staleness.upToDateAsOfMs()).as("%s", reply).isEqualTo(100_000);
         }
         controller.staleness.handleReply(
                 1,
                 new RevisionReply(controller.now, INCARNATION, false, 44, 40, List.of(new Cancellation("wk-7", 43))),
                 INCARNATION);
-        assertThat(controller.staleness.upToDateAtMs()).isEqualTo(controller.now);
+        assertThat(controller.staleness.upToDateAsOfMs()).isEqualTo(controller.now);
         assertThat(controller.view.isCancelled("wk-7")).isTrue();
     }
 
@@ -158,7 +158,7 @@
 
     /**
      * A controller that read all rows cannot list the cancellations among them with their revisions, though an earlier
-     * incarnation may have told users of them: ended jobs are read last.
+     * incarnation may have reported them to users: ended jobs are read last.
      */
     @Test
     void peerCannotListCancellationsFromBeforeItsFullRead() {
@@ -200,7 +200,7 @@
         assertThat(reply.sinceRevision()).isEqualTo(-1);
         assertThat(reply.cancellations()).isEmpty();
         controller.refuseStoreCalls(20_000);
-        controller.staleness.handleReply(2, replyWithoutNews(controller.now), INCARNATION);
+        controller.staleness.handleReply(2, replyWithNothingNewer(controller.now), INCARNATION);
         for (int round = 0; round < 5; round++) {
             List<Cancellation> many = new ArrayList<>();
             for (int j = 0; j < 450; j++) {
@@ -208,11 +208,11 @@
             }
             controller.staleness.handleReply(
                     1, new RevisionReply(controller.now, INCARNATION, false, 1_000, 40, many), INCARNATION);
-            assertThat(controller.staleness.upToDateAtMs() == controller.now)
+            assertThat(controller.staleness.upToDateAsOfMs() == controller.now)
                     .as("round %s", round)
                     .isEqualTo(round < 4);
             controller.refuseStoreCalls(100);
-            controller.staleness.handleReply(2, replyWithoutNews(controller.now), INCARNATION);
+            controller.staleness.handleReply(2, replyWithNothingNewer(controller.now), INCARNATION);
         }
     }
 
