--- a/src/main/java/birchusher/kv/Engine.java
+++ b/src/main/java/birchusher/kv/Engine.java
@@ -22,7 +22,7 @@
  * {@link #onDurable} or {@link #onWriteFailed} whether it was made durable. <b>Every answer is held back until each entry
  * that it depends on is durable</b>, answers to reads and failed conditions included: otherwise a client could act on a
  * change that a power cut then undoes. After a failed write, every entry that is not durable is rolled back, changes are
- * refused for a while, and an empty entry tests the disk before a client's change is written again.
+ * refused until the disk has been tested by writing an entry that changes nothing.
  *
  * <p>Leases expire by the time of this machine, up to one tick late and never early. The remaining time of a lease is not
  * stored: after a start, and after a period in which changes were refused, each lease has its full time to live again, as
@@ -36,6 +36,12 @@
  */
 public final class Engine {
     private static final long DISK_RETRY_DELAY_MS = 1_000;
+    /** Value of Retry-After in replies that may be retried. */
+    private static final int RETRY_AFTER_S = 1;
+
+    private static final int MAX_CONDITIONS_PER_WRITE = 4;
+    /** Estimated size of a row in a response, besides its key and its value. */
+    private static final int ROW_OVERHEAD_BYTES = 32;
     /** An entry that changes nothing, as no lease has the id 0; written to test the disk. */
     private static final Entry PROBE_ENTRY = new Entry.LeaseEnded(0);
 
@@ -127,7 +133,7 @@
      */
     public List<Output> handle(long nowMs, long requestId, Request request) {
         if (!requestRateLimiter.tryTake(nowMs, 1)) {
-            outputs.add(new Answer(requestId, new Reply.LimitExceeded(1)));
+            outputs.add(new Answer(requestId, new Reply.LimitExceeded(RETRY_AFTER_S)));
         } else if (request instanceof Request.Watch watch) {
             startWatch(nowMs, requestId, watch);
         } else {
@@ -208,7 +214,9 @@
         for (PendingAnswer answer : pendingAnswers) {
             outputs.add(new Answer(
                     answer.requestId(),
-                    outcomeUnknown && answer.appendedEntry() ? new Reply.OutcomeUnknown() : new Reply.Unavailable(1)));
+                    outcomeUnknown && answer.appendedEntry()
+                            ? new Reply.OutcomeUnknown()
+                            : new Reply.Unavailable(RETRY_AFTER_S)));
         }
         pendingAnswers.clear();
         return drainOutputs();
@@ -273,14 +281,14 @@
             return executeTransaction(nowMs, transaction);
         }
         if (readOnly) {
-            return new Reply.Unavailable(1);
+            return new Reply.Unavailable(RETRY_AFTER_S);
         }
         if (request instanceof Request.GrantLease grant) {
             if (grant.ttlMs() < Limits.MIN_TTL_MS || grant.ttlMs() > Limits.MAX_TTL_MS) {
                 return new Reply.InvalidRequest("life_ms: " + Limits.MIN_TTL_MS + " to " + Limits.MAX_TTL_MS);
             }
             if (newestState.leases().size() >= Limits.MAX_LEASES) {
-                return new Reply.LimitExceeded(1);
+                return new Reply.LimitExceeded(RETRY_AFTER_S);
             }
             long newLeaseId = newestState.nextLeaseId();
             append(new Entry.LeaseGranted(newLeaseId, grant.ttlMs()));
@@ -307,7 +315,7 @@
             if (!entry.getKey().startsWith(request.prefix())) {
                 break;
             }
-            bytes += entry.getKey().length() + entry.getValue().value().length + 32;
+            bytes += entry.getKey().length() + entry.getValue().value().length + ROW_OVERHEAD_BYTES;
             if (rows.size() == maxRows || !rows.isEmpty() && bytes > Limits.MAX_PAGE_BYTES) {
                 return new Reply.Rows(rows, true, newestState.revision());
             }
@@ -321,9 +329,9 @@
         if (transaction.writes().size() > limits.maxWritesPerTransaction()) {
             return "writes: " + transaction.writes().size() + ", " + limits.maxWritesPerTransaction() + " at most";
         }
-        if (transaction.conditions().size() > 4 * limits.maxWritesPerTransaction()) {
-            return "if: " + transaction.conditions().size() + " conditions, " + 4 * limits.maxWritesPerTransaction()
-                    + " at most";
+        if (transaction.conditions().size() > MAX_CONDITIONS_PER_WRITE * limits.maxWritesPerTransaction()) {
+            return "if: " + transaction.conditions().size() + " conditions, "
+                    + MAX_CONDITIONS_PER_WRITE * limits.maxWritesPerTransaction() + " at most";
         }
         if (transaction.sizeBytes() > Limits.MAX_TRANSACTION_BYTES) {
             return "body: over " + Limits.MAX_TRANSACTION_BYTES + " bytes";
@@ -356,11 +364,11 @@
             return new Reply.InvalidRequest(error);
         }
         if (!transaction.writes().isEmpty() && readOnly) {
-            return new Reply.Unavailable(1);
+            return new Reply.Unavailable(RETRY_AFTER_S);
         }
         if (!transaction.writes().isEmpty()
                 && !writeRateLimiter.tryTake(nowMs, transaction.writes().size())) {
-            return new Reply.LimitExceeded(1);
+            return new Reply.LimitExceeded(RETRY_AFTER_S);
         }
         for (Write write : transaction.writes()) {
             if (write instanceof Write.Set set
@@ -388,9 +396,8 @@
     }
 
     private void startWatch(long nowMs, long requestId, Request.Watch request) {
-        // A revision above the newest durable one belongs to a history that was lost, for example when an old backup
-        // was
-        // restored.
+        // A revision above the newest durable one belongs to a history that was lost, as after the restoration of an
+        // old backup.
         if (request.afterRevision() < compactedRevision
                 || request.afterRevision() > durableState().revision()) {
             outputs.add(new Answer(requestId, new Reply.RevisionCompacted()));
@@ -405,7 +412,7 @@
                 outputs.add(new Answer(
                         requestId, new Reply.Events(List.of(), durableState().revision())));
             } else if (watchers.size() >= Limits.MAX_WATCHES) {
-                outputs.add(new Answer(requestId, new Reply.LimitExceeded(1)));
+                outputs.add(new Answer(requestId, new Reply.LimitExceeded(RETRY_AFTER_S)));
             } else {
                 watchers.put(requestId, watcher);
             }
--- a/src/main/java/birchusher/kv/Limits.java
+++ b/src/main/java/birchusher/kv/Limits.java
@@ -6,7 +6,7 @@
  * @param maxRequestsPerS requests per second, watches and lease renewals included; bursts of up to one second's amount
  * @param maxWritesPerS rows set or removed per second, those of transactions whose conditions fail included
  * @param maxWritesPerTransaction rows set or removed by a transaction, which may have four times as many conditions
- * @param maxValueBytes the size of one value, counted as JSON by the parser of the request
+ * @param maxValueBytes the size of one value, counted as JSON by the protocol layer
  */
 public record Limits(double maxRequestsPerS, double maxWritesPerS, int maxWritesPerTransaction, int maxValueBytes) {
     public static final int MAX_TRANSACTION_BYTES = 64 * 1024;
--- a/src/main/java/birchusher/kv/StateRestorer.java
+++ b/src/main/java/birchusher/kv/StateRestorer.java
@@ -50,8 +50,8 @@
         while (history.size() > Limits.MAX_HISTORY_EVENTS) {
             compacted = history.removeFirst().revision();
         }
-        // All changes of a revision are kept or none: otherwise a watch would report part of a transaction as the
-        // whole.
+        // All changes of a revision are kept, or none of them. Otherwise a watch would report part of a transaction as
+        // the whole of it.
         while (!history.isEmpty() && history.getFirst().revision() <= compacted) {
             history.removeFirst();
         }
--- a/src/main/java/birchusher/statehost/DurableStore.java
+++ b/src/main/java/birchusher/statehost/DurableStore.java
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Recovers the state kept in the directory. To clients this looks like the end of an outage: each lease has its full time
+     * Recovers the state kept in the directory. To clients this appears as the end of an outage: each lease has its full time
      * to live again, and revisions continue after the last durable change.
      *
      * @param snapshotIntervalBytes a snapshot is due after so many bytes of log
--- a/src/main/java/birchusher/statehost/StateServer.java
+++ b/src/main/java/birchusher/statehost/StateServer.java
@@ -14,6 +14,7 @@
     /** The protocol's limit of 64 KiB counts JSON; MessagePack may be larger: "1.0" takes nine bytes there. */
     private static final int MAX_BODY_BYTES = 256 * 1024;
 
+    private static final int READY_RETRY_AFTER_S = 1;
     private final DurableStoreRunner store;
     private final HttpServer server;
 
@@ -22,14 +23,17 @@
         this.server = new HttpServer(loop, address, port, maxConnections, MAX_BODY_BYTES, this::handleRequest);
     }
 
+    /** Starts listening. */
     public void open() throws IOException {
         server.open();
     }
 
+    /** Stops listening and closes all connections; the store is not closed. */
     public void close() throws IOException {
         server.close();
     }
 
+    /** Expires leases and watches, and checks the connections' time limits; to be called periodically. */
     public void tick() {
         store.tick();
         server.tick();
@@ -40,7 +44,7 @@
             answer(
                     exchange,
                     store.readOnly()
-                            ? ProtocolCodec.errorResponse(503, "the state log can't be written", 1)
+                            ? ProtocolCodec.errorResponse(503, "the state log can't be written", READY_RETRY_AFTER_S)
                             : new ProtocolCodec.HttpResponse(200, Map.of(), 0));
             return;
         }
--- a/src/main/java/birchusher/wal/CorruptedDataException.java
+++ b/src/main/java/birchusher/wal/CorruptedDataException.java
@@ -7,7 +7,7 @@
     private static final long serialVersionUID = 1;
     /** The name of the file within its directory. */
     public final String file;
-    /** The byte of the file from which on it is invalid. */
+    /** The offset in bytes from which on the file is invalid. */
     public final long offset;
 
     public CorruptedDataException(String file, long offset, String description) {
--- a/src/main/java/birchusher/wal/Recovery.java
+++ b/src/main/java/birchusher/wal/Recovery.java
@@ -8,8 +8,8 @@
  * Reads a log directory without changing it: the newest valid snapshot, then the log after it.
  *
  * <p>Refused with {@link CorruptedDataException}: a record that can't be read although it was durable, a gap or an overlap
- * between segments, and a log that begins after the newest readable snapshot ends. A torn tail is not corruption: no request
- * was answered on the strength of it.
+ * between segments, and a log that begins after the newest readable snapshot ends. A torn tail is not corruption: no answer
+ * depended on it.
  */
 final class Recovery {
     /** Where appending continues: the last segment, how many of its bytes are valid, and whether a torn tail follows them. */
--- a/src/main/java/birchusher/wal/Segment.java
+++ b/src/main/java/birchusher/wal/Segment.java
@@ -26,6 +26,14 @@
     private static final int SEGMENT_MAGIC = 0x42534547;
     private static final int RECORD_MAGIC = 0x42524543;
     private static final String FILE_PREFIX = "log-";
+    // Offsets of the fields within a segment header or a record; both begin with a magic number of 4 bytes.
+    private static final int HEADER_VERSION_OFFSET = 4;
+    private static final int HEADER_SEQUENCE_OFFSET = 8;
+    private static final int HEADER_CRC_OFFSET = 16;
+    private static final int LENGTH_OFFSET = 4;
+    private static final int SEQUENCE_OFFSET = 8;
+    private static final int SYNCED_OFFSET = 16;
+    private static final int CRC_OFFSET = 24;
 
     /** Receives each record in file order. */
     interface RecordConsumer {
@@ -61,24 +69,24 @@
                 .putInt(SEGMENT_MAGIC)
                 .putInt(FORMAT_VERSION)
                 .putLong(firstSequence);
-        buffer.putInt(crc(buffer, 0, HEADER_BYTES - 4));
+        buffer.putInt(crc(buffer, 0, HEADER_CRC_OFFSET));
         return buffer.flip();
     }
 
     /**
      * Appends one record to a buffer, which must have enough space left.
      *
-     * @param synced how many bytes of the segment are durable
+     * @param syncedBytes how many bytes of the segment are durable
      */
-    static void encodeRecord(ByteBuffer buffer, long sequence, long synced, byte[] payload) {
+    static void encodeRecord(ByteBuffer buffer, long sequence, long syncedBytes, byte[] payload) {
         int offset = buffer.position();
         buffer.putInt(RECORD_MAGIC)
                 .putInt(payload.length)
                 .putLong(sequence)
-                .putLong(synced)
+                .putLong(syncedBytes)
                 .putInt(0)
                 .put(payload);
-        buffer.putInt(offset + 24, recordCrc(buffer, offset, payload.length));
+        buffer.putInt(offset + CRC_OFFSET, recordCrc(buffer, offset, payload.length));
     }
 
     private static int crc(ByteBuffer buffer, int offset, int length) {
@@ -89,7 +97,7 @@
 
     private static int recordCrc(ByteBuffer buffer, int offset, int length) {
         CRC32C crc = new CRC32C();
-        crc.update(buffer.array(), offset + 4, 20);
+        crc.update(buffer.array(), offset + LENGTH_OFFSET, CRC_OFFSET - LENGTH_OFFSET);
         crc.update(buffer.array(), offset + FRAME_BYTES, length);
         return (int) crc.getValue();
     }
@@ -98,11 +106,11 @@
         if (buffer.limit() - offset < FRAME_BYTES || buffer.getInt(offset) != RECORD_MAGIC) {
             return false;
         }
-        int length = buffer.getInt(offset + 4);
+        int length = buffer.getInt(offset + LENGTH_OFFSET);
         return length >= 0
                 && length <= MAX_RECORD_BYTES
                 && length <= buffer.limit() - offset - FRAME_BYTES
-                && buffer.getInt(offset + 24) == recordCrc(buffer, offset, length);
+                && buffer.getInt(offset + CRC_OFFSET) == recordCrc(buffer, offset, length);
     }
 
     /** Reads the records of a segment up to the first unreadable byte. */
@@ -111,27 +119,30 @@
         long firstSequence = firstSequence(name);
         if (buffer.limit() < HEADER_BYTES
                 || buffer.getInt(0) != SEGMENT_MAGIC
-                || buffer.getInt(16) != crc(buffer, 0, HEADER_BYTES - 4)) {
+                || buffer.getInt(HEADER_CRC_OFFSET) != crc(buffer, 0, HEADER_CRC_OFFSET)) {
             return new Scan(0, buffer.limit(), firstSequence - 1, wasDurableAt(buffer, 0));
         }
-        if (buffer.getInt(4) != FORMAT_VERSION) {
-            throw new IOException(name + ": version " + buffer.getInt(4) + " of the log format is not supported, only "
-                    + FORMAT_VERSION + " is");
+        if (buffer.getInt(HEADER_VERSION_OFFSET) != FORMAT_VERSION) {
+            throw new IOException(name + ": version " + buffer.getInt(HEADER_VERSION_OFFSET)
+                    + " of the log format is not supported, only " + FORMAT_VERSION + " is");
         }
-        if (buffer.getLong(8) != firstSequence) {
+        if (buffer.getLong(HEADER_SEQUENCE_OFFSET) != firstSequence) {
             throw new CorruptedDataException(
-                    name, 8, "header says that the segment begins with record " + buffer.getLong(8));
+                    name,
+                    HEADER_SEQUENCE_OFFSET,
+                    "header says that the segment begins with record " + buffer.getLong(HEADER_SEQUENCE_OFFSET));
         }
         int offset = HEADER_BYTES;
         long sequence = firstSequence;
         while (offset < buffer.limit() && isRecordAt(buffer, offset)) {
-            if (buffer.getLong(offset + 8) != sequence) {
+            if (buffer.getLong(offset + SEQUENCE_OFFSET) != sequence) {
                 throw new CorruptedDataException(
                         name,
                         offset,
-                        "record " + buffer.getLong(offset + 8) + " where record " + sequence + " is expected");
+                        "record " + buffer.getLong(offset + SEQUENCE_OFFSET) + " where record " + sequence
+                                + " is expected");
             }
-            byte[] payload = new byte[buffer.getInt(offset + 4)];
+            byte[] payload = new byte[buffer.getInt(offset + LENGTH_OFFSET)];
             buffer.get(offset + FRAME_BYTES, payload);
             consumer.accept(sequence++, payload);
             offset += FRAME_BYTES + payload.length;
@@ -145,9 +156,9 @@
         int offset = 0;
         while (offset <= buffer.limit() - FRAME_BYTES) {
             if (isRecordAt(buffer, offset)) {
-                byte[] payload = new byte[buffer.getInt(offset + 4)];
+                byte[] payload = new byte[buffer.getInt(offset + LENGTH_OFFSET)];
                 buffer.get(offset + FRAME_BYTES, payload);
-                consumer.accept(buffer.getLong(offset + 8), payload);
+                consumer.accept(buffer.getLong(offset + SEQUENCE_OFFSET), payload);
                 offset += FRAME_BYTES + payload.length;
             } else {
                 offset++;
@@ -164,7 +175,9 @@
     /** Whether a valid record at or after {@code offset} states that the byte at {@code offset} was durable. */
     private static boolean wasDurableAt(ByteBuffer buffer, int offset) {
         for (int i = offset; i <= buffer.limit() - FRAME_BYTES; i++) {
-            if (buffer.getInt(i) == RECORD_MAGIC && buffer.getLong(i + 16) > offset && isRecordAt(buffer, i)) {
+            if (buffer.getInt(i) == RECORD_MAGIC
+                    && buffer.getLong(i + SYNCED_OFFSET) > offset
+                    && isRecordAt(buffer, i)) {
                 return true;
             }
         }
--- a/src/main/java/birchusher/wal/Snapshot.java
+++ b/src/main/java/birchusher/wal/Snapshot.java
@@ -29,6 +29,9 @@
     static final String TEMPORARY_SUFFIX = ".aside";
     private static final int MAGIC = 0x42534E50;
     private static final int HEADER_BYTES = 16;
+    private static final int SEQUENCE_OFFSET = 8;
+    /** Written in place of a length after the last record. */
+    private static final int END_OF_RECORDS = -1;
 
     /** Receives the records of a snapshot, in order. */
     public interface RecordSink {
@@ -75,7 +78,7 @@
                     stream.write(payload);
                     count[0]++;
                 });
-                stream.writeInt(-1);
+                stream.writeInt(END_OF_RECORDS);
                 stream.writeLong(count[0]);
             }
             out.sync();
@@ -109,8 +112,8 @@
             } catch (CorruptedDataException e) {
                 throw e;
             } catch (IOException | RuntimeException e) {
-                // Any fault found by the decompressor, or a read error of the device: an older snapshot may be
-                // readable.
+                // Reported as corruption, whether the decompressor found a fault or the device failed to read, as an
+                // older snapshot may be readable.
                 throw new CorruptedDataException(name, HEADER_BYTES, "snapshot can't be read: " + e);
             }
         }
@@ -119,10 +122,10 @@
     private static void readRecords(String name, long headerSequence, DataInputStream in, RecordSink sink)
             throws IOException {
         if (headerSequence != sequenceOf(name) || in.readLong() != headerSequence) {
-            throw new CorruptedDataException(name, 8, "header names record " + headerSequence);
+            throw new CorruptedDataException(name, SEQUENCE_OFFSET, "header names record " + headerSequence);
         }
         long count = 0;
-        for (int length = in.readInt(); length != -1; length = in.readInt()) {
+        for (int length = in.readInt(); length != END_OF_RECORDS; length = in.readInt()) {
             if (length < 0 || length > Segment.MAX_RECORD_BYTES) {
                 throw new CorruptedDataException(name, HEADER_BYTES, "invalid record length of " + length + " bytes");
             }
--- a/src/main/java/birchusher/wal/StorageDirectory.java
+++ b/src/main/java/birchusher/wal/StorageDirectory.java
@@ -32,6 +32,7 @@
     /** The names of all files, in no particular order. */
     List<String> fileNames() throws IOException;
 
+    /** Opens an existing file to read it from its beginning. */
     InputStream openForRead(String name) throws IOException;
 
     /** Creates an empty file, or truncates an existing one of that name. */
--- a/src/main/java/birchusher/wal/WriteAheadLog.java
+++ b/src/main/java/birchusher/wal/WriteAheadLog.java
@@ -10,8 +10,8 @@
  * A durable sequence of records, numbered from 1, with snapshots that replace its beginning.
  *
  * <p>{@link #append} only adds a record to a batch. Once {@link #sync} has returned, the batch survives a kill of the process
- * and a power cut, in order. If it throws {@link WriteFailedException}, no record of the batch counts and the next batch may
- * be written: the failed one is truncated away first, and a new segment is started, as a file whose sync has failed once
+ * and a power cut, in order. If it throws {@link WriteFailedException}, no record of the batch is part of the log and the next
+ * batch may be written: the failed one is truncated away first, and a new segment is started, as a file whose sync has failed once
  * can't be trusted with further writes.
  *
  * <p>Threads: one at a time; only {@link Snapshot#write} may run concurrently.
@@ -51,7 +51,7 @@
         void logRecord(long sequence, byte[] payload) throws IOException;
     }
 
-    /** A batch could not be made durable and does not count. */
+    /** A batch could not be made durable and is not part of the log. */
     public static final class WriteFailedException extends IOException {
         private static final long serialVersionUID = 1;
         /**
--- a/src/test/java/birchusher/kv/LinearizabilityTest.java
+++ b/src/test/java/birchusher/kv/LinearizabilityTest.java
@@ -93,7 +93,7 @@
     }
 
     /**
-     * The states of the key in which the operation may leave it if it is the next one and its answer is right; none if the
+     * The states in which the operation may leave the key if it is the next one and its answer is right; none if the
      * answer would be wrong. The revision of a write without an answer is {@link #UNKNOWN_REVISION}.
      */
     private static List<SearchState> possibleStatesAfter(Operation operation, String value, long modRevision) {
