--- a/src/main/java/birchusher/agent/Action.java
+++ b/src/main/java/birchusher/agent/Action.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the {@link Worker} state machine wants the {@link Agent} to do. */
+/** An action that the {@link Worker} state machine requests from the {@link Agent}. */
 sealed interface Action {
     /** Identifies one attempt of one task. */
     record AttemptKey(String job, int index, long attempt) {
@@ -12,13 +12,13 @@
         }
     }
 
-    /** Send a report to a controller; the response goes to {@link Worker#onReportResponse}. */
+    /** Send a report to a controller; the response is passed to {@link Worker#onReportResponse}. */
     record SendReport(long id, String address, Map<String, ?> body) implements Action {}
 
-    /** Answer an HTTP request that the worker received. */
+    /** Answer an HTTP request that the worker received, which {@code exchange} identifies. */
     record SendResponse(long exchange, int status, Map<String, ?> body, int retryAfterS) implements Action {}
 
-    /** Request a job's description from the daemon; it goes to {@link Worker#onDescription}. */
+    /** Request a job's description from the daemon; it is passed to {@link Worker#onDescription}. */
     record FetchDescription(String jobId) implements Action {}
 
     /**
@@ -27,7 +27,7 @@
      */
     record StartProcess(AttemptKey key, JobDescription description, List<String> gangHosts) implements Action {}
 
-    /** Send the task's process a signal, which tells it to save or to end. */
+    /** Send the task's process a signal that requests it to save a checkpoint or to end. */
     record SendSignal(AttemptKey key, String name) implements Action {}
 
     /** Kill all processes that the task has started, at once. */
@@ -39,9 +39,11 @@
     /** Delete the attempt's working directory on this host; its logs stay. */
     record DeleteWorkDir(AttemptKey key) implements Action {}
 
-    /** Report the task's phase to the gang coordinator; its instruction goes to {@link Worker#onGangInstruction}. */
+    /**
+     * Report the task's phase to the gang coordinator; its instruction is passed to {@link Worker#onGangInstruction}.
+     */
     record SendGangStatus(AttemptKey key, int taskCount, String phase) implements Action {}
 
-    /** Make the supervisor kill all tasks after this time, unless the lease is extended again before. */
+    /** Make the supervisor kill all tasks after this time, unless the lease is extended again before then. */
     record ExtendSupervisorLease(long remainingMs) implements Action {}
 }
--- a/src/main/java/birchusher/agent/Agent.java
+++ b/src/main/java/birchusher/agent/Agent.java
@@ -31,10 +31,13 @@
     private static final Logger LOG = LoggerFactory.getLogger(Agent.class);
     private static final int MAX_CONNECTIONS = 256;
     private static final int MAX_BODY_BYTES = 64 * 1024;
-    private static final int MAX_CALLS = 64;
+    private static final int MAX_CONCURRENT_CALLS = 64;
     private static final long POLL_INTERVAL_MS = 500;
     private static final int POLL_TIMEOUT_MS = 3_000;
     private static final int REPORT_TIMEOUT_MS = 4_000;
+    /** Value of Retry-After if a log can't be read. */
+    private static final int LOG_RETRY_AFTER_S = 5;
+
     private static final long PRUNE_INTERVAL_MS = 600_000;
     private static final int MAX_JOBS_CHECKED = 32;
 
@@ -81,7 +84,9 @@
         directoryLock = new LockedDirectory(agentOptions.dir().resolve("state"));
         tag = readOrCreate("tag", UUID.randomUUID().toString());
         TaggedProcesses.killAll(tag + "/");
-        // Naming the previous agent to the pool states that it and all its tasks are dead, which holds only from here.
+        // The boot id of the previous agent, sent to the pool, states that this agent and all its tasks are dead. That
+        // is
+        // certain only after the kill above.
         previousBootId = readOrCreate("boot", "");
         Files.writeString(agentOptions.dir().resolve("state").resolve("boot"), bootId);
         logs = new TaskLogs(agentOptions.dir().resolve("logs"), TaskLogs.Limits.DEFAULT);
@@ -100,7 +105,7 @@
                 MAX_CONNECTIONS,
                 MAX_BODY_BYTES,
                 this::handleRequest);
-        client = new HttpClient(loop, MAX_CALLS);
+        client = new HttpClient(loop, MAX_CONCURRENT_CALLS);
     }
 
     private String readOrCreate(String name, String initialValue) throws IOException {
@@ -123,7 +128,7 @@
         loop.stop();
     }
 
-    /** Kills all tasks and returns when no process of them is left. To be called after {@link #run} has returned. */
+    /** Kills all tasks and returns when none of their processes is left. To be called after {@link #run} has returned. */
     @Override
     public void close() throws IOException {
         try {
@@ -181,7 +186,7 @@
         client.tick();
     }
 
-    /** Asks the daemon which machine this host is assigned to. */
+    /** Requests from the daemon the machine that this host is assigned to. */
     private void pollAssignment(long nowMs) {
         pollInFlight = true;
         nextPollMs = nowMs + POLL_INTERVAL_MS;
@@ -330,7 +335,11 @@
             httpServer.answer(exchange, 400, MessagePackCodec.encode(Map.of("error", e.getMessage())), 0);
         } catch (IOException e) {
             LOG.error("task log can't be read: {}", e.getMessage());
-            httpServer.answer(exchange, 503, MessagePackCodec.encode(Map.of("error", "task log can't be read")), 5);
+            httpServer.answer(
+                    exchange,
+                    503,
+                    MessagePackCodec.encode(Map.of("error", "task log can't be read")),
+                    LOG_RETRY_AFTER_S);
         }
     }
 
--- a/src/main/java/birchusher/agent/Command.java
+++ b/src/main/java/birchusher/agent/Command.java
@@ -7,7 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** One command of a controller to a worker. */
+/**
+ * One command of a controller to a worker.
+ *
+ * @param graceMs how long a stopped task may take to end before it is killed; 0 for the other operations
+ */
 record Command(Operation operation, Action.AttemptKey attemptKey, long graceMs) {
     enum Operation {
         START,
--- a/src/main/java/birchusher/agent/Runner.java
+++ b/src/main/java/birchusher/agent/Runner.java
@@ -37,6 +37,8 @@
     /** Time for a task's last output to reach its log after its processes are gone. */
     private static final long LOG_DRAIN_MS = 2_000;
 
+    private static final long KILL_PAUSE_MS = 20;
+
     private final String agentTag;
     private final Path workRoot;
     private final Path checkpointRoot;
@@ -50,7 +52,7 @@
         Process process;
 
         boolean killed;
-        /** Set when the task is told to end: exit code 0 does not mean any more that its work is done. */
+        /** Set when the task is requested to end; from then on, exit code 0 does not mean that its work is done. */
         boolean endRequested;
 
         /** Starts the process unless the task is to end; returns whether it was started. */
@@ -69,7 +71,7 @@
             }
         }
 
-        /** Returns the process to be told to end, null if it has not been started. */
+        /** Marks the task as requested to end; returns its process, null if it has not been started. */
         synchronized Process requestEnd() {
             endRequested = true;
             return process;
@@ -241,7 +243,7 @@
     private boolean tryKillTagged(String tag) {
         try {
             TaggedProcesses.killAll(tag);
-            Thread.sleep(20);
+            Thread.sleep(KILL_PAUSE_MS);
             return true;
         } catch (IOException e) {
             LOG.error("processes can't be listed in /proc: {}", e.getMessage());
--- a/src/main/java/birchusher/agent/TaskLogs.java
+++ b/src/main/java/birchusher/agent/TaskLogs.java
@@ -17,7 +17,7 @@
 
 /**
  * Output of tasks, in files of limited size. Each attempt has a head file with the beginning of its output; when that is
- * full, output goes on in a tail file, which is started anew whenever it is full. The oldest files are deleted when all
+ * full, further output is written to a tail file, which is emptied whenever it is full. The oldest files are deleted when all
  * files together take too much space.
  */
 final class TaskLogs {
@@ -34,6 +34,7 @@
     private static final String HEAD_SUFFIX = ".log";
     private static final String TAIL_SUFFIX = ".tail";
     private static final int MAX_READ_BYTES = 32 * 1024;
+    private static final int COPY_BUFFER_BYTES = 8192;
 
     private final Path dir;
     private final Limits limits;
@@ -53,7 +54,7 @@
      */
     void copy(Action.AttemptKey key, InputStream input) throws IOException {
         Files.createDirectories(dir.resolve(key.job()));
-        byte[] buffer = new byte[8192];
+        byte[] buffer = new byte[COPY_BUFFER_BYTES];
         Path head = logFile(key, HEAD_SUFFIX);
         OutputStream output = Files.newOutputStream(head);
         long written = 0;
@@ -128,8 +129,9 @@
     }
 
     /**
-     * Reads at most 32 KiB of an attempt's log from an offset on: {"text", "next", "cut"}. Offsets run through both files;
-     * {@code cut} says that output between them is missing.
+     * Reads at most 32 KiB of an attempt's log from an offset on: {"text", "next", "cut"}. Offsets count the
+     * bytes of the head file, then those of the tail file; {@code cut} is true at the beginning of the tail file if output
+     * before it may have been discarded.
      */
     Map<String, Object> read(Action.AttemptKey key, long offset) throws IOException {
         Path head = logFile(key, HEAD_SUFFIX);
--- a/src/main/java/birchusher/agent/Worker.java
+++ b/src/main/java/birchusher/agent/Worker.java
@@ -46,6 +46,13 @@
     private static final long MAX_TERM_GRACE_MS = 2_000;
 
     private static final int MAX_TASKS = 1_000;
+    /** A report follows the previous one after this factor of the report interval at least. */
+    private static final double MIN_REPORT_JITTER = 0.75;
+    /** Largest random addition to {@link #MIN_REPORT_JITTER}. */
+    private static final double REPORT_JITTER_RANGE = 0.5;
+    /** Allowance for rounding errors in sums of resources. */
+    private static final double CAPACITY_TOLERANCE = 1e-6;
+
     private static final long NEVER = Long.MAX_VALUE;
 
     private static final class Task {
@@ -180,6 +187,7 @@
         }
     }
 
+    /** Handles the end of a lease, advances all tasks and sends a report if one is due; to be called periodically. */
     List<Action> tick(long nowMs) {
         if (machine == null || killingAll) {
             return drainActions();
@@ -282,7 +290,8 @@
         reportSentMs = nowMs;
         reportSession = session;
         lastReportMs = nowMs;
-        nextReportMs = nowMs + Math.round(assignment.reportMs() * (0.75 + 0.5 * random.nextDouble()));
+        nextReportMs = nowMs
+                + Math.round(assignment.reportMs() * (MIN_REPORT_JITTER + REPORT_JITTER_RANGE * random.nextDouble()));
         pendingActions.add(new Action.SendReport(
                 ++reportId,
                 assignment
@@ -485,9 +494,9 @@
     }
 
     private boolean fitsCapacity(Task task) {
-        double cpus = 1e-6;
-        double gpus = 1e-6;
-        double memoryGb = 1e-6;
+        double cpus = CAPACITY_TOLERANCE;
+        double gpus = CAPACITY_TOLERANCE;
+        double memoryGb = CAPACITY_TOLERANCE;
         for (Task other : tasks.values()) {
             if (other != task && !other.hasExited() && other.description != null) {
                 cpus += other.description.cpus();
@@ -495,9 +504,9 @@
                 memoryGb += other.description.memoryGb();
             }
         }
-        return cpus + task.description.cpus() <= assignment.cpus() + 2e-6
-                && gpus + task.description.gpus() <= assignment.gpus() + 2e-6
-                && memoryGb + task.description.memoryGb() <= assignment.memoryGb() + 2e-6;
+        return cpus + task.description.cpus() <= assignment.cpus() + 2 * CAPACITY_TOLERANCE
+                && gpus + task.description.gpus() <= assignment.gpus() + 2 * CAPACITY_TOLERANCE
+                && memoryGb + task.description.memoryGb() <= assignment.memoryGb() + 2 * CAPACITY_TOLERANCE;
     }
 
     private void runTask(long nowMs, Task task, List<String> hosts) {
@@ -506,7 +515,7 @@
         pendingActions.add(new Action.StartProcess(task.key, task.description, hosts));
     }
 
-    /** Handles an instruction of the pool's gang coordinator; anything but go, all and broken has no effect. */
+    /** Handles an instruction of the pool's gang coordinator; all but "go", "all" and "broken" have no effect. */
     List<Action> onGangInstruction(long nowMs, Action.AttemptKey key, String instruction, List<String> hosts) {
         Task task = tasks.get(key);
         if (task == null || task.hasExited() || task.endCause != null || killingAll) {
