--- a/src/main/java/birchusher/pool/GangCoordinator.java
+++ b/src/main/java/birchusher/pool/GangCoordinator.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Coordinates the start and end of gangs: every task of a gang reports its phase once a second, and learns whether all tasks
- * are present, whether one is missing, and whether all have succeeded. A state machine without I/O; not thread-safe.
+ * Coordinates the start and end of gangs: every task of a gang reports its phase once a second, and the response states
+ * whether all tasks are present, whether one is missing, and whether all have succeeded. A state machine without I/O; not thread-safe.
  *
  * <p>The state is kept in memory only and is built again from the next messages after a restart. No task counts as missing
  * before all have reported or the silence timeout has passed.
@@ -38,14 +38,14 @@
     private static final class Task {
         Phase phase;
         String host;
-        long heardMs;
+        long lastMessageMs;
     }
 
     private static final class Gang {
         final Map<Integer, Task> tasks = new HashMap<>();
         boolean started;
         boolean broken;
-        long heardMs;
+        long lastMessageMs;
         /** Time from which absent tasks count as missing. */
         long missingFromMs;
     }
@@ -53,7 +53,7 @@
     private final long silenceTimeoutMs;
     private final Map<String, Gang> gangs = new HashMap<>();
 
-    /** @param silenceTimeoutMs a task that has not succeeded and does not report for this long is taken for gone */
+    /** @param silenceTimeoutMs a task that has not succeeded and does not report for this long counts as missing */
     public GangCoordinator(long silenceTimeoutMs) {
         this.silenceTimeoutMs = silenceTimeoutMs;
     }
@@ -83,11 +83,11 @@
             newGang.missingFromMs = nowMs + silenceTimeoutMs;
             return newGang;
         });
-        gang.heardMs = nowMs;
+        gang.lastMessageMs = nowMs;
         Task task = gang.tasks.computeIfAbsent((int) index, absent -> new Task());
         task.phase = phase;
         task.host = Fields.text(message, Wire.ADDRESS);
-        task.heardMs = nowMs;
+        task.lastMessageMs = nowMs;
         if (phase == Phase.RUNNING || phase == Phase.ENDED) {
             // A task runs only after its gang was started, possibly before a restart of this process.
             gang.started = true;
@@ -112,7 +112,7 @@
     private void updateState(long nowMs, Gang gang, long taskCount) {
         for (Iterator<Task> i = gang.tasks.values().iterator(); i.hasNext(); ) {
             Task task = i.next();
-            if (nowMs - task.heardMs <= silenceTimeoutMs || task.phase == Phase.ENDED) {
+            if (nowMs - task.lastMessageMs <= silenceTimeoutMs || task.phase == Phase.ENDED) {
                 continue;
             }
             i.remove();
@@ -141,9 +141,9 @@
                 : "go";
     }
 
-    /** Forgets gangs that have sent no message for a while; to be called periodically. */
+    /** Removes gangs whose tasks have sent no message for {@value #RETENTION_MS} ms; to be called periodically. */
     public void tick(long nowMs) {
-        gangs.values().removeIf(gang -> nowMs - gang.heardMs > RETENTION_MS);
+        gangs.values().removeIf(gang -> nowMs - gang.lastMessageMs > RETENTION_MS);
     }
 
     private static Phase parsePhase(String name) {
--- a/src/main/java/birchusher/pool/HostPool.java
+++ b/src/main/java/birchusher/pool/HostPool.java
@@ -58,6 +58,13 @@
     /** An answer may be delayed on its way to the agent. */
     private static final long DELIVERY_MARGIN_MS = 1_000;
 
+    private static final double LISTED_CACHE_GB = 1_000.0;
+    private static final double LISTED_FETCH_GB_PER_S = 1_000.0;
+    private static final int RETRY_AFTER_S = 1;
+    private static final int NO_CAPACITY_RETRY_AFTER_S = 5;
+    private static final int OTHER_AGENT_RETRY_AFTER_S = 5;
+    private static final int DELETE_RETRY_AFTER_S = 2;
+
     private enum RentalState {
         RENTED,
         LEAVING,
@@ -94,7 +101,8 @@
         long lastSequence;
 
         String address;
-        long heardMs;
+        /** Time of the newest accepted poll, or of the start of the pool if there was none since. */
+        long lastPollMs;
         /** Its agent has reported that it runs as the rented machine. */
         boolean running;
 
@@ -119,7 +127,7 @@
 
     /**
      * @param agentSettings fields that are added to the response to every agent
-     * @param rows the rows written before; rows of others are skipped
+     * @param rows the rows written before; rows of other components are skipped
      * @throws InvalidInputException if a row can't be read, or is of a rented host that is no longer listed
      */
     public HostPool(
@@ -146,8 +154,9 @@
                 }
                 host.rental = Rental.fromRow(row);
                 host.bootId = host.rental.bootId();
-                // The time of the last answer to its agent is unknown after a restart: it may have been just before.
-                host.heardMs = nowMs;
+                // The time of the last answer to its agent is unknown after a restart: it may be just before the
+                // restart.
+                host.lastPollMs = nowMs;
                 hostsByMachine.put(host.rental.machine(), host);
             } else if (key.startsWith(REQUEST_ROW_PREFIX)) {
                 requestsBySequence.put(Fields.count(row, "order"), key.substring(REQUEST_ROW_PREFIX.length()));
@@ -163,7 +172,7 @@
         });
     }
 
-    /** Silence of an agent after which it has certainly killed everything. */
+    /** Time without a poll after which an agent has certainly killed all its tasks. */
     private long agentLeaseMs() {
         return Math.round(inventory.leaseMs() * CLOCK_DRIFT_FACTOR) + DELIVERY_MARGIN_MS;
     }
@@ -180,8 +189,8 @@
                 type.cpus(),
                 type.gpus(),
                 type.memoryGb(),
-                1_000.0,
-                1_000.0,
+                LISTED_CACHE_GB,
+                LISTED_FETCH_GB_PER_S,
                 type.price(),
                 type.price(),
                 inventory.zones(type.name()),
@@ -212,7 +221,7 @@
             return;
         }
         if (requestsInProgress.contains(request)) {
-            outbox.refuse(exchange, 503, "the same request is in progress", 1);
+            outbox.refuse(exchange, 503, "the same request is in progress", RETRY_AFTER_S);
             return;
         }
         List<PooledHost> free = new ArrayList<>();
@@ -221,7 +230,7 @@
                     && host.rental == null
                     && !host.writePending
                     && host.bootId != null
-                    && nowMs - host.heardMs <= MAX_SILENCE_MS
+                    && nowMs - host.lastPollMs <= MAX_SILENCE_MS
                     && free.size() < count
                     && host.listing.type().equals(type)
                     && host.listing.zone().equals(zone)) {
@@ -229,17 +238,21 @@
             }
         }
         if (free.isEmpty()) {
-            // A host that will soon be parked is no lack of capacity, after which clients look elsewhere for a long
-            // time.
+            // A host that will soon be parked is not reported as a lack of capacity, after which clients would request
+            // other types or zones for a long time.
             boolean freeSoon = !spot
                     && hostsByName.values().stream()
-                            .anyMatch(host -> nowMs - host.heardMs <= MAX_SILENCE_MS
+                            .anyMatch(host -> nowMs - host.lastPollMs <= MAX_SILENCE_MS
                                     && host.bootId != null
                                     && (host.writePending
                                             || host.rental != null && host.rental.state() != RentalState.RENTED)
                                     && host.listing.type().equals(type)
                                     && host.listing.zone().equals(zone));
-            outbox.refuse(exchange, 503, freeSoon ? "trouble" : "no capacity", freeSoon ? 1 : 5);
+            outbox.refuse(
+                    exchange,
+                    503,
+                    freeSoon ? "trouble" : "no capacity",
+                    freeSoon ? RETRY_AFTER_S : NO_CAPACITY_RETRY_AFTER_S);
             return;
         }
         Map<String, Map<String, ?>> rows = new HashMap<>();
@@ -275,12 +288,15 @@
                 machinesByRequest.put(request, machines);
                 outbox.answer(exchange, 200, Map.of(Wire.MACHINES, machines));
             } else {
-                outbox.refuse(exchange, 503, "trouble", 1);
+                outbox.refuse(exchange, 503, "trouble", RETRY_AFTER_S);
             }
         });
     }
 
-    /** Handles {@code POST /rentals/delete}; the response is sent when all machines are gone, or 503 after a time. */
+    /**
+     * Handles {@code POST /rentals/delete}; the response is sent when all machines are gone, or with
+     * status 503 after {@value #DELETE_WAIT_MS} ms.
+     */
     public void delete(long atMs, long exchange, Map<String, Object> body) {
         nowMs = atMs;
         List<?> machines = Fields.list(body, Wire.MACHINES);
@@ -355,7 +371,7 @@
                 outbox.answer(deletion.exchange(), 200, Map.of());
             } else if (nowMs >= deletion.deadlineMs()) {
                 i.remove();
-                outbox.refuse(deletion.exchange(), 503, "trouble", 2);
+                outbox.refuse(deletion.exchange(), 503, "trouble", DELETE_RETRY_AFTER_S);
             }
         }
     }
@@ -396,8 +412,8 @@
     // ---- agents
 
     /**
-     * Handles {@code POST /agents}: an agent reports its host and the machine that it runs as, and learns which machine it is
-     * to run as. Status 404 if the host is not listed, 409 if another agent controls it or if the poll is outdated. An agent
+     * Handles {@code POST /agents}: an agent reports its host and the machine that it runs as, and the response names the
+     * machine that it is to run as. Status 404 if the host is not listed, 409 if another agent controls it or if the poll is outdated. An agent
      * must not run anything unless the status is 200.
      */
     public void handlePoll(long atMs, long exchange, Map<String, Object> body) {
@@ -416,22 +432,25 @@
         if (!bootId.equals(host.bootId)) {
             // An agent that holds the lock on its directory and found the previous agent's id there proves that the
             // previous one is dead; any other agent has to wait until a lease has passed.
-            if (host.bootId != null && !host.bootId.equals(previousBootId) && nowMs - host.heardMs <= agentLeaseMs()) {
+            if (host.bootId != null
+                    && !host.bootId.equals(previousBootId)
+                    && nowMs - host.lastPollMs <= agentLeaseMs()) {
                 outbox.refuse(
                         exchange,
                         409,
-                        "another agent speaks for host " + name + ", heard " + (nowMs - host.heardMs) / 1000 + " s ago",
-                        5);
+                        "another agent speaks for host " + name + ", last poll " + (nowMs - host.lastPollMs) / 1000
+                                + " s ago",
+                        OTHER_AGENT_RETRY_AFTER_S);
                 return;
             }
             host.bootId = bootId;
         } else if (sequence <= host.lastSequence) {
             // A poll sent before the agent ran as its machine would park that machine while its tasks run.
-            outbox.refuse(exchange, 409, "poll is older than the newest one received", 1);
+            outbox.refuse(exchange, 409, "poll is older than the newest one received", RETRY_AFTER_S);
             return;
         }
         host.lastSequence = sequence;
-        host.heardMs = nowMs;
+        host.lastPollMs = nowMs;
         host.address = address;
         Rental rental = host.rental;
         boolean rentedByAgent = rental != null && rental.bootId().equals(bootId);
@@ -469,7 +488,7 @@
         for (PooledHost host : hostsByName.values()) {
             if (host.rental == null
                     || host.writePending
-                    || nowMs - host.heardMs <= agentLeaseMs()
+                    || nowMs - host.lastPollMs <= agentLeaseMs()
                     || changed.size() >= MAX_HOSTS_PER_WRITE) {
                 continue;
             }
@@ -501,12 +520,12 @@
             fields.put(
                     Wire.STATE,
                     host.rental == null
-                            ? host.bootId == null || atMs - host.heardMs > MAX_SILENCE_MS ? "absent" : "parked"
+                            ? host.bootId == null || atMs - host.lastPollMs > MAX_SILENCE_MS ? "absent" : "parked"
                             : host.rental.state() == RentalState.RENTED
                                     ? host.running ? Wire.RUNNING : "starting"
                                     : host.rental.state() == RentalState.LEAVING ? "leaving" : "failed");
             fields.put(Wire.MACHINE, host.rental == null ? null : host.rental.machine());
-            fields.put("heard_s", host.address == null ? null : (atMs - host.heardMs) / 1000.0);
+            fields.put("heard_s", host.address == null ? null : (atMs - host.lastPollMs) / 1000.0);
             descriptions.add(fields);
         }
         return descriptions;
@@ -521,7 +540,7 @@
     /** Returns the hosts whose agents have polled recently. */
     public List<String> reachableHosts(long atMs) {
         return hostsByName.values().stream()
-                .filter(host -> host.address != null && atMs - host.heardMs <= MAX_SILENCE_MS)
+                .filter(host -> host.address != null && atMs - host.lastPollMs <= MAX_SILENCE_MS)
                 .map(host -> host.listing.name())
                 .toList();
     }
--- a/src/main/java/birchusher/pool/ProgramStore.java
+++ b/src/main/java/birchusher/pool/ProgramStore.java
@@ -27,6 +27,11 @@
 
     private static final int MAX_COMMAND_WORDS = 1_000;
     private static final int MAX_VARIABLES = 200;
+    /** How many programs one call of {@link #nextToCheck} looks at. */
+    private static final int MAX_PROGRAMS_EXAMINED = 100;
+
+    private static final int FULL_RETRY_AFTER_S = 30;
+    private static final int RETRY_AFTER_S = 1;
     /** Age of a program from which on {@link #nextToCheck} returns it. */
     private static final long CHECK_AFTER_MS = 600_000;
     /** A program whose job was never submitted is deleted after this time. */
@@ -73,11 +78,11 @@
             return;
         }
         if (programs.size() + jobsBeingWritten.size() >= MAX_PROGRAMS) {
-            outbox.refuse(exchange, 503, "limit of stored programs reached", 30);
+            outbox.refuse(exchange, 503, "limit of stored programs reached", FULL_RETRY_AFTER_S);
             return;
         }
         if (!jobsBeingWritten.add(job)) {
-            outbox.refuse(exchange, 503, "another write for this job's program is in progress", 1);
+            outbox.refuse(exchange, 503, "another write for this job's program is in progress", RETRY_AFTER_S);
             return;
         }
         outbox.write(Map.of(ROW_PREFIX + job, Map.of("since", wallMs, "program", program)), durable -> {
@@ -86,7 +91,7 @@
                 programs.put(job, new StoredProgram(wallMs, program));
                 outbox.answer(exchange, 201, Map.of());
             } else {
-                outbox.refuse(exchange, 503, "program could not be written to the store", 1);
+                outbox.refuse(exchange, 503, "program could not be written to the store", RETRY_AFTER_S);
             }
         });
     }
@@ -140,7 +145,7 @@
 
     /** Returns the next job whose program is old enough for a check of the job's status, in turn; null if there is none. */
     public String nextToCheck(long wallMs) {
-        for (int i = 0; i < Math.min(100, programs.size() + 1); i++) {
+        for (int i = 0; i < Math.min(MAX_PROGRAMS_EXAMINED, programs.size() + 1); i++) {
             String job = programs.higherKey(lastChecked);
             lastChecked = job == null ? "" : job;
             if (job != null
--- a/src/test/java/birchusher/pool/HostPoolTest.java
+++ b/src/test/java/birchusher/pool/HostPoolTest.java
@@ -140,7 +140,7 @@
                 .as("the host will soon be free")
                 .isEqualTo("trouble");
         assertThat(poll("a", "boot-a", "n-000001").body().get("host"))
-                .as("told to stop running it")
+                .as("its agent is instructed to stop the machine")
                 .isNull();
         assertThat(responseStatus(firstDeletion)).isZero();
         poll("a", "boot-a", null);
@@ -167,7 +167,7 @@
         rent("r1", 1);
         poll("a", "boot-a", "n-000001", null, 3);
         long deletion = delete("n-000001");
-        // A poll that reports no machine, sent before the agent learnt which machine it is.
+        // A poll that reports no machine, sent before the agent received its assignment.
         assertThat(poll("a", "boot-a", null, null, lateSequence).status()).isEqualTo(409);
         assertThat(responseStatus(deletion)).isZero();
     }
