--- a/src/test/java/birchusher/sim/AnswerConsistencyTest.java
+++ b/src/test/java/birchusher/sim/AnswerConsistencyTest.java
@@ -206,10 +206,10 @@
     }
 
     private static String violationAfter(
-            int status, String stage, RequestKind nextKind, int nextStatus, String nextStage) {
+            int status, String state, RequestKind nextKind, int nextStatus, String nextState) {
         AnswerHistory history = new AnswerHistory();
-        assertThat(history.checkAnswer(history.requestSent(RequestKind.SUBMIT), status, stage))
+        assertThat(history.checkAnswer(history.requestSent(RequestKind.SUBMIT), status, state))
                 .isNull();
-        return history.checkAnswer(history.requestSent(nextKind), nextStatus, nextStage);
+        return history.checkAnswer(history.requestSent(nextKind), nextStatus, nextState);
     }
 }
--- a/src/test/java/birchusher/sim/AnswerHistory.java
+++ b/src/test/java/birchusher/sim/AnswerHistory.java
@@ -17,17 +17,17 @@
     record SentRequest(RequestKind kind, boolean acceptedBefore, boolean endedBefore) {}
 
     private boolean accepted;
-    private String finalStage;
-    private String lastStage;
+    private String finalState;
+    private String lastState;
     private int answerCount;
 
     /** Records that a request is sent. */
     SentRequest requestSent(RequestKind kind) {
-        return new SentRequest(kind, accepted, finalStage != null);
+        return new SentRequest(kind, accepted, finalState != null);
     }
 
     /** Records an answer. Returns the rule that it breaks, or null. */
-    String checkAnswer(SentRequest request, int status, String stage) {
+    String checkAnswer(SentRequest request, int status, String state) {
         answerCount++;
         if (status == 404) {
             return request.acceptedBefore ? "forgotten, answered as unknown" : null;
@@ -42,31 +42,31 @@
             return "accepted twice";
         }
         accepted = true;
-        boolean isFinal = "done".equals(stage) || "cancelled".equals(stage);
+        boolean isFinal = "done".equals(state) || "cancelled".equals(state);
         if (request.kind == RequestKind.CANCEL && !isFinal) {
-            return "cancellation answered with " + stage;
+            return "cancellation answered with " + state;
         }
-        if (isFinal && finalStage != null && !finalStage.equals(stage)) {
-            return "went_back from " + finalStage + " to " + stage;
+        if (isFinal && finalState != null && !finalState.equals(state)) {
+            return "went_back from " + finalState + " to " + state;
         }
         if (!isFinal && request.endedBefore) {
-            return "went_back from " + finalStage + " to " + stage;
+            return "went_back from " + finalState + " to " + state;
         }
         if (isFinal) {
-            finalStage = stage;
+            finalState = state;
         }
-        lastStage = finalStage != null ? finalStage : stage;
+        lastState = finalState != null ? finalState : state;
         return null;
     }
 
-    /** Returns whether a final stage was reported. */
+    /** Returns whether a final state was reported. */
     boolean hasEnded() {
-        return finalStage != null;
+        return finalState != null;
     }
 
-    /** Returns the newest stage that was reported; null: none yet. */
-    String lastStage() {
-        return lastStage;
+    /** Returns the newest state that was reported; null: none yet. */
+    String lastState() {
+        return lastState;
     }
 
     /** Returns the number of answers recorded. */
--- a/src/test/java/birchusher/sim/FakeWorker.java
+++ b/src/test/java/birchusher/sim/FakeWorker.java
@@ -13,21 +13,21 @@
         final String key;
 
         final long attempt;
-        String stage = "fetching";
+        String state = "fetching";
         String cause;
-        /** Time at which the present stage ends. */
-        long phaseEndsMs;
+        /** Time at which the present state ends, unless a command ends it before. */
+        long stateEndsMs;
 
         long ran;
 
-        Task(String key, long attempt, long phaseEndsMs) {
+        Task(String key, long attempt, long stateEndsMs) {
             this.key = key;
             this.attempt = attempt;
-            this.phaseEndsMs = phaseEndsMs;
+            this.stateEndsMs = stateEndsMs;
         }
 
         boolean exited() {
-            return stage.equals("exited");
+            return state.equals("exited");
         }
     }
 
@@ -99,7 +99,7 @@
             Map<String, Object> entry = new LinkedHashMap<>();
             entry.put("piece", task.key);
             entry.put("try", task.attempt);
-            entry.put("stage", task.stage);
+            entry.put("stage", task.state);
             if (task.cause != null) {
                 entry.put("cause", task.cause);
             }
@@ -150,25 +150,25 @@
             reportSoon(nowMs);
         }
         for (Task task : List.copyOf(tasks.values())) {
-            if (task.stage.equals("fetching") && nowMs >= task.phaseEndsMs) {
+            if (task.state.equals("fetching") && nowMs >= task.stateEndsMs) {
                 if (world.failingJobs.contains(task.key.substring(0, task.key.indexOf('/')))) {
                     world.taskErrors++;
-                    task.stage = "exited";
+                    task.state = "exited";
                     task.cause = "error";
                     reportSoon(nowMs);
                     continue;
                 }
                 boolean gang = world.isGang(task.key);
-                task.stage = gang ? "waiting" : "running";
-                task.phaseEndsMs = gang ? Long.MAX_VALUE : nowMs + world.runTimeMs(task.key);
+                task.state = gang ? "waiting" : "running";
+                task.stateEndsMs = gang ? Long.MAX_VALUE : nowMs + world.runTimeMs(task.key);
                 world.taskStarted(this, task);
                 reportSoon(nowMs);
-            } else if (task.stage.equals("flushing") && nowMs >= task.phaseEndsMs) {
-                task.stage = "exited";
+            } else if (task.state.equals("flushing") && nowMs >= task.stateEndsMs) {
+                task.state = "exited";
                 task.cause = "halted";
                 reportSoon(nowMs);
-            } else if (task.stage.equals("running") && !world.isGang(task.key) && nowMs >= task.phaseEndsMs) {
-                task.stage = "exited";
+            } else if (task.state.equals("running") && !world.isGang(task.key) && nowMs >= task.stateEndsMs) {
+                task.state = "exited";
                 task.cause = "done";
                 world.taskFinished(task.key);
                 reportSoon(nowMs);
@@ -201,7 +201,7 @@
     /** Ends the tasks of an expired lease without starting a new session. */
     void exitTasksIfLeaseExpired(long nowMs) {
         if (!holdsLease(nowMs)) {
-            tasks.values().forEach(task -> task.stage = "exited");
+            tasks.values().forEach(task -> task.state = "exited");
         }
     }
 
@@ -226,13 +226,13 @@
                         double gpusUsed = world.gpusNeeded(key);
                         for (Task other : tasks.values()) {
                             if (other.key.equals(key) && !other.exited()) {
-                                task.stage = "exited";
+                                task.state = "exited";
                                 task.cause = "in_use";
                             }
                             gpusUsed += other.exited() ? 0 : world.gpusNeeded(other.key);
                         }
                         if (gpusUsed > 4 && !task.exited()) {
-                            task.stage = "exited";
+                            task.state = "exited";
                             task.cause = "full";
                             world.refusedStarts++;
                         }
@@ -244,11 +244,11 @@
                             ? 0
                             : ((Number) command.get("wind_down_s")).doubleValue();
                     double saveS = world.checkpointSaveS(key);
-                    if (task != null && task.stage.equals("running") && saveS > 0 && graceS >= saveS) {
-                        task.stage = "flushing";
-                        task.phaseEndsMs = nowMs + Math.round(saveS * 1000);
-                    } else if (task != null && !task.exited() && !(task.stage.equals("flushing") && graceS > 0)) {
-                        task.stage = "exited";
+                    if (task != null && task.state.equals("running") && saveS > 0 && graceS >= saveS) {
+                        task.state = "flushing";
+                        task.stateEndsMs = nowMs + Math.round(saveS * 1000);
+                    } else if (task != null && !task.exited() && !(task.state.equals("flushing") && graceS > 0)) {
+                        task.state = "exited";
                         task.cause = "halted";
                     }
                 }
--- a/src/test/java/birchusher/sim/InvariantCheckersTest.java
+++ b/src/test/java/birchusher/sim/InvariantCheckersTest.java
@@ -18,7 +18,7 @@
     /** A world in which the answers to polls are replaced by false ones. */
     private static final class FalseAnswers extends World {
         private int falseStatus;
-        private String falseStage;
+        private String falseState;
 
         FalseAnswers() {
             super(1, 3, 12);
@@ -39,7 +39,7 @@
                     body,
                     (receivedStatus, answer) -> replyHandler.accept(
                             isPoll && falseStatus != 0 ? falseStatus : receivedStatus,
-                            isPoll && falseStage != null ? Map.of("stage", falseStage) : answer));
+                            isPoll && falseState != null ? Map.of("stage", falseState) : answer));
         }
     }
 
@@ -107,7 +107,7 @@
         for (FakeWorker worker : full.workers.values()) {
             for (int i = 0; i < 6; i++) {
                 FakeWorker.Task task = new FakeWorker.Task("wk-more/" + next, 9, Long.MAX_VALUE);
-                task.stage = "running";
+                task.state = "running";
                 worker.tasks.put("wk-more/" + next++ + "#9", task);
             }
         }
@@ -129,18 +129,18 @@
     void detectsImpossibleAnswers() {
         FalseAnswers done = worldWithJobs();
         done.falseStatus = 200;
-        done.falseStage = "done";
+        done.falseState = "done";
         done.run(1_500);
         assertThat(done.violations)
                 .anyMatch(violation -> violation.startsWith("not_done"))
                 .anyMatch(violation -> violation.startsWith("invented"));
         done.violations.clear();
-        done.falseStage = "running";
+        done.falseState = "running";
         done.run(1_500);
         assertThat(done.violations).anyMatch(violation -> violation.startsWith("went_back from done to running"));
         FalseAnswers cancelled = worldWithJobs();
         cancelled.falseStatus = 200;
-        cancelled.falseStage = "cancelled";
+        cancelled.falseState = "cancelled";
         cancelled.run(1_500);
         assertThat(cancelled.violations)
                 .anyMatch(violation -> violation.contains("reported as cancelled without a request"));
--- a/src/test/java/birchusher/sim/MeetingsTest.java
+++ b/src/test/java/birchusher/sim/MeetingsTest.java
@@ -99,13 +99,13 @@
         for (int lost = 0; lost < 2; lost++) {
             World w = new World(seed, 3, 40);
             w.run(12_000);
-            int before = w.machineRented;
+            int before = w.machinesRented;
             w.submit("wk-arr", "sweep", 24, "standard", false, false);
             if (lost == 1) {
                 w.store.loseReplyForKeyPrefix = "b/live/ask/";
             }
             w.run(9_000);
-            rented[lost] = w.machineRented - before;
+            rented[lost] = w.machinesRented - before;
             assertThat(w.store.loseReplyForKeyPrefix).as("it came").isNull();
             assertThat(w.violations).isEmpty();
         }
--- a/src/test/java/birchusher/sim/OperatorsTest.java
+++ b/src/test/java/birchusher/sim/OperatorsTest.java
@@ -63,7 +63,7 @@
         }
         assertThat(w.reportedState("wk-arr")).isEqualTo("done");
         // Ten machines hold all of it; a third of those rented never came.
-        assertThat(w.machineRented).isLessThan(40);
+        assertThat(w.machinesRented).isLessThan(40);
         answeredAndWell(w);
     }
 
@@ -109,11 +109,11 @@
         World w = new World(seed, controllers, 200);
         w.submit("wk-web", "standing", 5, "production", false, false);
         w.run(40_000);
-        int before = w.machineRented;
+        int before = w.machinesRented;
         w.submit("wk-guest", "sweep", 12, "low", false, false).put("crew", "guests");
         along(w, with, controllers);
         w.run(60_000);
-        assertThat(w.machineRented).as("rented for guests").isEqualTo(before);
+        assertThat(w.machinesRented).as("rented for guests").isEqualTo(before);
         w.submit("wk-own", "sweep", 8, "standard", false, false);
         w.run(120_000);
         assertThat(w.reportedState("wk-own")).isEqualTo("done");
--- a/src/test/java/birchusher/sim/ProcessWorld.java
+++ b/src/test/java/birchusher/sim/ProcessWorld.java
@@ -138,7 +138,10 @@
         servers.add(server[0]);
     }
 
-    /** Carries a request of a controller, or of one that is not known (-1), through the faults in effect to its stand-in. */
+    /**
+     * Passes a request of a controller to its stand-in, under the faults in effect. The index of the controller is -1 if
+     * it is unknown.
+     */
     private void forwardRequest(
             int controller,
             Effect.Destination destination,
--- a/src/test/java/birchusher/sim/RentalZoneTest.java
+++ b/src/test/java/birchusher/sim/RentalZoneTest.java
@@ -58,12 +58,12 @@
         filler.put("grove", alone.zone);
         world.run(60_000);
         assertThat(machinesOf(world, "wk-filler")).hasSize(6);
-        int rented = world.machineRented;
+        int rented = world.machinesRented;
         alone.deleted = true;
         world.workers.remove(alone.name);
         world.run(60_000);
         assertThat(world.violations).isEmpty();
         assertThat(machinesOf(world, "wk-spread")).hasSize(3);
-        assertThat(world.machineRented - rented).isEqualTo(1);
+        assertThat(world.machinesRented - rented).isEqualTo(1);
     }
 }
--- a/src/test/java/birchusher/sim/ScriptedWorker.java
+++ b/src/test/java/birchusher/sim/ScriptedWorker.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A worker that a test controls: it sends reports when told to and does not answer direct commands. */
+/**
+ * A worker that a test controls: it sends a report only when the test calls {@link #report} and
+ * answers no direct commands.
+ */
 final class ScriptedWorker {
     final World world;
     final String name;
@@ -21,7 +24,7 @@
         findOwner();
     }
 
-    /** Looks up the owner and its term, which the next responses would contain. */
+    /** Looks up the owner and its term, the fencing token that the next reports carry. */
     void findOwner() {
         owner = world.ownerOf(new FakeWorker(world, name, "east", false, world.nowMs));
         fencingToken = Long.parseLong(world.store
@@ -51,9 +54,9 @@
     }
 
     /** Returns the part of a report that describes one task. */
-    static Map<String, Object> taskReport(String task, long attempt, String stage, String cause) {
+    static Map<String, Object> taskReport(String task, long attempt, String state, String cause) {
         Map<String, Object> entry =
-                new java.util.LinkedHashMap<>(Map.of("piece", task, "try", attempt, "stage", stage));
+                new java.util.LinkedHashMap<>(Map.of("piece", task, "try", attempt, "stage", state));
         if (cause != null) {
             entry.put("cause", cause);
         }
--- a/src/test/java/birchusher/sim/SimulationTest.java
+++ b/src/test/java/birchusher/sim/SimulationTest.java
@@ -144,7 +144,7 @@
 
     /**
      * Guards against a cancelled task that runs on: a controller answered its workers until its member lease expired and
-     * did not learn of the cancellation.
+     * did not receive the cancellation.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
@@ -180,8 +180,8 @@
     }
 
     /**
-     * Guards against shards that change owners twice a second: without peer connections, each controller took itself for
-     * the only one.
+     * Guards against shards that change owners twice a second: without peer connections, each controller considered
+     * itself the only member.
      */
     @Test
     void lossOfPeerConnectionsAloneMovesNoShard() {
--- a/src/test/java/birchusher/sim/Soak.java
+++ b/src/test/java/birchusher/sim/Soak.java
@@ -65,7 +65,7 @@
                     violations,
                     soak.faultSchedule,
                     world.taskStarts,
-                    world.machineRented,
+                    world.machinesRented,
                     world.controllerStarts);
         }
     }
@@ -207,8 +207,13 @@
                     () -> world.holdPeerConnections(random.nextBoolean(), durationMs));
             case 7 -> scheduleFault(atMs, "peer connections reset", world::resetPeerConnections);
             case 8 -> scheduleMachineFault(atMs, durationMs, "cut off", FakeWorker::setCutOff);
-            case 9 -> scheduleMachineFault(atMs, durationMs, "deaf", (worker, active) -> worker.cannotReceive = active);
-            case 10 -> scheduleMachineFault(atMs, durationMs, "mute", (worker, active) -> worker.cannotReport = active);
+            case 9 -> scheduleMachineFault(
+                    atMs,
+                    durationMs,
+                    "unable to receive responses and commands",
+                    (worker, active) -> worker.cannotReceive = active);
+            case 10 -> scheduleMachineFault(
+                    atMs, durationMs, "unable to send reports", (worker, active) -> worker.cannotReport = active);
             case 11 -> scheduleMachineFault(
                     atMs,
                     durationMs,
--- a/src/test/java/birchusher/sim/World.java
+++ b/src/test/java/birchusher/sim/World.java
@@ -22,7 +22,7 @@
  * A simulated cluster: three or more controller cores with stand-ins for the state service, the cloud, workers and
  * users, in simulated time on one thread. Messages get lost or arrive late, controllers crash, machines hang and the
  * state service fails, as tests demand; all random draws come from one seed. The safety rules are checked at every step,
- * and {@link #violations} collects what breaks them.
+ * and {@link #violations} lists those that were broken.
  */
 class World {
     /** Default length of a worker lease. */
@@ -35,6 +35,26 @@
     /** The default of the setting {@code seats.lease-s}. */
     private static final long MEMBER_LEASE_MS = 45_000;
 
+    private static final long TICK_INTERVAL_MS = 50;
+    private static final long STAND_IN_STEP_MS = 100;
+    private static final long REPORT_INTERVAL_MS = 3_000;
+    private static final long MIN_REPORT_GAP_MS = 500;
+    /** Time for which a worker waits for the response to a report. */
+    private static final long REPORT_TIMEOUT_MS = 4_000;
+    /** Time from a worker's redirection to its report to the controller named there. */
+    private static final long REDIRECTED_REPORT_DELAY_MS = 200;
+    /** Time from an error or a time-out to the worker's report to the next controller. */
+    private static final long CONTROLLER_RETRY_MS = 1_000;
+
+    private static final long USER_REQUEST_INTERVAL_MS = 1_500;
+    private static final long GANG_RUN_TIME_MS = 8_000;
+    /** Time of day at simulated time 0. */
+    private static final long WALL_CLOCK_START_MS = 1_700_000_000_000L;
+
+    private static final int MAX_KEPT_REPORTS = 600;
+    /** Number of violations above which a run is aborted. */
+    private static final int MAX_VIOLATIONS = 20;
+
     private static final String[] ZONES = {"east", "west"};
 
     /**
@@ -146,7 +166,7 @@
     /** Number of task starts. */
     int taskStarts;
     /** Number of machines rented. */
-    int machineRented;
+    int machinesRented;
     /** Number of starts that a worker refused for lack of capacity. */
     int refusedStarts;
     /** Receives the name and the images of each machine that an owner publishes to its peers; null: nothing is passed on. */
@@ -413,7 +433,7 @@
     }
 
     /**
-     * Sends one request and waits for the answer for up to 5 s. Returns the status, followed by the stage, the error or
+     * Sends one request and waits for the answer for up to 5 s. Returns the status, followed by the state, the error or
      * the commands; null if there was no answer.
      */
     String requestAndWait(int controller, String method, String path, Map<String, Object> body) {
@@ -465,9 +485,9 @@
         return job.cancelledAtMs >= 0;
     }
 
-    /** Returns the newest stage of a job that any controller reported to its user, or null. */
+    /** Returns the newest state of a job that any controller reported to its user, or null. */
     String reportedState(String id) {
-        return jobs.get(id).history.lastStage();
+        return jobs.get(id).history.lastState();
     }
 
     /** Returns whether a controller has confirmed the cancellation of a job. */
@@ -475,7 +495,7 @@
         return jobs.get(id).cancelledAtMs >= 0;
     }
 
-    /** Returns the stored row of the last term given to an owner of a shard. */
+    /** Returns the stored row of the newest term that was assigned to an owner of a shard. */
     String latestTermRow() {
         return store.dump()
                 .lines()
@@ -509,14 +529,14 @@
     }
 
     private long wallClockMs(int controller) {
-        return 1_700_000_000_000L + nowMs + simulatedControllers[controller].wallClockOffsetMs;
+        return WALL_CLOCK_START_MS + nowMs + simulatedControllers[controller].wallClockOffsetMs;
     }
 
     private void tickController(int controller) {
         if (simulatedControllers[controller].core != null && nowMs >= simulatedControllers[controller].pausedUntilMs) {
             applyEffects(controller, simulatedControllers[controller].core.tick(nowMs, wallClockMs(controller)));
         }
-        schedule(nowMs + 50, () -> tickController(controller));
+        schedule(nowMs + TICK_INTERVAL_MS, () -> tickController(controller));
     }
 
     /** Advances the state service, the workers, the gangs and the users every 100 ms, and checks the rules. */
@@ -530,7 +550,7 @@
         jobs.values().forEach(this::stepGang);
         jobs.values().forEach(this::sendNextUserRequest);
         checkInvariants();
-        schedule(nowMs + 100, this::stepStandIns);
+        schedule(nowMs + STAND_IN_STEP_MS, this::stepStandIns);
     }
 
     private boolean drawLoss() {
@@ -583,8 +603,7 @@
     }
 
     /**
-     * Returns the index of the controller that another one knows as the given peer; peers are numbered from 1 and leave
-     * out the controller itself.
+     * Returns the index of a controller's peer. Each controller numbers the others from 1 on, without itself.
      */
     private static int controllerIndex(int self, int peer) {
         return peer <= self ? peer - 1 : peer;
@@ -695,7 +714,7 @@
     }
 
     /**
-     * Answers a watch. While the requests of its controller are refused or its reads are held back the watch stays
+     * Answers a watch. While the requests of its controller are refused or its reads are held back, the watch stays
      * open; afterwards it is answered at once with what it would have been answered before.
      */
     private void answerWatch(int controller, Runnable answer) {
@@ -774,7 +793,7 @@
                                                             ? 200 + random.nextInt(1_500)
                                                             : Math.round(bootTimeFactor
                                                                     * (4_000 + random.nextInt(9_000))))));
-                    machineRented++;
+                    machinesRented++;
                     onMachineRented(workers.get(name));
                 }
                 return names;
@@ -850,12 +869,12 @@
     /** Sends a report of a worker, under the faults in effect, and lets the worker process the response. */
     private void sendReport(FakeWorker worker) {
         worker.reportInFlight = true;
-        worker.nextReportMs = nowMs + 3_000;
+        worker.nextReportMs = nowMs + REPORT_INTERVAL_MS;
         long sentAtMs = nowMs;
         long session = worker.session;
         byte[] report = MessagePackCodec.encode(worker.report());
         int controller = worker.controllerIndex;
-        if (keepReports && keptReports.size() < 600) {
+        if (keepReports && keptReports.size() < MAX_KEPT_REPORTS) {
             keptReports.add(report);
         }
         boolean[] completed = new boolean[1];
@@ -881,17 +900,17 @@
                     worker.fencingToken = fencingToken;
                     worker.leaseStartMs = sentAtMs;
                     worker.execute(asList(response.get("orders")), nowMs);
-                    worker.nextReportMs = Math.max(worker.nextReportMs, sentAtMs + 500);
+                    worker.nextReportMs = Math.max(worker.nextReportMs, sentAtMs + MIN_REPORT_GAP_MS);
                 }
             } else if (status == 421 && response.get("usher") != null) {
                 worker.controllerIndex = Integer.parseInt(((String) response.get("usher")).substring(6));
-                worker.nextReportMs = nowMs + 200;
+                worker.nextReportMs = nowMs + REDIRECTED_REPORT_DELAY_MS;
             } else {
                 worker.controllerIndex = (worker.controllerIndex + 1) % simulatedControllers.length;
-                worker.nextReportMs = nowMs + 1_000;
+                worker.nextReportMs = nowMs + CONTROLLER_RETRY_MS;
             }
         };
-        schedule(nowMs + 4_000, () -> responseHandler.accept(0, Map.of()));
+        schedule(nowMs + REPORT_TIMEOUT_MS, () -> responseHandler.accept(0, Map.of()));
         if (duplicateReportRate > 0 && random.nextDouble() < duplicateReportRate) {
             schedule(
                     nowMs + 1_000 + random.nextInt(60_000),
@@ -921,7 +940,7 @@
     }
 
     /**
-     * Sends a request to a controller. While the controller is paused the request waits; while it is down there is no
+     * Sends a request to a controller. While the controller is paused, the request waits; while it is down, there is no
      * answer.
      */
     void sendRequest(
@@ -951,7 +970,7 @@
         if (nowMs < job.nextRequestMs) {
             return;
         }
-        job.nextRequestMs = nowMs + 1_500;
+        job.nextRequestMs = nowMs + USER_REQUEST_INTERVAL_MS;
         int controller = random.nextInt(simulatedControllers.length);
         if (!job.accepted) {
             sendCheckedRequest(controller, AnswerHistory.RequestKind.SUBMIT, job);
@@ -985,18 +1004,18 @@
         byte[] body = kind == AnswerHistory.RequestKind.SUBMIT ? MessagePackCodec.encode(job.body) : new byte[0];
         sendRequest(
                 controller, kind == AnswerHistory.RequestKind.POLL ? "GET" : "POST", path, body, (status, answer) -> {
-                    String stageBefore = job.history.lastStage();
+                    String stateBefore = job.history.lastState();
                     String violation = job.history.checkAnswer(request, status, (String) answer.get("stage"));
                     if (violation != null) {
                         violations.add(violation + ": " + job.id + " by perch-" + controller);
                     }
                     if (status == 200 || status == 201) {
                         job.accepted = true;
-                        checkReportedStage(job, (String) answer.get("stage"));
+                        checkReportedState(job, (String) answer.get("stage"));
                     }
-                    boolean changed = stageBefore == null
-                            ? job.history.lastStage() != null
-                            : job.history.hasEnded() && !stageBefore.equals(job.history.lastStage());
+                    boolean changed = stateBefore == null
+                            ? job.history.lastState() != null
+                            : job.history.hasEnded() && !stateBefore.equals(job.history.lastState());
                     if (recheckAtAllControllers && changed) {
                         requestAtAllControllers(job);
                     }
@@ -1020,8 +1039,8 @@
         FakeWorker last = null;
         for (FakeWorker worker : workers.values()) {
             for (FakeWorker.Task task : worker.tasks.values()) {
-                if (task.key.startsWith(id + "/") && task.stage.equals("running")) {
-                    task.phaseEndsMs = nowMs;
+                if (task.key.startsWith(id + "/") && task.state.equals("running")) {
+                    task.stateEndsMs = nowMs;
                     last = worker;
                 }
             }
@@ -1046,15 +1065,15 @@
         }
     }
 
-    /** Checks a reported final stage against what the user asked for and what the tasks did. */
-    private void checkReportedStage(TrackedJob job, String stage) {
-        if ("cancelled".equals(stage)) {
+    /** Checks a reported final state against what the user asked for and what the tasks did. */
+    private void checkReportedState(TrackedJob job, String state) {
+        if ("cancelled".equals(state)) {
             if (!job.cancelRequested) {
                 violations.add("went_back: " + job.id + " reported as cancelled without a request");
             }
             job.cancelledAtMs = job.cancelledAtMs < 0 ? nowMs : job.cancelledAtMs;
         }
-        if ("done".equals(stage) && finishedTaskCounts.getOrDefault(job.id, 0) < job.taskCount) {
+        if ("done".equals(state) && finishedTaskCounts.getOrDefault(job.id, 0) < job.taskCount) {
             violations.add("not_done: " + job.id);
         }
     }
@@ -1065,7 +1084,7 @@
         return (Double) body.get("mark_every_s") > 0 ? (Double) body.get("mark_take_s") : 0;
     }
 
-    /** Returns the number of tasks of a job that are on machines and have not exited, whatever their stage. */
+    /** Returns the number of tasks of a job that are on machines and have not exited, whatever their state. */
     long unfinishedTaskCount(String id) {
         return workers.values().stream()
                 .filter(worker -> worker.holdsLease(nowMs))
@@ -1097,7 +1116,7 @@
                 if (worker.holdsLease(nowMs)
                         && nowMs >= worker.hungUntilMs
                         && task.key.startsWith(job.id + "/")
-                        && (task.stage.equals("waiting") || task.stage.equals("running"))) {
+                        && (task.state.equals("waiting") || task.state.equals("running"))) {
                     tasksByAttempt
                             .computeIfAbsent(task.attempt, attempt -> new ArrayList<>())
                             .add(task);
@@ -1105,18 +1124,18 @@
             }
         }
         tasksByAttempt.values().forEach(tasks -> {
-            boolean running = tasks.stream().anyMatch(task -> task.stage.equals("running"));
+            boolean running = tasks.stream().anyMatch(task -> task.state.equals("running"));
             if (running && tasks.size() < job.taskCount) {
                 exitAll(tasks, "mates_gone");
-            } else if (running && nowMs >= tasks.get(0).phaseEndsMs
+            } else if (running && nowMs >= tasks.get(0).stateEndsMs
                     || !running && tasks.size() == job.taskCount && finishedTasks.contains(tasks.get(0).key)) {
                 tasks.forEach(task -> taskFinished(task.key));
                 exitAll(tasks, "done");
             } else if (!running && tasks.size() == job.taskCount) {
-                long endMs = nowMs + 8_000;
+                long endMs = nowMs + GANG_RUN_TIME_MS;
                 tasks.forEach(task -> {
-                    task.stage = "running";
-                    task.phaseEndsMs = endMs;
+                    task.state = "running";
+                    task.stateEndsMs = endMs;
                 });
             }
         });
@@ -1124,7 +1143,7 @@
 
     private static void exitAll(List<FakeWorker.Task> tasks, String cause) {
         tasks.forEach(task -> {
-            task.stage = "exited";
+            task.state = "exited";
             task.cause = cause;
         });
     }
@@ -1174,7 +1193,7 @@
         for (FakeWorker other : workers.values()) {
             other.exitTasksIfLeaseExpired(nowMs);
             for (FakeWorker.Task otherTask : other.tasks.values()) {
-                if (!otherTask.exited() && !otherTask.stage.equals("fetching") && otherTask.key.startsWith(id + "/")) {
+                if (!otherTask.exited() && !otherTask.state.equals("fetching") && otherTask.key.startsWith(id + "/")) {
                     if (otherTask != task && otherTask.key.equals(task.key)) {
                         violations.add("ran_twice: " + task.key + " on " + worker.name + " and " + other.name);
                     }
@@ -1193,12 +1212,12 @@
         }
     }
 
-    /** Checks the rules that hold at every step; gives up after more than 20 violations. */
+    /** Checks the rules that hold at every step; aborts the run after more than {@value #MAX_VIOLATIONS} violations. */
     private void checkInvariants() {
         double runningTasks = 0;
         for (FakeWorker worker : workers.values()) {
             for (FakeWorker.Task task : worker.tasks.values()) {
-                if (task.exited() || task.stage.equals("fetching") || !worker.holdsLease(nowMs)) {
+                if (task.exited() || task.state.equals("fetching") || !worker.holdsLease(nowMs)) {
                     continue;
                 }
                 runningTasks++;
@@ -1213,7 +1232,7 @@
         }
         violations.addAll(store.unsafeTransactions);
         store.unsafeTransactions.clear();
-        if (violations.size() > 20) {
+        if (violations.size() > MAX_VIOLATIONS) {
             throw new AssertionError(violations.toString());
         }
     }
