--- a/src/main/java/birchusher/agent/Agent.java
+++ b/src/main/java/birchusher/agent/Agent.java
@@ -84,8 +84,7 @@
         directoryLock = new LockedDirectory(agentOptions.dir().resolve("state"));
         tag = readOrCreate("tag", UUID.randomUUID().toString());
         TaggedProcesses.killAll(tag + "/");
-        // The boot id of the previous agent, sent to the pool, states that this agent and all its tasks are dead. That
-        // is
+        // Sent to the pool, the boot id of the previous agent states that it and all its tasks are dead, which is
         // certain only after the kill above.
         previousBootId = readOrCreate("boot", "");
         Files.writeString(agentOptions.dir().resolve("state").resolve("boot"), bootId);
--- a/src/main/java/birchusher/agent/TaskLogs.java
+++ b/src/main/java/birchusher/agent/TaskLogs.java
@@ -17,8 +17,8 @@
 
 /**
  * Output of tasks, in files of limited size. Each attempt has a head file with the beginning of its output; when that is
- * full, further output is written to a tail file, which is emptied whenever it is full. The oldest files are deleted when all
- * files together take too much space.
+ * full, further output is written to a tail file, which is emptied whenever it is full. The oldest files are deleted when
+ * all files together take too much space.
  */
 final class TaskLogs {
     /**
@@ -129,9 +129,9 @@
     }
 
     /**
-     * Reads at most 32 KiB of an attempt's log from an offset on: {"text", "next", "cut"}. Offsets count the
-     * bytes of the head file, then those of the tail file; {@code cut} is true at the beginning of the tail file if output
-     * before it may have been discarded.
+     * Reads at most 32 KiB of an attempt's log from an offset on: {"text", "next", "cut"}. Offsets count the bytes
+     * of the head file, then those of the tail file. {@code cut} is true at the beginning of the tail file if output before
+     * it may have been discarded.
      */
     Map<String, Object> read(Action.AttemptKey key, long offset) throws IOException {
         Path head = logFile(key, HEAD_SUFFIX);
--- a/src/main/java/birchusher/agent/Worker.java
+++ b/src/main/java/birchusher/agent/Worker.java
@@ -46,10 +46,10 @@
     private static final long MAX_TERM_GRACE_MS = 2_000;
 
     private static final int MAX_TASKS = 1_000;
-    /** A report follows the previous one after this factor of the report interval at least. */
-    private static final double MIN_REPORT_JITTER = 0.75;
-    /** Largest random addition to {@link #MIN_REPORT_JITTER}. */
-    private static final double REPORT_JITTER_RANGE = 0.5;
+    /** The interval to the next report is the configured one times a random factor, which is at least this. */
+    private static final double MIN_INTERVAL_FACTOR = 0.75;
+    /** The random factor is at most this much above {@link #MIN_INTERVAL_FACTOR}. */
+    private static final double INTERVAL_FACTOR_RANGE = 0.5;
     /** Allowance for rounding errors in sums of resources. */
     private static final double CAPACITY_TOLERANCE = 1e-6;
 
@@ -291,7 +291,8 @@
         reportSession = session;
         lastReportMs = nowMs;
         nextReportMs = nowMs
-                + Math.round(assignment.reportMs() * (MIN_REPORT_JITTER + REPORT_JITTER_RANGE * random.nextDouble()));
+                + Math.round(
+                        assignment.reportMs() * (MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * random.nextDouble()));
         pendingActions.add(new Action.SendReport(
                 ++reportId,
                 assignment
--- a/src/main/java/birchusher/pool/GangCoordinator.java
+++ b/src/main/java/birchusher/pool/GangCoordinator.java
@@ -11,7 +11,8 @@
 
 /**
  * Coordinates the start and end of gangs: every task of a gang reports its phase once a second, and the response states
- * whether all tasks are present, whether one is missing, and whether all have succeeded. A state machine without I/O; not thread-safe.
+ * whether all tasks are present, whether one is missing, and whether all have succeeded. A state machine without I/O; not
+ * thread-safe.
  *
  * <p>The state is kept in memory only and is built again from the next messages after a restart. No task counts as missing
  * before all have reported or the silence timeout has passed.
--- a/src/main/java/birchusher/pool/HostPool.java
+++ b/src/main/java/birchusher/pool/HostPool.java
@@ -238,8 +238,8 @@
             }
         }
         if (free.isEmpty()) {
-            // A host that will soon be parked is not reported as a lack of capacity, after which clients would request
-            // other types or zones for a long time.
+            // A host that will soon be parked is not reported as a lack of capacity, after which clients look for
+            // it elsewhere for a long time.
             boolean freeSoon = !spot
                     && hostsByName.values().stream()
                             .anyMatch(host -> nowMs - host.lastPollMs <= MAX_SILENCE_MS
@@ -294,8 +294,8 @@
     }
 
     /**
-     * Handles {@code POST /rentals/delete}; the response is sent when all machines are gone, or with
-     * status 503 after {@value #DELETE_WAIT_MS} ms.
+     * Handles {@code POST /rentals/delete}; the response is sent when all machines are gone, or with status 503
+     * after {@value #DELETE_WAIT_MS} ms.
      */
     public void delete(long atMs, long exchange, Map<String, Object> body) {
         nowMs = atMs;
@@ -413,8 +413,8 @@
 
     /**
      * Handles {@code POST /agents}: an agent reports its host and the machine that it runs as, and the response names the
-     * machine that it is to run as. Status 404 if the host is not listed, 409 if another agent controls it or if the poll is outdated. An agent
-     * must not run anything unless the status is 200.
+     * machine that it is to run as. Status 404 if the host is not listed, 409 if another agent controls it or if the poll
+     * is outdated. An agent must not run anything unless the status is 200.
      */
     public void handlePoll(long atMs, long exchange, Map<String, Object> body) {
         nowMs = atMs;
--- a/src/test/java/birchusher/kv/EngineTest.java
+++ b/src/test/java/birchusher/kv/EngineTest.java
@@ -23,7 +23,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Request.Transaction txn(List<Request.Condition> conditions, Write... writes) {
+    private static Request.Transaction transaction(List<Request.Condition> conditions, Write... writes) {
         return new Request.Transaction(conditions, List.of(writes), 100, 10);
     }
 
@@ -320,7 +320,7 @@
         assertThat(engine.submitAndComplete(new Request.Get("b"))).isInstanceOf(Reply.Found.class);
         assertThat(engine.submitAndComplete(new Request.RenewLease(leaseId))).isEqualTo(new Reply.LeaseNotFound());
         assertThat(engine.submitAndComplete(
-                        txn(List.of(new Request.Condition("b", 7)), new Write.Set("c", bytes("3"), leaseId))))
+                        transaction(List.of(new Request.Condition("b", 7)), new Write.Set("c", bytes("3"), leaseId))))
                 .as("a missing lease is reported before failed conditions")
                 .isEqualTo(new Reply.LeaseNotFound());
     }
@@ -331,10 +331,11 @@
         long leaseId = ((Reply.LeaseGranted) engine.submitAndComplete(new Request.GrantLease(5_000))).leaseId();
         engine.submitAndComplete(
                 new Request.Transaction(List.of(), List.of(new Write.Set("a", bytes("1"), leaseId)), 100, 10));
-        long lostWrite = engine.submit(txn(List.of(), set("b", "2")));
+        long lostWrite = engine.submit(transaction(List.of(), set("b", "2")));
         engine.failWrites(false);
         assertThat(engine.answers.get(lostWrite)).isEqualTo(new Reply.Unavailable(1));
-        assertThat(engine.submitAndComplete(txn(List.of(), set("b", "3")))).isEqualTo(new Reply.Unavailable(1));
+        assertThat(engine.submitAndComplete(transaction(List.of(), set("b", "3"))))
+                .isEqualTo(new Reply.Unavailable(1));
         assertThat(engine.submitAndComplete(new Request.GrantLease(1_000))).isEqualTo(new Reply.Unavailable(1));
         assertThat(engine.submitAndComplete(new Request.Get("b"))).isEqualTo(new Reply.NotFound(1));
         for (int i = 0; i < 5; i++) {
@@ -362,7 +363,7 @@
         TestEngine engine = new TestEngine(LIMITS);
         long watch = engine.submit(new Request.Watch("a/", 0, 10_000));
         long otherWatch = engine.submit(new Request.Watch("z/", 0, 3_000));
-        engine.submit(txn(List.of(), set("a/1", "x"), set("b/1", "y")));
+        engine.submit(transaction(List.of(), set("a/1", "x"), set("b/1", "y")));
         assertThat(engine.answers).doesNotContainKey(watch);
         engine.completeWrites();
         assertThat(((Reply.Events) engine.answers.get(watch)).events())
@@ -376,7 +377,7 @@
             for (int j = 0; j < 8; j++) {
                 writes[j] = set("m/" + j, "" + i);
             }
-            engine.submitAndComplete(txn(List.of(), writes));
+            engine.submitAndComplete(transaction(List.of(), writes));
         }
         assertThat(engine.submitAndComplete(new Request.Watch("a/", 1, 0))).isEqualTo(new Reply.RevisionCompacted());
         assertThat(engine.submitAndComplete(new Request.Watch("a/", 1_000_000, 0)))
@@ -392,7 +393,7 @@
     void pagesAreOrderedBoundedAndContinueAfterAKey() {
         TestEngine engine = new TestEngine(LIMITS);
         for (int i = 0; i < 30; i++) {
-            engine.submitAndComplete(txn(List.of(), set(String.format("p/%02d", i), "v"), set("q/" + i, "v")));
+            engine.submitAndComplete(transaction(List.of(), set(String.format("p/%02d", i), "v"), set("q/" + i, "v")));
         }
         List<String> keys = new ArrayList<>();
         String after = null;
@@ -408,11 +409,12 @@
     @Test
     void limitsAreEnforced() {
         TestEngine engine = new TestEngine(new Limits(50, 10, 2, 100));
-        assertThat(engine.submitAndComplete(txn(List.of(), set("a", "1"), set("b", "1"), set("c", "1"))))
+        assertThat(engine.submitAndComplete(transaction(List.of(), set("a", "1"), set("b", "1"), set("c", "1"))))
                 .isInstanceOf(Reply.InvalidRequest.class);
-        assertThat(engine.submitAndComplete(txn(List.of(), set("a", "1"), set("a", "2"))))
+        assertThat(engine.submitAndComplete(transaction(List.of(), set("a", "1"), set("a", "2"))))
                 .isEqualTo(new Reply.InvalidRequest("writes: a twice"));
-        assertThat(engine.submitAndComplete(txn(List.of(), set("a b", "1")))).isInstanceOf(Reply.InvalidRequest.class);
+        assertThat(engine.submitAndComplete(transaction(List.of(), set("a b", "1"))))
+                .isInstanceOf(Reply.InvalidRequest.class);
         assertThat(engine.submitAndComplete(new Request.Transaction(List.of(), List.of(set("a", "1")), 70_000, 10)))
                 .isInstanceOf(Reply.InvalidRequest.class);
         assertThat(engine.submitAndComplete(new Request.Transaction(List.of(), List.of(set("a", "1")), 200, 101)))
@@ -420,12 +422,14 @@
         assertThat(engine.submitAndComplete(new Request.GrantLease(50))).isInstanceOf(Reply.InvalidRequest.class);
         for (int i = 0; i < 10; i++) {
             // The write rate limit also counts transactions whose conditions fail.
-            assertThat(engine.submitAndComplete(txn(List.of(new Request.Condition("a", 9)), set("a", "1"))))
+            assertThat(engine.submitAndComplete(transaction(List.of(new Request.Condition("a", 9)), set("a", "1"))))
                     .isInstanceOf(Reply.ConditionsFailed.class);
         }
-        assertThat(engine.submitAndComplete(txn(List.of(), set("a", "1")))).isEqualTo(new Reply.LimitExceeded(1));
+        assertThat(engine.submitAndComplete(transaction(List.of(), set("a", "1"))))
+                .isEqualTo(new Reply.LimitExceeded(1));
         engine.nowMs += 100;
-        assertThat(engine.submitAndComplete(txn(List.of(), set("a", "1")))).isEqualTo(new Reply.Committed(1));
+        assertThat(engine.submitAndComplete(transaction(List.of(), set("a", "1"))))
+                .isEqualTo(new Reply.Committed(1));
         for (int i = 0; i < 50; i++) {
             engine.submitAndComplete(new Request.Get("a"));
         }
--- a/src/test/java/birchusher/sim/AnswerConsistencyTest.java
+++ b/src/test/java/birchusher/sim/AnswerConsistencyTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * No controller may answer with an older state of a job than any controller has reported to a user: users ask all
- * controllers about one job within milliseconds.
+ * No controller may answer with an older state of a job than any controller has reported to a user: users
+ * send requests about one job to all controllers within milliseconds.
  */
 class AnswerConsistencyTest {
     @BeforeAll
@@ -138,7 +138,7 @@
     }
 
     /**
-     * Users ask all controllers about every job and cancel some jobs at the moment of their end, while controllers read
+     * Users poll all controllers about every job and cancel some jobs at the moment of their end, while controllers read
      * their views anew and crash.
      */
     @ParameterizedTest
--- a/src/test/java/birchusher/sim/FakeStore.java
+++ b/src/test/java/birchusher/sim/FakeStore.java
@@ -20,6 +20,9 @@
     private record Watch(
             String prefix, long sinceRevision, long untilMs, BiConsumer<Integer, Map<String, Object>> replyHandler) {}
 
+    /** Leases expire late by this time, never early. */
+    private static final long EXPIRY_DELAY_MS = 50;
+
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private final List<Event> history = new ArrayList<>();
     /** By lease id: time to live and time of expiry, in ms. */
@@ -73,7 +76,7 @@
             return;
         }
         leases.entrySet().removeIf(lease -> {
-            if (nowMs <= lease.getValue()[1] + 50) {
+            if (nowMs <= lease.getValue()[1] + EXPIRY_DELAY_MS) {
                 return false;
             }
             List<String> keys = new ArrayList<>();
--- a/src/test/java/birchusher/sim/FakeWorker.java
+++ b/src/test/java/birchusher/sim/FakeWorker.java
@@ -7,6 +7,10 @@
 
 /** Stand-in for the worker of one machine that follows the published worker protocol. */
 final class FakeWorker {
+    static final int GPUS_PER_MACHINE = 4;
+    /** Time from a change of tasks, session or fencing token to the report of it. */
+    private static final long CHANGE_REPORT_DELAY_MS = 500;
+
     /** One attempt of a task on this machine. */
     static final class Task {
         /** Job id and index of the task, such as {@code wk-web/0}. */
@@ -179,7 +183,7 @@
 
     /** Brings the next report forward after a change of tasks or session; without one, a worker keeps its interval. */
     private void reportSoon(long nowMs) {
-        nextReportMs = Math.min(nextReportMs, nowMs + 500);
+        nextReportMs = Math.min(nextReportMs, nowMs + CHANGE_REPORT_DELAY_MS);
     }
 
     /** Reports a higher fencing token soon, as a change, but at most once within half the length of a lease. */
@@ -231,7 +235,7 @@
                             }
                             gpusUsed += other.exited() ? 0 : world.gpusNeeded(other.key);
                         }
-                        if (gpusUsed > 4 && !task.exited()) {
+                        if (gpusUsed > GPUS_PER_MACHINE && !task.exited()) {
                             task.state = "exited";
                             task.cause = "full";
                             world.refusedStarts++;
--- a/src/test/java/birchusher/sim/Soak.java
+++ b/src/test/java/birchusher/sim/Soak.java
@@ -16,8 +16,6 @@
     /** Length of the last part of a run, in which no fault begins and all have ended. */
     static final long FAULT_FREE_END_MS = 15_000;
 
-    private static final int GPUS_PER_MACHINE = 4;
-
     private final long seed;
     private final Random random;
     private final ProcessWorld world;
@@ -54,7 +52,7 @@
      * @param workers about how many machines the first jobs need
      */
     static Result run(long seed, int workers, int seconds, Path dir) throws IOException, InterruptedException {
-        try (ProcessWorld world = new ProcessWorld(seed, 3, workers * GPUS_PER_MACHINE, dir)) {
+        try (ProcessWorld world = new ProcessWorld(seed, 3, workers * FakeWorker.GPUS_PER_MACHINE, dir)) {
             Soak soak = new Soak(seed, world, seconds * 1000L);
             soak.scheduleJobsAndFaults(workers);
             world.runInRealTime(soak.endMs);
@@ -75,7 +73,7 @@
         world.fastBoot = workers > 50;
         world.submit("wk-web", "standing", 3, "production", true, false);
         world.submit("wk-gang", "gang", 3, "standard", false, true);
-        int remainingTasks = workers * GPUS_PER_MACHINE * 2 / 3;
+        int remainingTasks = workers * FakeWorker.GPUS_PER_MACHINE * 2 / 3;
         for (int i = 0; remainingTasks > 0; i++, remainingTasks -= 12) {
             world.submit(
                     "wk-arr" + i,
--- a/src/test/java/birchusher/statehost/DurableStoreMeasure.java
+++ b/src/test/java/birchusher/statehost/DurableStoreMeasure.java
@@ -18,8 +18,9 @@
  */
 final class DurableStoreMeasure {
     private static final Limits LIMITS = new Limits(1e9, 1e9, 16, 8192);
-    private static final byte[] JOB = new byte[400];
-    private static final byte[] ENDED = new byte[60];
+    private static final int MEASURED_S = 3;
+    private static final byte[] JOB_VALUE = new byte[400];
+    private static final byte[] ENDED_JOB_VALUE = new byte[60];
 
     private DurableStoreMeasure() {}
 
@@ -44,15 +45,15 @@
                 long requestId = 0;
                 int done = 0;
                 long startNs = System.nanoTime();
-                while (System.nanoTime() - startNs < 3_000_000_000L) {
+                while (System.nanoTime() - startNs < MEASURED_S * 1_000_000_000L) {
                     for (int i = 0; i < clients; i++) {
-                        change(store, ++requestId, "b/live/job/wk-" + requestId, JOB);
+                        change(store, ++requestId, "b/live/job/wk-" + requestId, JOB_VALUE);
                     }
                     for (Answer answer : store.flush(requestId)) {
                         done += answer.reply() instanceof Reply.Committed ? 1 : 0;
                     }
                 }
-                System.out.printf("%d clients: %.0f durable changes a second%n", clients, done / 3.0);
+                System.out.printf("%d clients: %.0f durable changes a second%n", clients, done / (double) MEASURED_S);
             }
         }
         for (int argument = 1; argument < args.length; argument++) {
@@ -60,7 +61,7 @@
             Path dir = root.resolve("jobs-" + jobs);
             try (DurableStore store = open(dir)) {
                 for (int i = 1; i <= jobs; i++) {
-                    change(store, i, "b/end/wk-" + i, ENDED);
+                    change(store, i, "b/end/wk-" + i, ENDED_JOB_VALUE);
                     if (i % 1000 == 0 || i == jobs) {
                         store.flush(i);
                     }
--- a/src/test/java/birchusher/wal/FaultDirectory.java
+++ b/src/test/java/birchusher/wal/FaultDirectory.java
@@ -154,7 +154,7 @@
         return newBytes;
     }
 
-    /** A call that is carried out up to {@code part} of its bytes; calls that are no writes count as one byte. */
+    /** A call that is carried out up to {@code part} of its bytes; calls other than writes count as one byte. */
     private interface PartialCall {
         void run(int part);
     }
