--- a/src/test/java/birchusher/sim/FaultCombinationsTest.java
+++ b/src/test/java/birchusher/sim/FaultCombinationsTest.java
@@ -113,13 +113,13 @@
         for (int replyLost = 0; replyLost < 2; replyLost++) {
             World world = new World(seed, 3, 40);
             world.run(12_000);
-            int rentedBefore = world.machineRented;
+            int rentedBefore = world.machinesRented;
             world.submit("wk-arr", "sweep", 24, "standard", false, false);
             if (replyLost == 1) {
                 world.store.loseReplyForKeyPrefix = "b/live/ask/";
             }
             world.run(9_000);
-            rented[replyLost] = world.machineRented - rentedBefore;
+            rented[replyLost] = world.machinesRented - rentedBefore;
             assertThat(world.store.loseReplyForKeyPrefix)
                     .as("reply still to be lost")
                     .isNull();
--- a/src/test/java/birchusher/sim/OperationalFaultsTest.java
+++ b/src/test/java/birchusher/sim/OperationalFaultsTest.java
@@ -66,7 +66,7 @@
         }
         assertThat(world.reportedState("wk-arr")).isEqualTo("done");
         // Ten machines hold all tasks; a third of the rented ones never becomes ready.
-        assertThat(world.machineRented).isLessThan(40);
+        assertThat(world.machinesRented).isLessThan(40);
         assertHealthy(world);
     }
 
@@ -120,11 +120,11 @@
         World world = new World(seed, controllers, 200);
         world.submit("wk-web", "standing", 5, "production", false, false);
         world.run(40_000);
-        int rentedBefore = world.machineRented;
+        int rentedBefore = world.machinesRented;
         world.submit("wk-guest", "sweep", 12, "low", false, false).put("crew", "guests");
         inject(world, additionalFault, controllers);
         world.run(60_000);
-        assertThat(world.machineRented)
+        assertThat(world.machinesRented)
                 .as("machines rented, none expected for the team without a guarantee")
                 .isEqualTo(rentedBefore);
         world.submit("wk-own", "sweep", 8, "standard", false, false);
--- a/src/test/java/birchusher/sim/RentalZoneTest.java
+++ b/src/test/java/birchusher/sim/RentalZoneTest.java
@@ -59,12 +59,12 @@
         filler.put("grove", lostMachine.zone);
         world.run(60_000);
         assertThat(machinesOf(world, "wk-filler")).hasSize(6);
-        int rentedBefore = world.machineRented;
+        int rentedBefore = world.machinesRented;
         lostMachine.deleted = true;
         world.workers.remove(lostMachine.name);
         world.run(60_000);
         assertThat(world.violations).isEmpty();
         assertThat(machinesOf(world, "wk-spread")).hasSize(3);
-        assertThat(world.machineRented - rentedBefore).isEqualTo(1);
+        assertThat(world.machinesRented - rentedBefore).isEqualTo(1);
     }
 }
