--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -42,15 +42,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller's logic as one state machine: each input method takes an event with its time and returns the effects to
- * carry out. It has no I/O, no clock and no thread, so that tests and simulations can drive it as the server does. Not
- * thread-safe.
+ * A controller's logic as one state machine: each input method takes an event with its time and returns the effects to carry out. It has
+ * no I/O, no clock and no thread, so that tests and simulations can drive it as the server does. Not thread-safe.
  *
  * <p>In all input methods {@code now} is the steady time and {@code wall} the time of day, both in ms.
  */
 public final class Core {
     private static final Logger LOG = LoggerFactory.getLogger(Core.class);
     private static final long HEARTBEAT_INTERVAL_MS = 500;
+    private static final long STATUS_UPDATE_INTERVAL_MS = 250;
+    private static final long COUNTERS_LOG_INTERVAL_MS = 30_000;
+    private static final long REJECTION_LOG_INTERVAL_MS = 1_000;
+    private static final long MIN_READY_IN_MS = 1_000;
 
     private final Effects effects = new Effects();
     private final Settings settings;
@@ -70,7 +73,7 @@
     private final ActionCounters actionCounters = new ActionCounters();
     private final Inventory inventory;
     private final LostTasks lostTasks;
-    /** The statuses of the owned machines, at most 250 ms old when they are published with a heartbeat. */
+    /** The statuses of the owned machines, at most {@link #STATUS_UPDATE_INTERVAL_MS} old when they are published with a heartbeat. */
     private List<MachineStatus> ownStatuses = List.of();
 
     private boolean restoringAnnounced;
@@ -86,13 +89,13 @@
         catalog = new Catalog(settings);
         JobCodec codec = new JobCodec(catalog);
         view = new StoreView(catalog, codec);
-        view.steadyClock(effects::now);
+        view.setSteadyClock(effects::now);
         store = new StoreClient(effects, view, settings, tuning);
         membership = new Membership(effects, settings, catalog, view, store, tuning);
         EstimateBias estimateBias = new EstimateBias();
         JobScheduler[] schedulerHolder = new JobScheduler[1];
         statusExchange = new MachineStatusExchange(effects, catalog, membership);
-        membership.reachesWorkers(statusExchange::ownerReachesZone);
+        membership.setReachesWorkers(statusExchange::ownerReachesZone);
         long reconnectTimeMs = Inventory.reconnectTimeMs(
                 Math.round(settings.reportIntervalS() * 1000),
                 1 + settings.peers().size());
@@ -183,7 +186,7 @@
         try {
             route(exchange, method, target, body);
         } catch (InvalidInputException | RequestTarget.InvalidTargetException e) {
-            if (now - rejectionLoggedMs > 1_000) {
+            if (now - rejectionLoggedMs > REJECTION_LOG_INTERVAL_MS) {
                 rejectionLoggedMs = now;
                 LOG.info("{} {} rejected: {}", method, target, e.getMessage());
             }
@@ -229,7 +232,7 @@
                 dispatchPeerRecord(sender, envelope.incarnation(), envelope.record());
             }
         } catch (InvalidInputException e) {
-            if (now - rejectionLoggedMs > 1_000) {
+            if (now - rejectionLoggedMs > REJECTION_LOG_INTERVAL_MS) {
                 rejectionLoggedMs = now;
                 LOG.info("peer record rejected: {}", e.getMessage());
             }
@@ -247,7 +250,7 @@
         lostTasks.tick(now);
         boolean plan = jobScheduler.planDue();
         if (plan || now >= nextStatusUpdateMs) {
-            nextStatusUpdateMs = now + 250;
+            nextStatusUpdateMs = now + STATUS_UPDATE_INTERVAL_MS;
             ownStatuses = workerRegistry.statuses();
             statusExchange.mergeStatuses(ownStatuses);
             inventory.update(
@@ -266,7 +269,7 @@
             sendHeartbeat();
         }
         if (now >= nextCountersLogMs) {
-            nextCountersLogMs = now + 30_000;
+            nextCountersLogMs = now + COUNTERS_LOG_INTERVAL_MS;
             LOG.info(
                     "counters takeovers={} shards={} revision={} informed_ms={} jobs={} machines={} {} {} {} recovery={} open={} gone={} {}",
                     membership.takeovers,
@@ -349,10 +352,9 @@
     }
 
     /**
-     * Whether load balancers may send requests here. In an outage of the state service that affects all controllers,
-     * staying ready keeps polls of ended jobs answered. A controller that alone gets no answers from the state
-     * service is not ready. Neither is one that reaches neither the state service nor any peer: it cannot tell the
-     * two cases apart, and its users would get nothing but 503.
+     * Whether load balancers may send requests here. In an outage of the state service that affects all controllers, staying ready keeps
+     * polls of ended jobs answered. A controller that alone gets no answers from the state service is not ready, nor is one that reaches
+     * no peer either: it cannot distinguish the two cases, and its users would get nothing but 503.
      */
     private boolean isReady() {
         return store.loaded()
@@ -484,7 +486,7 @@
                         || !claim.job().isPlaced(claim.task())) {
                     continue;
                 }
-                readyInMs = Math.max(readyInMs, Math.max(1_000, endMs - now));
+                readyInMs = Math.max(readyInMs, Math.max(MIN_READY_IN_MS, endMs - now));
                 cpus += claim.job().spec.cpus();
                 gpus += claim.job().spec.gpus();
                 memoryGb += claim.job().spec.memoryGb();
--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -201,7 +201,7 @@
                 unfinished.accept(job);
                 return;
             }
-            if (view.unreadable(id)) {
+            if (view.isUnreadable(id)) {
                 effects.answer(exchange, 200, stateBody(id, Wire.QUEUED, 0, 0));
                 return;
             }
@@ -317,7 +317,7 @@
         @Override
         public boolean build(Transaction tx) {
             if (view.job(spec.id()) != null
-                    || view.unreadable(spec.id())
+                    || view.isUnreadable(spec.id())
                     || view.endedJob(spec.id()) != null
                     || tx.writes(Keys.JOB + spec.id())
                     || effects.now() > deadlineMs) {
@@ -371,7 +371,7 @@
             effects.answer(exchange, 200, finalBody);
             return;
         }
-        if (!store.healthy() || view.unreadable(id)) {
+        if (!store.healthy() || view.isUnreadable(id)) {
             effects.refuseWithRetry(exchange, 503, 1);
             return;
         }
--- a/src/main/java/birchusher/membership/Membership.java
+++ b/src/main/java/birchusher/membership/Membership.java
@@ -1022,7 +1022,7 @@
      * @param reaches whether the member with this index names a worker in the zone with this index that receives its
      *     responses
      */
-    public void reachesWorkers(BiPredicate<Integer, Integer> reaches) {
+    public void setReachesWorkers(BiPredicate<Integer, Integer> reaches) {
         reachesWorkers = reaches;
     }
 
--- a/src/main/java/birchusher/mesh/PeerCodec.java
+++ b/src/main/java/birchusher/mesh/PeerCodec.java
@@ -106,7 +106,7 @@
                     data.writeUTF(outcome.machine());
                     data.writeInt(outcome.shard());
                     data.writeLong(outcome.term());
-                    data.writeByte(outcome.kindOrdinal());
+                    data.writeByte(outcome.outcomeOrdinal());
                 });
             } else if (record instanceof WithdrawnOffer withdrawn) {
                 out.writeByte(8);
--- a/src/main/java/birchusher/mesh/PeerRecord.java
+++ b/src/main/java/birchusher/mesh/PeerRecord.java
@@ -123,8 +123,9 @@
     /** The owner's reply to a {@link ReturnRequest}. */
     record ReturnReply(String machine, boolean agreed) implements PeerRecord {}
 
-    /** The end of an attempt, proven by the owner of its machine under a term; {@code kindOrdinal} is the ordinal of the outcome. */
-    record AttemptOutcome(String job, int task, long attempt, String machine, int shard, long term, int kindOrdinal) {}
+    /** The end of an attempt, proven by the owner of its machine under a term; {@code outcomeOrdinal} is the ordinal of the outcome. */
+    record AttemptOutcome(
+            String job, int task, long attempt, String machine, int shard, long term, int outcomeOrdinal) {}
 
     /** Outcomes that the owner of the machines has proven, sent to the job scheduler that writes them to the store. */
     record AttemptOutcomes(List<AttemptOutcome> outcomes) implements PeerRecord {}
--- a/src/main/java/birchusher/store/StoreView.java
+++ b/src/main/java/birchusher/store/StoreView.java
@@ -118,7 +118,7 @@
     }
 
     /** Sets the source of the steady time, in ms, at which claims are first seen. */
-    public void steadyClock(LongSupplier clock) {
+    public void setSteadyClock(LongSupplier clock) {
         steadyClock = clock;
     }
 
@@ -242,7 +242,7 @@
     }
 
     /** Returns whether this is an accepted job whose row can't be parsed. */
-    public boolean unreadable(String id) {
+    public boolean isUnreadable(String id) {
         return unreadable.contains(id);
     }
 
--- a/src/main/java/birchusher/workers/OutcomeRecorder.java
+++ b/src/main/java/birchusher/workers/OutcomeRecorder.java
@@ -248,9 +248,9 @@
         for (PeerRecord.AttemptOutcome item : record.outcomes()) {
             if (item.shard() >= 0
                     && item.shard() < membership.shardCount()
-                    && item.kindOrdinal() >= 0
-                    && item.kindOrdinal() < Outcome.values().length) {
-                Outcome outcome = Outcome.values()[item.kindOrdinal()];
+                    && item.outcomeOrdinal() >= 0
+                    && item.outcomeOrdinal() < Outcome.values().length) {
+                Outcome outcome = Outcome.values()[item.outcomeOrdinal()];
                 boolean queued = store.enqueue(new ReleaseClaim(
                         item.job(),
                         item.task(),
--- a/src/main/java/birchusher/workers/WorkerRegistry.java
+++ b/src/main/java/birchusher/workers/WorkerRegistry.java
@@ -37,6 +37,12 @@
     private static final long PAUSE_THRESHOLD_MS = 2_000;
 
     private static final int RETRY_AFTER_S = 1;
+    /** Interval at which leases, silent machines and commands to repeat are checked. */
+    private static final long SWEEP_INTERVAL_MS = 500;
+    /** The state of a machine without claims is dropped when it has sent no message for longer than this. */
+    private static final long SILENT_STATE_RETENTION_MS = 120_000;
+    /** The same for a deleted machine. */
+    private static final long DELETED_STATE_RETENTION_MS = 30_000;
     /** After an interruption notice, tasks that should end in time run on while more than this time is left. */
     private static final long MIN_TIME_TO_RUN_ON_MS = 2_500;
     /** Added to the time that writing a checkpoint takes, for the grace period after an interruption notice. */
@@ -84,7 +90,7 @@
      * End of the last process pause, -1 before the first tick. A stalled process receives no reports, so missing reports from before this
      * time say nothing about the machines.
      */
-    private long listeningSinceMs = -1;
+    private long lastPauseEndMs = -1;
 
     private long lastTickMs = Long.MIN_VALUE / 2;
     private long nextSweepMs;
@@ -706,7 +712,7 @@
     public void tick() {
         long now = effects.now();
         if (now - lastTickMs > PAUSE_THRESHOLD_MS) {
-            listeningSinceMs = now;
+            lastPauseEndMs = now;
         }
         lastTickMs = now;
         if (!store.loaded()) {
@@ -716,7 +722,7 @@
         if (now < nextSweepMs) {
             return;
         }
-        nextSweepMs = now + 500;
+        nextSweepMs = now + SWEEP_INTERVAL_MS;
         boolean leaseSweepDue = now >= nextLeaseSweepMs;
         if (leaseSweepDue) {
             nextLeaseSweepMs = now + leaseSettings.sweepIntervalMs();
@@ -766,13 +772,16 @@
 
     /**
      * Whether the state of a machine may be dropped: the machine has no claims, and either it is deleted and has sent no
-     * message for over 30 s, or it has reported before, but not for over 120 s.
+     * message for over {@link #DELETED_STATE_RETENTION_MS}, or it has reported before, but not for over
+     * {@link #SILENT_STATE_RETENTION_MS}.
      */
     private boolean mayDropState(Machine machine, long now) {
         return machine.lastMessageAtMs >= 0
-                        && now - machine.lastMessageAtMs > 120_000
+                        && now - machine.lastMessageAtMs > SILENT_STATE_RETENTION_MS
                         && view.claims(machine.name).isEmpty()
-                || machine.deleted && view.claims(machine.name).isEmpty() && now - machine.lastMessageAtMs > 30_000;
+                || machine.deleted
+                        && view.claims(machine.name).isEmpty()
+                        && now - machine.lastMessageAtMs > DELETED_STATE_RETENTION_MS;
     }
 
     /** Moves the replicas off a machine that is being returned one at a time, so that only one is down at any moment. */
@@ -891,8 +900,8 @@
      * stalled for 13 s published all of its machines as silent for that long, and the autoscaler deleted those with tasks.
      */
     private int silentMs(Machine machine, long now) {
-        return (int) Math.min(
-                reachability.silentMs(machine, commands.isReporting(machine, now), now), now - listeningSinceMs);
+        return (int)
+                Math.min(reachability.silentMs(machine, commands.isReporting(machine, now), now), now - lastPauseEndMs);
     }
 
     /** Pairs of an image being fetched and the expected remaining time in ms, flattened: image, ms, image, ms. */
