--- a/src/main/java/birchusher/agent/Action.java
+++ b/src/main/java/birchusher/agent/Action.java
@@ -27,7 +27,7 @@
      */
     record StartProcess(AttemptKey key, JobDescription description, List<String> gangHosts) implements Action {}
 
-    /** Send the task's process a signal, which tells it to save or to end. */
+    /** Send the task's process a signal, which asks it to save or to end. */
     record SendSignal(AttemptKey key, String name) implements Action {}
 
     /** Kill all processes that the task has started, at once. */
--- a/src/main/java/birchusher/agent/JobDescription.java
+++ b/src/main/java/birchusher/agent/JobDescription.java
@@ -11,7 +11,7 @@
  *
  * @param saveDurationMs how long a task takes to save a checkpoint
  * @param command empty if no program was uploaded for the job
- * @param saveSignal name of the signal that tells a task to save a checkpoint and to end
+ * @param saveSignal name of the signal that asks a task to save a checkpoint and to end
  */
 record JobDescription(
         String jobId,
--- a/src/main/java/birchusher/agent/Runner.java
+++ b/src/main/java/birchusher/agent/Runner.java
@@ -50,7 +50,7 @@
         Process process;
 
         boolean killed;
-        /** Set when the task is told to end: exit code 0 does not mean any more that its work is done. */
+        /** Set when the task is asked to end: exit code 0 does not mean any more that its work is done. */
         boolean endRequested;
 
         /** Starts the process unless the task is to end; returns whether it was started. */
@@ -69,7 +69,7 @@
             }
         }
 
-        /** Returns the process to be told to end, null if it has not been started. */
+        /** Returns the process to be asked to end, null if it has not been started. */
         synchronized Process requestEnd() {
             endRequested = true;
             return process;
--- a/src/main/java/birchusher/controller/Core.java
+++ b/src/main/java/birchusher/controller/Core.java
@@ -359,7 +359,7 @@
     private boolean isReady() {
         return store.loaded()
                 && catalog.typesKnown()
-                && (store.healthy() || !membership.anyPeerServed() && !membership.isIsolated());
+                && (store.healthy() || !membership.anyPeerStoreHealthy() && !membership.isIsolated());
     }
 
     private void send(int member, PeerRecord record) {
--- a/src/main/java/birchusher/jobs/JobApi.java
+++ b/src/main/java/birchusher/jobs/JobApi.java
@@ -34,6 +34,14 @@
  */
 public final class JobApi {
     private static final Logger LOG = LoggerFactory.getLogger(JobApi.class);
+    /** Retry-After when a queue is full or the state service did not answer as needed. */
+    private static final int LONG_RETRY_AFTER_S = 2;
+    /** Retry-After in other cases. */
+    private static final int RETRY_AFTER_S = 1;
+
+    private static final int CANCELLATION_RANK = 1;
+    private static final int ACCEPTANCE_RANK = 2;
+    private static final int ARCHIVING_RANK = 9;
     private static final long COMMIT_TIMEOUT_MS = 2_500;
     private static final long SWEEP_INTERVAL_MS = 200;
     private static final int MAX_ENDING_JOBS = 100;
@@ -188,7 +196,7 @@
     private void answerFromFreshView(long exchange, String id, Consumer<Job> unfinished, Runnable unknown) {
         boolean queued = store.whenUpToDate(ok -> {
             if (!ok) {
-                effects.refuseWithRetry(exchange, 503, 2);
+                effects.refuseWithRetry(exchange, 503, LONG_RETRY_AFTER_S);
                 return;
             }
             Map<String, Object> finalBody = finalState(id);
@@ -217,20 +225,20 @@
                     if (storedBody != null) {
                         effects.answer(exchange, 200, storedBody);
                     } else {
-                        effects.refuseWithRetry(exchange, 503, 2);
+                        effects.refuseWithRetry(exchange, 503, LONG_RETRY_AFTER_S);
                     }
                 } else if (status == 404) {
                     unknown.run();
                 } else {
-                    effects.refuseWithRetry(exchange, 503, 2);
+                    effects.refuseWithRetry(exchange, 503, LONG_RETRY_AFTER_S);
                 }
             });
             if (!sent) {
-                effects.refuseWithRetry(exchange, 503, 1);
+                effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S);
             }
         });
         if (!queued) {
-            effects.refuseWithRetry(exchange, 503, 2);
+            effects.refuseWithRetry(exchange, 503, LONG_RETRY_AFTER_S);
         }
     }
 
@@ -263,7 +271,7 @@
         }
         if (id != null && view.job(id) != null) {
             String jobId = id;
-            answerFromFreshView(exchange, jobId, () -> effects.refuseWithRetry(exchange, 503, 1));
+            answerFromFreshView(exchange, jobId, () -> effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S));
             return;
         }
         if (malformed != null && id == null) {
@@ -271,7 +279,7 @@
             return;
         }
         if (spec == null && malformed == null && unrunnable == null || !store.healthy()) {
-            effects.refuseWithRetry(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S);
             return;
         }
         String reason = malformed != null
@@ -284,7 +292,7 @@
             return;
         }
         if (!store.enqueue(new AcceptJob(exchange, spec))) {
-            effects.refuseWithRetry(exchange, 503, 2);
+            effects.refuseWithRetry(exchange, 503, LONG_RETRY_AFTER_S);
         }
     }
 
@@ -301,7 +309,7 @@
 
         @Override
         public int rank() {
-            return 2;
+            return ACCEPTANCE_RANK;
         }
 
         @Override
@@ -345,7 +353,7 @@
 
         @Override
         public void dropped() {
-            answerFromFreshView(exchange, spec.id(), () -> effects.refuseWithRetry(exchange, 503, 1));
+            answerFromFreshView(exchange, spec.id(), () -> effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S));
         }
     }
 
@@ -372,7 +380,7 @@
             return;
         }
         if (!store.healthy() || view.isUnreadable(id)) {
-            effects.refuseWithRetry(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S);
             return;
         }
         if (view.job(id) == null) {
@@ -390,7 +398,7 @@
 
     private void cancel(long exchange, Job job) {
         if (!store.enqueue(new CancelJob(exchange, job.spec.id()))) {
-            effects.refuseWithRetry(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S);
         }
     }
 
@@ -407,7 +415,7 @@
 
         @Override
         public int rank() {
-            return 1;
+            return CANCELLATION_RANK;
         }
 
         @Override
@@ -458,7 +466,7 @@
                 effects.answer(exchange, 200, finalBody);
             } else {
                 // Not committed in time, or the job ended in the meantime: the user's repeated request will show it.
-                effects.refuseWithRetry(exchange, 503, 1);
+                effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S);
             }
         }
     }
@@ -505,7 +513,7 @@
 
         @Override
         public int rank() {
-            return 9;
+            return ARCHIVING_RANK;
         }
 
         /** Can wait: polls are answered from the set of done tasks already, and this change only archives rows. */
--- a/src/main/java/birchusher/jobs/QueryApi.java
+++ b/src/main/java/birchusher/jobs/QueryApi.java
@@ -31,6 +31,11 @@
  * answer.
  */
 public final class QueryApi {
+    /** Retry-After when a queue is full or the state service did not answer as needed. */
+    private static final int LONG_RETRY_AFTER_S = 2;
+    /** Retry-After in other cases. */
+    private static final int RETRY_AFTER_S = 1;
+
     private static final int MAX_JOBS_PER_PAGE = 200;
     private static final int MAX_TASKS_PER_PAGE = 500;
 
@@ -64,11 +69,11 @@
             if (ok) {
                 answer.run();
             } else {
-                effects.refuseWithRetry(exchange, 503, 2);
+                effects.refuseWithRetry(exchange, 503, LONG_RETRY_AFTER_S);
             }
         });
         if (!queued) {
-            effects.refuseWithRetry(exchange, 503, 2);
+            effects.refuseWithRetry(exchange, 503, LONG_RETRY_AFTER_S);
         }
     }
 
@@ -82,7 +87,7 @@
 
     /**
      * {@code GET /v2/runs?stage=&crew=&lane=&since=&page=}: jobs ordered by id, after {@code since}, at most 200:
-     * {@code {"runs":[{"name_id","stage","done","running","crew","lane"}],"has_next":true}}. Archived jobs are listed
+     * {@code {"runs":[{"name_id","stage","done","running","crew","lane"}],"has_next":true}}. Ended jobs are listed
      * only if their stage is requested, and have neither team nor class.
      */
     public void list(long exchange, RequestTarget target) throws RequestTarget.InvalidTargetException {
@@ -106,7 +111,7 @@
         withFreshView(exchange, () -> {
             TreeMap<String, Map<String, Object>> rows = liveJobs(filter, state);
             if (ended) {
-                addArchivedJobs(exchange, rows, state, after, limit);
+                addEndedJobs(exchange, rows, state, after, limit);
             } else {
                 sendPage(exchange, rows, limit, false);
             }
@@ -130,15 +135,15 @@
     }
 
     /**
-     * Adds a page of archived jobs and answers. Live jobs whose ids follow the last one of that page are left to a
+     * Adds a page of ended jobs and answers. Live jobs whose ids follow the last one of that page are left to a
      * later page.
      */
-    private void addArchivedJobs(
+    private void addEndedJobs(
             long exchange, TreeMap<String, Map<String, Object>> rows, String state, String after, int limit) {
         boolean sent = store.readPage(
                 Keys.ENDED_JOB, after.isEmpty() ? "" : Keys.ENDED_JOB + after, limit, (status, reply) -> {
                     if (status != 200) {
-                        effects.refuseWithRetry(exchange, 503, 2);
+                        effects.refuseWithRetry(exchange, 503, LONG_RETRY_AFTER_S);
                         return;
                     }
                     boolean hasMore = Boolean.TRUE.equals(reply.get(Wire.HAS_MORE));
@@ -161,7 +166,7 @@
                     sendPage(exchange, rows, limit, hasMore);
                 });
         if (!sent) {
-            effects.refuseWithRetry(exchange, 503, 1);
+            effects.refuseWithRetry(exchange, 503, RETRY_AFTER_S);
         }
     }
 
@@ -185,7 +190,7 @@
 
     /**
      * {@code GET /v2/runs/{id}/describe?since=&page=}: a job with its description, the tasks that have a machine,
-     * ordered by index from {@code since} on, at most 500, and its last 50 events. Of an archived job, only the final
+     * ordered by index from {@code since} on, at most 500, and its last 50 events. Of an ended job, only the final
      * state is kept.
      */
     public void describe(long exchange, String id, RequestTarget target) throws RequestTarget.InvalidTargetException {
@@ -194,7 +199,7 @@
         withFreshView(exchange, () -> {
             Job job = view.job(id);
             if (job == null) {
-                // Answered like a poll, which also looks up archived jobs.
+                // Answered like a poll, which also looks up ended jobs.
                 jobApi.poll(exchange, id);
                 return;
             }
--- a/src/main/java/birchusher/membership/Membership.java
+++ b/src/main/java/birchusher/membership/Membership.java
@@ -49,10 +49,14 @@
     /** How long the report of a worker without an owner counts as evidence that its owner has failed. */
     private static final long WORKER_WITHOUT_OWNER_MS = 6_000;
     /** A member that the state service has not answered for longer loses its shards to their preferred owners. */
-    private static final long MAX_UNSERVED_MS = 4_000;
+    private static final long MAX_STORE_UNHEALTHY_MS = 4_000;
     /** Least time between two takeovers of a shard whose workers cannot reach their owner. */
     private static final long UNREACHABLE_TAKEOVER_INTERVAL_MS = 15_000;
 
+    private static final int REGISTRATION_RANK = 0;
+    private static final int ROW_HEARTBEAT_RANK = 1;
+    private static final int TAKEOVER_RANK = 0;
+    private static final int HANDOVER_RANK = 1;
     private static final long RAISE_TERM_INTERVAL_MS = 2_000;
     /** How long a controller whose peer heartbeats cease has to write its first row heartbeat. */
     private static final long FIRST_ROW_HEARTBEAT_GRACE_MS = 1_200;
@@ -391,7 +395,7 @@
     }
 
     /** Whether a member's heartbeats arrive and the state service answers it. */
-    private boolean isConnectedAndServed(int member) {
+    private boolean isConnectedAndStoreHealthy(int member) {
         return member == 0 ? store.healthy() : isConnected(member) && storeHealthy[member];
     }
 
@@ -414,7 +418,7 @@
         return effects.now() - heartbeatAtMs[member] < RECENT_HEARTBEAT_MS && effects.now() - aliveSinceMs[member] > ms;
     }
 
-    private boolean isAliveAndServed(int member) {
+    private boolean isAliveAndStoreHealthy(int member) {
         return member == 0
                 ? store.healthy()
                 : isConnected(member)
@@ -454,7 +458,7 @@
         store.enqueue(new Change() {
             @Override
             public int rank() {
-                return 1;
+                return ROW_HEARTBEAT_RANK;
             }
 
             @Override
@@ -556,7 +560,7 @@
     /**
      * Whether the state service answers a connected peer, so that an outage seen here affects this controller alone.
      */
-    public boolean anyPeerServed() {
+    public boolean anyPeerStoreHealthy() {
         for (int i = 1; i < members.size(); i++) {
             if (isConnected(i) && storeHealthy[i]) {
                 return true;
@@ -582,13 +586,13 @@
 
     /**
      * Returns the index of the member that schedules a job, by rendezvous hashing over the members that are connected
-     * and served. Members may disagree for a while, which is harmless.
+     * and that the state service answers. Members may disagree for a while, which is harmless.
      */
     public int schedulerOf(String job) {
         int best = 0;
         int highestHash = Integer.MIN_VALUE;
         for (int i = 0; i < members.size(); i++) {
-            if (i == 0 || isConnectedAndServed(i)) {
+            if (i == 0 || isConnectedAndStoreHealthy(i)) {
                 int hash = mix(memberName(i).hashCode() * 31 + job.hashCode());
                 if (hash > highestHash) {
                     highestHash = hash;
@@ -701,7 +705,7 @@
         store.enqueue(new Change() {
             @Override
             public int rank() {
-                return 0;
+                return REGISTRATION_RANK;
             }
 
             @Override
@@ -818,7 +822,7 @@
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < members.size(); i++) {
             // A controller that has just started assumes that the others are starting as well.
-            boolean candidate = isAliveAndServed(i) || starting;
+            boolean candidate = isAliveAndStoreHealthy(i) || starting;
             if (candidate) {
                 all.add(i);
                 if (members.get(i).zone().equals(zone)) {
@@ -853,10 +857,10 @@
                     && !isAlive(ownerIndex)
                     && !starting
                     && now - workerWithoutOwnerAtMs[shard] < WORKER_WITHOUT_OWNER_MS;
-            boolean unserved = ownerIndex > 0
+            boolean storeUnhealthy = ownerIndex > 0
                     && storeUnhealthySinceMs[ownerIndex] >= 0
-                    && now - storeUnhealthySinceMs[ownerIndex] > MAX_UNSERVED_MS;
-            if (ownerless || silent || unserved) {
+                    && now - storeUnhealthySinceMs[ownerIndex] > MAX_STORE_UNHEALTHY_MS;
+            if (ownerless || silent || storeUnhealthy) {
                 shards.add(shard);
             }
         }
@@ -897,7 +901,7 @@
         takeoverPending = true;
         long[] versions =
                 shards.stream().mapToLong(s -> view.version(shardKey(s))).toArray();
-        store.enqueue(new ShardChange(0) {
+        store.enqueue(new ShardChange(TAKEOVER_RANK) {
             private boolean unknownOutcome;
 
             @Override
@@ -1034,7 +1038,7 @@
         handingOver[shard] = true;
         LOG.info("handing over shard {} to {}", shard, newOwner);
         long deadlineMs = effects.now() + HANDOVER_TIMEOUT_MS;
-        store.enqueue(new ShardChange(1) {
+        store.enqueue(new ShardChange(HANDOVER_RANK) {
             private boolean unknownOutcome;
 
             /** If it is not written in time, this controller answers workers again, unless it may still be applied. */
--- a/src/main/java/birchusher/store/StoreView.java
+++ b/src/main/java/birchusher/store/StoreView.java
@@ -300,7 +300,7 @@
 
     /**
      * Stores a version of a row unless a newer one is known. A row that can't be parsed is logged and ignored; a job whose row can't be
-     * parsed is still known as accepted, see {@link #unreadable}.
+     * parsed still counts as accepted, see {@link #isUnreadable}.
      */
     public void put(String key, Object row, long version) {
         if (version <= versions.getLong(key) || version <= removedVersions.getLong(key)) {
--- a/src/main/java/birchusher/workers/OutcomeRecorder.java
+++ b/src/main/java/birchusher/workers/OutcomeRecorder.java
@@ -349,7 +349,7 @@
         @Override
         public boolean build(Transaction tx) {
             Job job = view.job(jobId);
-            // The owner may raise its own term and remains the owner; a job scheduler knows only the term in the
+            // The owner may raise its own term and remains the owner; a job scheduler has only the term in the
             // peer's record.
             if (job == null
                     || task >= job.spec.tasks()
