--- a/src/main/java/birchusher/mesh/PeerRecord.java
+++ b/src/main/java/birchusher/mesh/PeerRecord.java
@@ -110,7 +110,7 @@
      * The owner's reply to an {@link Offer}.
      *
      * @param refusals per offered task "" if accepted, else the reason of the refusal
-     * @param terms per offered task the term of its machine's shard, 0 if the owner does not know the machine
+     * @param terms per offered task the term of its machine's shard, 0 if the owner has no record of the machine
      */
     record OfferReply(long id, List<String> refusals, List<Long> terms) implements PeerRecord {}
 
