--- a/src/main/java/birchusher/mesh/PeerRecord.java
+++ b/src/main/java/birchusher/mesh/PeerRecord.java
@@ -110,7 +110,7 @@
      * The owner's reply to an {@link Offer}.
      *
      * @param refusals per offered task "" if accepted, else the reason of the refusal
-     * @param terms per offered task the term of its machine's shard, 0 if the owner does not know the machine
+     * @param terms per offered task the term of its machine's shard, 0 if the owner has no record of the machine
      */
     record OfferReply(long id, List<String> refusals, List<Long> terms) implements PeerRecord {}
 
@@ -123,8 +123,9 @@
     /** The owner's reply to a {@link ReturnRequest}. */
     record ReturnReply(String machine, boolean agreed) implements PeerRecord {}
 
-    /** The end of an attempt, proven by the owner of its machine under a term; {@code kindOrdinal} is the ordinal of the outcome. */
-    record AttemptOutcome(String job, int task, long attempt, String machine, int shard, long term, int kindOrdinal) {}
+    /** The end of an attempt, proven by the owner of its machine under a term; {@code outcomeOrdinal} is the ordinal of the outcome. */
+    record AttemptOutcome(
+            String job, int task, long attempt, String machine, int shard, long term, int outcomeOrdinal) {}
 
     /** Outcomes that the owner of the machines has proven, sent to the job scheduler that writes them to the store. */
     record AttemptOutcomes(List<AttemptOutcome> outcomes) implements PeerRecord {}
--- a/src/main/java/birchusher/workers/OutcomeRecorder.java
+++ b/src/main/java/birchusher/workers/OutcomeRecorder.java
@@ -248,9 +248,9 @@
         for (PeerRecord.AttemptOutcome item : record.outcomes()) {
             if (item.shard() >= 0
                     && item.shard() < membership.shardCount()
-                    && item.kindOrdinal() >= 0
-                    && item.kindOrdinal() < Outcome.values().length) {
-                Outcome outcome = Outcome.values()[item.kindOrdinal()];
+                    && item.outcomeOrdinal() >= 0
+                    && item.outcomeOrdinal() < Outcome.values().length) {
+                Outcome outcome = Outcome.values()[item.outcomeOrdinal()];
                 boolean queued = store.enqueue(new ReleaseClaim(
                         item.job(),
                         item.task(),
@@ -349,7 +349,7 @@
         @Override
         public boolean build(Transaction tx) {
             Job job = view.job(jobId);
-            // The owner may raise its own term and remains the owner; a job scheduler knows only the term in the
+            // The owner may raise its own term and remains the owner; a job scheduler has only the term in the
             // peer's record.
             if (job == null
                     || task >= job.spec.tasks()
